--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 
 use anyhow::{Context, Result, bail};
-use lynxstair_fleet::Config;
-use lynxstair_fleet::protocol::{Answer, Ask};
+use lynxstair_cluster::Config;
+use lynxstair_cluster::protocol::{Answer, Ask};
 
 /// Asks one thing.
 pub fn ask(addr: SocketAddrV4, ask: &Ask) -> Result<Answer> {
-    lynxstair_fleet::ask(addr, ask).context("not reached")
+    lynxstair_cluster::ask(addr, ask).context("not reached")
 }
 
 /// The addresses to ask: of a fleet file, or the one address that is given.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, bail};
 use clap::Subcommand;
 use comfy_table::{ContentArrangement, Table, presets};
-use lynxstair_fleet::protocol::{Answer, Ask};
+use lynxstair_cluster::protocol::{Answer, Ask};
 use lynxstair_membership::{Name, Phase, State, View};
 use serde::Serialize;
 
--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -8,8 +8,8 @@
 
 use anyhow::{Result, bail};
 use comfy_table::{Table, presets};
-use lynxstair_fleet::protocol::{Answer, Ask, DutyHeld, VoterHeld};
-use lynxstair_ownership::{DutySeen, VoterView};
+use lynxstair_cluster::protocol::{Answer, Ask, DutyHeld, VoterHeld};
+use lynxstair_leases::{DutySeen, VoterView};
 use serde::Serialize;
 
 use crate::ask::{addresses, ask};
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -6,8 +6,8 @@
 
 use anyhow::{Context, Result, bail};
 use clap::ValueEnum;
+use lynxstair_fault_injection::{RULES, Stage, Trial, Verdict, drawn, play, shortened};
 use lynxstair_membership::Broken;
-use lynxstair_trial::{RULES, Stage, Trial, Verdict, drawn, play, shortened};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 /// Parts that can be taken out, to see that trials miss them.
@@ -76,7 +76,7 @@
     if !program.exists() {
         bail!("{}: no such program; build it, or name it by --program", program.display());
     }
-    let (mut broken, mut broken_ownership) = (Broken::default(), lynxstair_ownership::Broken::default());
+    let (mut broken, mut broken_ownership) = (Broken::default(), lynxstair_leases::Broken::default());
     for part in &args.without {
         match part {
             Part::Suspicion => broken.no_suspicion = true,
@@ -178,7 +178,7 @@
         code = 1;
         tell(&verdict, args.json)?;
         let rule = verdict.breaks[0].rule;
-        let least = shortened(&trial, |t| Ok::<_, lynxstair_trial::Failed>(!play(t, stage)?.kept))
+        let least = shortened(&trial, |t| Ok::<_, lynxstair_fault_injection::Failed>(!play(t, stage)?.kept))
             .with_context(|| trial.name.clone())?;
         println!("# broke {rule}; {} of {} faults are needed", least.faults.len(), trial.faults.len());
         println!("{}", least.to_toml());
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_standins::{config_named, free_port};
+use lynxstair_fakes::{config_named, free_port};
 use nix::sys::signal::Signal;
 use support::{Hand, gatekeeper, run, until};
 
@@ -57,7 +57,7 @@
 fn the_example_files() {
     for n in 1..=3 {
         let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet");
-        let fleet = lynxstair_fleet::Config::read(&folder.join(format!("g{n}.toml"))).expect("can be used");
+        let fleet = lynxstair_cluster::Config::read(&folder.join(format!("g{n}.toml"))).expect("can be used");
         assert_eq!(fleet.name.as_str(), format!("g{n}"));
         let config = fs::read_to_string(folder.join(format!("g{n}.json"))).expect("there");
         let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
--- a/crates/cli/tests/owners.rs
+++ b/crates/cli/tests/owners.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lynxstair_export::Says;
-use lynxstair_standins::{Load, Plan, Sink, ask, text};
+use lynxstair_fakes::{Load, Plan, Sink, ask, text};
 use serde_json::Value;
 use support::{Hand, run, until};
 
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use lynxstair_standins::{Load, ask, config_named, free_port};
+use lynxstair_fakes::{Load, ask, config_named, free_port};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use tempfile::TempDir;
--- a/crates/fleet/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -86,7 +86,7 @@
     /// Parts that are taken out, to show that trials miss them.
     pub broken: Broken,
     /// The same of ownership.
-    pub broken_ownership: lynxstair_ownership::Broken,
+    pub broken_ownership: lynxstair_leases::Broken,
     /// While this file exists, writing records fails as on a full disk.
     pub disk_full_while: Option<PathBuf>,
     /// The owner of the duty export waits so many milliseconds between its check and its write.
@@ -199,7 +199,7 @@
     pub voters: Vec<(String, SocketAddrV4)>,
     /// What this member stands for.
     pub duties: Vec<String>,
-    pub times: lynxstair_ownership::Times,
+    pub times: lynxstair_leases::Times,
 }
 
 /// The duties that there are.
@@ -247,7 +247,7 @@
             let why = format!("{} voters; three or five would be right (one bears no fault)", voters.len());
             return Err(self.invalid(file.voters[0].name.span().start, "voters", why));
         }
-        let mut times = lynxstair_ownership::Times::default();
+        let mut times = lynxstair_leases::Times::default();
         let all: [(&str, &Option<Spanned<u64>>, &mut Span, u64); 4] = [
             ("ownership.tick_ms", &text.tick_ms, &mut times.tick, 5),
             ("ownership.lease_ms", &text.lease_ms, &mut times.lease, 100),
--- a/crates/fleet/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_wire::coroutine::go_then;
+use lynxstair_net::coroutine::go_then;
 use may::io::{CoIo, WaitIo};
 use tracing::warn;
 
--- a/crates/fleet/src/exporter.rs
+++ b/crates/cluster/src/exporter.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use lynxstair_export::{Batch, Carrier, Mark, Says, Shelved, Stream};
-use lynxstair_ownership::Epoch;
+use lynxstair_leases::Epoch;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
--- a/crates/fleet/src/history.rs
+++ b/crates/cluster/src/history.rs
@@ -8,7 +8,7 @@
 
 use lynxstair::types::Time;
 use lynxstair_membership::Name;
-use lynxstair_wire::clock::Clock;
+use lynxstair_net::clock::Clock;
 use nix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,5 +1,5 @@
 //! The control side of a gatekeeper on sockets. It ties `crates/membership` to datagrams, timers, a control
-//! port and the records of `crates/ledger`; it decides nothing of who is there.
+//! port and the records of `crates/record-log`; it decides nothing of who is there.
 //!
 //! Called by the gatekeeper where `--fleet FILE` names a file, and not otherwise: without it nothing here
 //! runs, and no socket, thread or file is opened. Invocations never wait for it: it shares the coroutine
--- a/crates/fleet/src/log.rs
+++ b/crates/cluster/src/log.rs
@@ -46,8 +46,8 @@
 }
 
 /// The same of ownership.
-pub(crate) fn tell_owners(event: &lynxstair_ownership::Event) {
-    use lynxstair_ownership::{Event, Phase};
+pub(crate) fn tell_owners(event: &lynxstair_leases::Event) {
+    use lynxstair_leases::{Event, Phase};
     match event {
         Event::VoterPhase { from, to, why } if *to == Phase::Aside => {
             warn!(?from, ?to, %why, "fleet: voter");
--- a/crates/fleet/src/owners.rs
+++ b/crates/cluster/src/owners.rs
@@ -5,12 +5,12 @@
 use std::sync::{Arc, Mutex};
 
 use lynxstair::types::Time;
-use lynxstair_ledger::{Ledger, Repair, Writer};
-use lynxstair_ownership::{
+use lynxstair_leases::{
     Broken, Came, Do, Epoch, ForHolder, Holder, HolderStart, Image, Record, Start, Voter, Wants,
 };
-use lynxstair_wire::clock::Clock;
-use lynxstair_wire::ticker::Ticker;
+use lynxstair_net::clock::Clock;
+use lynxstair_net::ticker::Ticker;
+use lynxstair_record_log::{Ledger, Repair, Writer};
 use tracing::warn;
 
 use crate::config::Config;
@@ -99,7 +99,7 @@
         let writer = Writer::start(
             opened.ledger,
             Box::new(move |ticket, what: Result<(), _>| {
-                lock(&told).push((ticket, what.map_err(|e: lynxstair_ledger::Error| e.to_string())));
+                lock(&told).push((ticket, what.map_err(|e: lynxstair_record_log::Error| e.to_string())));
                 waking.poke();
             }),
             Box::new(move || lock(&to_keep).records().iter().map(Record::written).collect()),
@@ -215,13 +215,13 @@
 }
 
 /// What voters answered, for people.
-fn put(answer: lynxstair_ownership::Answer) -> Answer {
-    use lynxstair_ownership::Answer as A;
+fn put(answer: lynxstair_leases::Answer) -> Answer {
+    use lynxstair_leases::Answer as A;
     match answer {
         A::Done => Answer::Done,
         A::No { why } => Answer::No { why },
         A::Book { duties, voters, leader } => {
-            let duty = |(duty, held): (String, lynxstair_ownership::Held)| DutyHeld {
+            let duty = |(duty, held): (String, lynxstair_leases::Held)| DutyHeld {
                 duty,
                 owner: held.owner.map(|o| o.name),
                 epoch: held.epoch,
@@ -230,8 +230,7 @@
                 meant_for: held.meant_for,
                 state_bytes: held.state.len(),
             };
-            let voter =
-                |v: lynxstair_ownership::VoterAt| VoterHeld { name: v.name, id: v.id.0, addr: v.addr };
+            let voter = |v: lynxstair_leases::VoterAt| VoterHeld { name: v.name, id: v.id.0, addr: v.addr };
             Answer::Owners {
                 duties: duties.into_iter().map(duty).collect(),
                 voters: voters.into_iter().map(voter).collect(),
--- a/crates/fleet/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use lynxstair_export::{Batch, Stream};
+use lynxstair_leases::{DutySeen, Epoch, VoterView};
 use lynxstair_membership::{Name, View};
-use lynxstair_ownership::{DutySeen, Epoch, VoterView};
 use serde::{Deserialize, Serialize};
 
 /// The longest question, in bytes.
--- a/crates/fleet/src/side.rs
+++ b/crates/cluster/src/side.rs
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ledger::{Error, Failing, Ledger, Repair, Writer};
+use lynxstair_leases::Epoch;
 use lynxstair_membership::{Do, Incarnation, Name, Record, Room, Start};
-use lynxstair_ownership::Epoch;
-use lynxstair_wire::clock::Clock;
-use lynxstair_wire::coroutine::go;
-use lynxstair_wire::ticker::Ticker;
+use lynxstair_net::clock::Clock;
+use lynxstair_net::coroutine::go;
+use lynxstair_net::ticker::Ticker;
+use lynxstair_record_log::{Error, Failing, Ledger, Repair, Writer};
 use may::coroutine::yield_now;
 use may::io::{CoIo, WaitIo};
 use nix::sys::prctl::set_pdeathsig;
@@ -407,7 +407,7 @@
 
     fn hear(&self) {
         // On the heap: a coroutine's stack is small.
-        let mut buffer = vec![0; lynxstair_ownership::LARGEST + 1];
+        let mut buffer = vec![0; lynxstair_leases::LARGEST + 1];
         let mut allowed = PER_SECOND;
         let mut filled_at = self.clock.now();
         let mut in_turn = 0;
@@ -426,7 +426,7 @@
                     } else {
                         allowed -= 1;
                         match &self.owners {
-                            Some(owners) if buffer[0] == lynxstair_ownership::FIRST && len > 0 => {
+                            Some(owners) if buffer[0] == lynxstair_leases::FIRST && len > 0 => {
                                 owners.heard(self, now, from, &buffer[..len]);
                             }
                             _ => self.with_room(now, |room| room.heard(now, from, &buffer[..len])),
--- a/crates/fleet/src/uses.rs
+++ b/crates/cluster/src/uses.rs
@@ -16,7 +16,7 @@
 
 use lynxstair::types::Time;
 use lynxstair_export::{Batch, MOST_SUMS, Stream, USE_BYTES, Use, WINDOW_SECONDS};
-use lynxstair_ledger::Failing;
+use lynxstair_record_log::Failing;
 use tracing::{error, info, warn};
 
 use crate::side::lock;
--- a/crates/trailbook/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 use lynxstair::types::Span;
 
-use crate::sheet::{List, Sheet, same};
-use crate::values::{self, Fault, Fields, Item, Object, at, fault, needed, path};
+use crate::json::{self, Fault, Fields, Item, Object, at, fault, needed, path};
+use crate::table::{List, Sheet, same};
 
 /// A route's `timeout-s` may not exceed this, and its `target-s` lies less than a minute above it.
 const MOST_TIMEOUT_S: f64 = 600.0;
@@ -160,8 +160,8 @@
     of: &str,
     read: impl FnOnce(&Item) -> Result<T, Fault>,
 ) -> Result<T, Fault> {
-    let value = values::read(format!("[{cells}]").as_bytes())?;
-    read(&Item { columns: list.columns(), cells: values::array(&value, of)? })
+    let value = json::read(format!("[{cells}]").as_bytes())?;
+    read(&Item { columns: list.columns(), cells: json::array(&value, of)? })
 }
 
 /// Whether a row stood in an older list as it does now.
@@ -246,12 +246,12 @@
 }
 
 fn texts(item: &impl Fields, key: &str, of: &str) -> Result<Vec<String>, Fault> {
-    at(item, key).map_or(Ok(Vec::new()), |v| values::texts(v, &path(of, key)))
+    at(item, key).map_or(Ok(Vec::new()), |v| json::texts(v, &path(of, key)))
 }
 
 /// A number of 0 or more; the usual one where it is left out.
 fn figure(item: &impl Fields, key: &str, of: &str, usual: f64) -> Result<f64, Fault> {
-    match at(item, key).map(|v| values::number(v, &path(of, key))).transpose()? {
+    match at(item, key).map(|v| json::number(v, &path(of, key))).transpose()? {
         Some(n) if n < 0.0 => fault(path(of, key), "below 0"),
         n => Ok(n.unwrap_or(usual)),
     }
@@ -259,7 +259,7 @@
 
 fn service(item: &Item, of: &str) -> Result<Service, Fault> {
     let health =
-        at(item, "health-path").map_or(Ok("/health"), |v| values::text(v, &path(of, "health-path")))?;
+        at(item, "health-path").map_or(Ok("/health"), |v| json::text(v, &path(of, "health-path")))?;
     Ok(Service {
         health_path: health.to_string(),
         max_conns: figure(item, "max-conns", of, 100.0)? as u32,
@@ -269,7 +269,7 @@
 }
 
 fn route(name: &str, item: &Item, of: &str) -> Result<Route, Fault> {
-    let own = |key: &str| needed(item, key, of).and_then(|v| values::text(v, &path(of, key)));
+    let own = |key: &str| needed(item, key, of).and_then(|v| json::text(v, &path(of, key)));
     let host = own("host")?;
     if host.is_empty() {
         return fault(path(of, "host"), "empty");
@@ -303,9 +303,9 @@
     let mut to = Vec::new();
     if let Some(split) = at(item, "split") {
         let at = path(of, "split");
-        for part in values::array(split, &at)? {
-            let part = values::object(part, &at)?;
-            let service = values::text(needed(part, "service", &at)?, &at)?;
+        for part in json::array(split, &at)? {
+            let part = json::object(part, &at)?;
+            let service = json::text(needed(part, "service", &at)?, &at)?;
             to.push((service.to_string(), figure(part, "weight", &at, 1.0)?));
         }
     }
@@ -325,7 +325,7 @@
         priority: figure(item, "priority", of, 0.0)? as u32,
         services: to,
         max_attempts: attempts as u32,
-        public: at(item, "public").map_or(Ok(false), |v| values::truth(v, &path(of, "public")))?,
+        public: at(item, "public").map_or(Ok(false), |v| json::truth(v, &path(of, "public")))?,
         homes: texts(item, "home-regions", of)?,
     })
 }
@@ -343,7 +343,7 @@
 
 fn bounds(rest: &Object) -> Result<Bounds, Fault> {
     let empty = Object::new();
-    let limits = at(rest, "limits").map_or(Ok(&empty), |v| values::object(v, "limits"))?;
+    let limits = at(rest, "limits").map_or(Ok(&empty), |v| json::object(v, "limits"))?;
     Ok(Bounds {
         header_bytes: figure(limits, "max-header-bytes", "limits", 16384.0)? as usize,
         body_bytes: figure(limits, "max-body-bytes", "limits", 67108864.0)? as usize,
--- /dev/null
+++ b/crates/config/src/lib.rs
@@ -0,0 +1,9 @@
+//! What a process is configured with: the boot settings file, the operator's configuration, the command line. Reading and
+//! checking only: no socket, no clock, no thread.
+#![forbid(unsafe_code)]
+
+pub mod command_line;
+pub mod configuration;
+pub mod json;
+pub mod settings;
+pub mod table;
--- a/crates/trailbook/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,7 +8,7 @@
 use lynxstair::types::Span;
 use yaml_rust2::{Yaml, YamlLoader};
 
-use crate::values::{self, Fault, Object, Value, at, fault, needed};
+use crate::json::{self, Fault, Object, Value, at, fault, needed};
 
 pub const VARIABLE: &str = "LYNXSTAIR_BOOT";
 
@@ -89,40 +89,40 @@
         };
         let Some(first) = documents.first() else { return fault("settings", "empty") };
         let value = turned(first);
-        let all = values::object(&value, "settings")?;
-        let own = |key: &str| needed(all, key, "").and_then(|v| values::text(v, key)).map(str::to_string);
+        let all = json::object(&value, "settings")?;
+        let own = |key: &str| needed(all, key, "").and_then(|v| json::text(v, key)).map(str::to_string);
         let empty = Object::new();
-        let part = |key: &str| at(all, key).map_or(Ok(&empty), |v| values::object(v, key));
+        let part = |key: &str| at(all, key).map_or(Ok(&empty), |v| json::object(v, key));
         let bind = part("bind")?;
         let bound = |key: &str| -> Result<Option<SocketAddr>, Fault> {
             at(bind, key).map(|v| address(v, &format!("bind.{key}"))).transpose()
         };
         let ip = own("ip")?;
         let Ok(ip) = ip.parse() else { return fault("ip", "an address is wanted") };
-        let ports = values::array(needed(all, "port-range", "")?, "port-range")?;
+        let ports = json::array(needed(all, "port-range", "")?, "port-range")?;
         let ports: Vec<u16> = ports
             .iter()
-            .map(|p| values::number(p, "port-range").map(|p| p as u16))
+            .map(|p| json::number(p, "port-range").map(|p| p as u16))
             .collect::<Result<_, _>>()?;
         let [from, to] = ports[..] else { return fault("port-range", "two ports are wanted") };
-        let seeds = values::array(needed(all, "seeds", "")?, "seeds")?;
+        let seeds = json::array(needed(all, "seeds", "")?, "seeds")?;
         let seeds = seeds.iter().map(|s| address(s, "seeds")).collect::<Result<_, _>>()?;
         let limits = part("limits")?;
         let limit = |key: &str, usual: f64| {
-            at(limits, key).map_or(Ok(usual), |v| values::number(v, &format!("limits.{key}")))
+            at(limits, key).map_or(Ok(usual), |v| json::number(v, &format!("limits.{key}")))
         };
         let mut zones = Vec::new();
         for (zone, region) in part("zones")? {
-            zones.push((zone.clone(), values::text(region, "zones")?.to_string()));
+            zones.push((zone.clone(), json::text(region, "zones")?.to_string()));
         }
         zones.sort();
         let budget = part("fault-budget")?;
         let tolerated =
-            at(budget, "machines").map_or(Ok(1.0), |v| values::number(v, "fault-budget.machines"))?;
+            at(budget, "machines").map_or(Ok(1.0), |v| json::number(v, "fault-budget.machines"))?;
         if !(0.0..=8.0).contains(&tolerated) || tolerated.fract() != 0.0 {
             return fault("fault-budget.machines", "a whole number from 0 to 8 is wanted");
         }
-        let period = at(all, "beat-period-s").map_or(Ok(1.5), |v| values::number(v, "beat-period-s"))?;
+        let period = at(all, "beat-period-s").map_or(Ok(1.5), |v| json::number(v, "beat-period-s"))?;
         Ok(Settings {
             node: own("node-name")?,
             ip,
@@ -135,13 +135,13 @@
             directory: bound("directory")?,
             ports: (from, to),
             seeds,
-            bootstrap: at(all, "bootstrap").map_or(Ok(false), |v| values::truth(v, "bootstrap"))?,
+            bootstrap: at(all, "bootstrap").map_or(Ok(false), |v| json::truth(v, "bootstrap"))?,
             limits: Limits {
                 memory_mb: limit("memory-mb", 128.0)? as u64,
                 max_fds: limit("max-fds", 1024.0)? as usize,
             },
             data_dir: at(all, "data-dir")
-                .map(|v| values::text(v, "data-dir").map(str::to_string))
+                .map(|v| json::text(v, "data-dir").map(str::to_string))
                 .transpose()?,
             beat_period: Span::from_secs(period),
             tolerated: tolerated as usize,
@@ -188,7 +188,7 @@
 }
 
 fn address(value: &Value, at: &str) -> Result<SocketAddr, Fault> {
-    let text = values::text(value, at)?;
+    let text = json::text(value, at)?;
     text.parse().or_else(|_| fault(at, format!("{text} is no address with a port")))
 }
 
@@ -198,7 +198,7 @@
     match at(all, "bounds") {
         Some(Value::Array(list)) => {
             for item in list {
-                pairs.push(values::text(item, "bounds")?.to_string());
+                pairs.push(json::text(item, "bounds")?.to_string());
             }
         }
         Some(Value::String(line)) => pairs.extend(line.split(',').map(str::to_string)),
--- a/crates/trailbook/src/sheet.rs
+++ b/crates/config/src/table.rs
@@ -8,8 +8,8 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::digest;
-use crate::values::{self, Fault, Object, Value, at, fault, needed, path};
+use crate::json::{self, Fault, Object, Value, at, fault, needed, path};
+use lynxstair_protocol::digest;
 
 /// The lists that a configuration is made of.
 pub const LISTS: [&str; 3] = ["routes", "services", "tenants"];
@@ -46,13 +46,13 @@
 
 /// What a `PUT` or `PATCH` says of the version it builds on.
 pub fn base(call: &Value) -> Result<u64, Fault> {
-    let call = values::object(call, "body")?;
-    at(call, "base-version").map_or(Ok(0), |v| values::version(v, "base-version"))
+    let call = json::object(call, "body")?;
+    at(call, "base-version").map_or(Ok(0), |v| json::version(v, "base-version"))
 }
 
 pub fn generation(call: &Value) -> Result<u64, Fault> {
-    let call = values::object(call, "body")?;
-    values::version(needed(call, "generation", "")?, "generation")
+    let call = json::object(call, "body")?;
+    json::version(needed(call, "generation", "")?, "generation")
 }
 
 /// Whether what stands under this key has a place of its own.
@@ -63,7 +63,7 @@
 impl Sheet {
     /// A complete configuration.
     pub fn read(call: &Value) -> Result<Sheet, Fault> {
-        let all = values::object(call, "body")?;
+        let all = json::object(call, "body")?;
         let mut sheet = Sheet { generation: generation(call)?, ..Sheet::default() };
         for (list, name) in sheet.lists.iter_mut().zip(LISTS) {
             // Without tenants a configuration is whole; without the others it is not.
@@ -74,20 +74,20 @@
             }
         }
         let rest = all.iter().filter(|(key, _)| !is_own(key)).map(|(k, v)| (k.clone(), v.clone())).collect();
-        sheet.rest = values::written(&Value::Object(rest));
+        sheet.rest = json::written(&Value::Object(rest));
         Ok(sheet)
     }
 
     /// What this becomes by a change of named items.
     pub fn patched(&self, call: &Value) -> Result<Sheet, Fault> {
-        let all = values::object(call, "body")?;
+        let all = json::object(call, "body")?;
         let mut sheet = Sheet { generation: generation(call)?, ..self.clone() };
         let empty = Object::new();
-        let part = |key: &str| at(all, key).map_or(Ok(&empty), |v| values::object(v, key));
+        let part = |key: &str| at(all, key).map_or(Ok(&empty), |v| json::object(v, key));
         let (set, drop) = (part("upsert")?, part("remove")?);
         for (list, name) in sheet.lists.iter_mut().zip(LISTS) {
             if let Some(names) = at(drop, name) {
-                let gone = values::texts(names, &path("remove", name))?;
+                let gone = json::texts(names, &path("remove", name))?;
                 gone.iter().for_each(|name| list.remove(name));
             }
             if let Some(value) = at(set, name) {
@@ -101,7 +101,7 @@
             is_changed = true;
         }
         if is_changed {
-            sheet.rest = values::written(&Value::Object(rest));
+            sheet.rest = json::written(&Value::Object(rest));
         }
         Ok(sheet)
     }
@@ -111,7 +111,7 @@
         if self.rest.is_empty() {
             return Ok(Object::new());
         }
-        values::object(&values::read(self.rest.as_bytes())?, "body").cloned()
+        json::object(&json::read(self.rest.as_bytes())?, "body").cloned()
     }
 
     /// The whole configuration, laid out as it is put.
@@ -202,9 +202,9 @@
 
     /// Adds or replaces what a list of columns and rows holds. Null means a value is left out.
     fn put(&mut self, value: &Value, name: &str) -> Result<(), Fault> {
-        let both = values::object(value, name)?;
-        let columns = values::texts(needed(both, "columns", name)?, &path(name, "columns"))?;
-        let rows = values::array(needed(both, "rows", name)?, &path(name, "rows"))?;
+        let both = json::object(value, name)?;
+        let columns = json::texts(needed(both, "columns", name)?, &path(name, "columns"))?;
+        let rows = json::array(needed(both, "rows", name)?, &path(name, "rows"))?;
         for (n, column) in columns.iter().enumerate() {
             if columns[..n].contains(column) {
                 return fault(path(name, "columns"), format!("a second one named {column}"));
@@ -220,13 +220,13 @@
         let mut seen = std::collections::HashSet::with_capacity(rows.len());
         for (n, row) in rows.iter().enumerate() {
             let at = || format!("{name}.rows[{n}]");
-            let cells = values::array(row, &at())?;
+            let cells = json::array(row, &at())?;
             if cells.len() != columns.len() {
                 return fault(at(), format!("{} values for {} columns", cells.len(), columns.len()));
             }
             let own = columns.iter().position(|c| c == "name").map(|n| &cells[n]).filter(|v| !v.is_null());
             let Some(own) = own else { return fault(path(&at(), "name"), "missing") };
-            let own = values::text(own, &path(&at(), "name"))?;
+            let own = json::text(own, &path(&at(), "name"))?;
             if !seen.insert(own) {
                 return fault(at(), format!("a second item named {own}"));
             }
@@ -235,7 +235,7 @@
                 if n > 0 {
                     text.push(',');
                 }
-                values::write(place.map_or(&Value::Null, |place| &cells[place]), &mut text);
+                json::write(place.map_or(&Value::Null, |place| &cells[place]), &mut text);
             }
             self.set(own, text.into());
         }
@@ -252,7 +252,7 @@
     }
 
     fn write(&self, out: &mut String) {
-        let text = |text: &str| values::written(&Value::String(text.to_string()));
+        let text = |text: &str| json::written(&Value::String(text.to_string()));
         out.push_str("{\"columns\":[\"name\"");
         for column in &self.columns {
             out.push(',');
--- a/crates/trailbook/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,8 +1,8 @@
 //! The configuration: what is found in it, what makes it invalid, and how it is changed by names.
 
-use lynxstair_trailbook::configuration::{Configuration, Kind};
-use lynxstair_trailbook::sheet::{Sheet, base};
-use lynxstair_trailbook::values;
+use lynxstair_config::configuration::{Configuration, Kind};
+use lynxstair_config::json;
+use lynxstair_config::table::{Sheet, base};
 
 const GOOD: &str = r#"{"generation":"00000007","base-version":"00000005",
     "routes":{"columns":["name","host","path-prefix","route-kind","timeout-s","target-s","priority","split",
@@ -16,7 +16,7 @@
     ["t2",["k3"],null,null,0]]}}"#;
 
 fn read(text: &str) -> Result<Configuration, String> {
-    let value = values::read(text.as_bytes()).map_err(|f| f.to_string())?;
+    let value = json::read(text.as_bytes()).map_err(|f| f.to_string())?;
     let sheet = Sheet::read(&value).map_err(|f| f.to_string())?;
     Configuration::read(&sheet).map_err(|f| f.to_string())
 }
@@ -67,15 +67,15 @@
 /// What is written can be read again as the same, and a change replaces, adds and removes by name.
 #[test]
 fn sheets_are_written_and_changed() {
-    let call = values::read(GOOD.as_bytes()).expect("read");
+    let call = json::read(GOOD.as_bytes()).expect("read");
     assert_eq!(base(&call), Ok(5));
     let sheet = Sheet::read(&call).expect("good");
-    let again = values::read(sheet.written().as_bytes()).expect("read");
+    let again = json::read(sheet.written().as_bytes()).expect("read");
     assert_eq!(Sheet::read(&again), Ok(sheet.clone()));
     let change = r#"{"generation":"00000009","base-version":"00000007","remove":{"routes":["r2","r9"]},
         "upsert":{"routes":{"columns":["name","host","path-prefix","route-kind","service"],
         "rows":[["r1","h.example","/a/","safe","s2"],["r3","h.example","/c/","download","s1"]]}}}"#;
-    let change = values::read(change.as_bytes()).expect("read");
+    let change = json::read(change.as_bytes()).expect("read");
     let changed = sheet.patched(&change).expect("good");
     let c = Configuration::read(&changed).expect("good");
     let mut names: Vec<&str> = c.all_routes().map(|r| r.name.as_str()).collect();
--- a/crates/trailbook/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files: what is good is read, what is bad is named by its key.
 
 use lynxstair::types::Span;
-use lynxstair_trailbook::settings::{Reload, Settings};
+use lynxstair_config::settings::{Reload, Settings};
 
 const GOOD: &str = "node-name: \"e1\"\nrole: \"x\"\nip: \"10.1.0.23\"\nzone: \"a\"\nregion: \"r\"\n\
     zones:\n  a: \"r\"\n  b: \"s\"\nbind:\n  front: \"10.1.0.23:80\"\nport-range:\n  - 7460\n  - 7475\n\
--- a/crates/cairn/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,7 +2,7 @@
 //! as each of that majority.
 
 use lynxstair::types::Time;
-use lynxstair_trailbook::agreement::{LogId, Member, Message};
+use lynxstair_protocol::consensus::{LogId, Member, Message};
 
 use crate::role::{Leading, Role, SILENT};
 use crate::{Cairn, Do, Node};
--- a/crates/cairn/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,6 +1,6 @@
 //! Agreement of the core on the book: one state that replaces the one before, committed once it is on the disks of
 //! a majority of the voters. A room without I/O, clock or thread: it is told the time and what was heard, and hands
-//! back what to write and what to say. `crates/hut` calls it; it knows nothing of what the state means.
+//! back what to write and what to say. `crates/controller` calls it; it knows nothing of what the state means.
 //!
 //! Each state holds all before it, so there is no log of entries to replay: the newest stored one, by the term it
 //! was written in and then its index, is what a new leader goes on from, and is the snapshot that a member that was
@@ -25,8 +25,8 @@
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::agreement::{LogId, Member, Message, State};
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_protocol::consensus::{LogId, Member, Message, State};
+use lynxstair_protocol::messages::Bytes;
 use serde::{Deserialize, Serialize};
 
 pub use membership::MOST_LEARNERS;
--- a/crates/cairn/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -7,8 +7,8 @@
 //! while a learner that holds everything waits; from another disk that answers at a voter's address.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::agreement::{Member, Message, State};
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_protocol::consensus::{Member, Message, State};
+use lynxstair_protocol::messages::Bytes;
 
 use crate::replication::ROUND;
 use crate::role::{Contact, Leading, Progress, Role};
--- a/crates/cairn/src/reads.rs
+++ b/crates/consensus/src/reads.rs
@@ -4,7 +4,7 @@
 //! this hut have heard each other a moment ago.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::agreement::LogId;
+use lynxstair_protocol::consensus::LogId;
 
 use crate::role::Role;
 use crate::{Cairn, Do};
--- a/crates/cairn/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,8 +1,8 @@
 //! Replication: heartbeat rounds, what is stored on which disk, and what is committed by that.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::agreement::{LogId, Member, Message, State};
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_protocol::consensus::{LogId, Member, Message, State};
+use lynxstair_protocol::messages::Bytes;
 
 use crate::reads::READ_GAP;
 use crate::role::{Progress, Role};
--- a/crates/cairn/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::agreement::{LogId, Member};
+use lynxstair_protocol::consensus::{LogId, Member};
 
 use crate::{Cairn, Do, Node};
 
--- a/crates/cairn/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -7,8 +7,8 @@
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::{Boot, Cairn, Do, Node, Record};
-use lynxstair_trailbook::agreement::{LogId, Member, Message, State};
+use lynxstair_consensus::{Boot, Cairn, Do, Node, Record};
+use lynxstair_protocol::consensus::{LogId, Member, Message, State};
 
 fn node(n: usize) -> Node {
     format!("10.0.0.{}:80", n + 1).parse().expect("an address")
--- a/crates/cairn/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::{Boot, Cairn, Do, Fault, Node, Record};
-use lynxstair_trailbook::agreement::{LogId, Member, Message, State};
+use lynxstair_consensus::{Boot, Cairn, Do, Fault, Node, Record};
+use lynxstair_protocol::consensus::{LogId, Member, Message, State};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// What must never be seen.
--- a/crates/ridge/src/feed.rs
+++ b/crates/control-state/src/config_feed.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::configuration::Configuration;
-use lynxstair_trailbook::sheet::{Changed, Name, Sheet};
+use lynxstair_config::configuration::Configuration;
+use lynxstair_config::table::{Changed, Name, Sheet};
 use serde::{Deserialize, Serialize};
 
-use crate::book::Book;
+use crate::config_store::Book;
 
 /// One version, as all decisions on a request see it.
 #[derive(Debug)]
--- a/crates/ridge/src/book.rs
+++ b/crates/control-state/src/config_store.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, OnceLock};
 
-use lynxstair_trailbook::configuration::Configuration;
-use lynxstair_trailbook::digest;
-use lynxstair_trailbook::sheet::{self, Sheet};
-use lynxstair_trailbook::values::{self, Fault, Value};
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_config::configuration::Configuration;
+use lynxstair_config::json::{self, Fault, Value};
+use lynxstair_config::table::{self, Sheet};
+use lynxstair_protocol::digest;
+use lynxstair_protocol::messages::Bytes;
 use serde::{Deserialize, Serialize};
 
 /// So many changes that were taken are remembered, to know them when they are sent again.
@@ -150,8 +150,8 @@
     fn of(change: &Change) -> Option<Read> {
         let (Change::Put(body) | Change::Patch(body)) = change else { return None };
         let read = || -> Result<Read, Fault> {
-            let call = values::read(body)?;
-            let (base, generation) = (sheet::base(&call)?, sheet::generation(&call));
+            let call = json::read(body)?;
+            let (base, generation) = (table::base(&call)?, table::generation(&call));
             if matches!(change, Change::Patch(_)) {
                 return Ok(Read::Part { base, generation, call });
             }
@@ -180,7 +180,7 @@
             Some(sheet) => sheet,
             None if found.text.is_empty() => Sheet::default(),
             None => {
-                let sheet = Sheet::read(&values::read(found.text.as_bytes()).ok()?).ok()?;
+                let sheet = Sheet::read(&json::read(found.text.as_bytes()).ok()?).ok()?;
                 // None of its changes can be told any more.
                 forgotten = Some(sheet.generation);
                 sheet
@@ -332,7 +332,7 @@
         }
         let generation = generation.clone()?;
         if generation <= self.generation {
-            return values::fault(
+            return json::fault(
                 "generation",
                 format!("{:08x} is not above {:08x}", generation, self.generation),
             );
@@ -343,7 +343,7 @@
                 sheet.share(&self.sheet);
                 Ok(Step::To(Box::new(sheet), configuration))
             }
-            Read::Part { .. } if self.generation == 0 => values::fault("body", "nothing to change yet"),
+            Read::Part { .. } if self.generation == 0 => json::fault("body", "nothing to change yet"),
             Read::Part { call, .. } => {
                 let sheet = self.sheet.patched(call)?;
                 let configuration = self.configured(&sheet)?;
--- a/crates/ridge/src/directory.rs
+++ b/crates/control-state/src/directory.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::words::{Edge, Readiness, Sighting};
+use lynxstair_protocol::messages::{Edge, Readiness, Sighting};
 
 /// A gatekeeper, or a hut, that said nothing for so long is left out.
 const ABSENT: Span = Span::from_millis(2_500);
--- a/crates/ridge/src/watch.rs
+++ b/crates/control-state/src/failure_detector.rs
@@ -3,9 +3,9 @@
 //! and takes nobody's silence for an end.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::words::Life;
+use lynxstair_protocol::messages::Life;
 
-use crate::register::Register;
+use crate::instance_registry::Register;
 
 /// A watch that was not looked at for so long stood still: what was said meanwhile may lie unread.
 const STOOD: Span = Span::from_millis(1_500);
--- a/crates/ridge/src/register.rs
+++ b/crates/control-state/src/instance_registry.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::words::{Life, Standing};
+use lynxstair_protocol::messages::{Life, Standing};
 
 /// A life that is over is remembered for so long, so that a late beat does not bring it back.
 const REMEMBERED: Span = Span::from_millis(60_000);
@@ -162,7 +162,7 @@
 #[cfg(test)]
 mod tests {
     use lynxstair::types::{Span, Time};
-    use lynxstair_trailbook::words::{Life, Standing};
+    use lynxstair_protocol::messages::{Life, Standing};
 
     use super::Register;
 
--- a/crates/ridge/src/purse.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -9,10 +9,10 @@
 use std::collections::{HashMap, VecDeque};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::configuration::Tenant;
-use lynxstair_trailbook::words::{Count, Share};
+use lynxstair_config::configuration::Tenant;
+use lynxstair_protocol::messages::{Count, Share};
 
-use crate::buckets::{DEPTH, OVER_PART, SLACK_PART};
+use crate::quota_limits::{DEPTH, OVER_PART, SLACK_PART};
 
 /// The part of the quota that is split evenly among those that are heard.
 const FLOOR: f64 = 0.4;
@@ -283,11 +283,11 @@
 
     use lynxstair::rng::Rng;
     use lynxstair::types::{Span, Time};
-    use lynxstair_trailbook::configuration::Tenant;
-    use lynxstair_trailbook::words::Share;
+    use lynxstair_config::configuration::Tenant;
+    use lynxstair_protocol::messages::Share;
 
     use super::{Grant, Purse};
-    use crate::buckets::Buckets;
+    use lynxstair_routing::token_buckets::Buckets;
 
     /// What the operators' rule grants.
     const GRANT: Grant = Grant { window: Span::from_millis(5000), requests: 20.0, over: 0.1 };
--- a/crates/ridge/tests/orders.rs
+++ b/crates/control-state/tests/commands.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ciborium::cbor;
-use lynxstair_ridge::book::{Book, Change, Order, REMEMBERED, Ruling, identity};
+use lynxstair_control_state::config_store::{Book, Change, Order, REMEMBERED, Ruling, identity};
 
 const ROUTES: &str =
     r#"{"columns":["name","host","path-prefix","route-kind","service"],"rows":[["r","h","/","safe","s"]]}"#;
@@ -268,7 +268,7 @@
 }
 
 /// Each way in which the bench's operator spoils an order: refused with a 4xx, not acknowledged, and leaves no trace.
-/// The faults of the configuration itself stand in `crates/trailbook/tests/configuration.rs`, row by row.
+/// The faults of the configuration itself stand in `crates/config/tests/configuration.rs`, row by row.
 #[test]
 fn spoiled_orders_are_refused() {
     let book = take(&take(&Book::default(), &put(3, 0, "")), &put(7, 3, ""));
--- a/crates/ridge/tests/feed.rs
+++ b/crates/control-state/tests/config_feed.rs
@@ -2,8 +2,8 @@
 //! either way.
 
 use lynxstair::types::Time;
-use lynxstair_ridge::book::{Book, Change, Order, Ruling};
-use lynxstair_ridge::feed::{Mirror, Sent, Steps};
+use lynxstair_control_state::config_feed::{Mirror, Sent, Steps};
+use lynxstair_control_state::config_store::{Book, Change, Order, Ruling};
 
 const ROUTE: &str = r#"["name","host","path-prefix","route-kind","service"]"#;
 
--- a/crates/ridge/tests/directory.rs
+++ b/crates/control-state/tests/directory.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use lynxstair::types::Time;
-use lynxstair_ridge::directory::Directory;
-use lynxstair_trailbook::words::{Edge, Readiness, Sighting};
+use lynxstair_control_state::directory::Directory;
+use lynxstair_protocol::messages::{Edge, Readiness, Sighting};
 
 fn at(ms: u64) -> Time {
     Time::from_nanos((100_000 + ms) * 1_000_000)
--- a/crates/ridge/tests/watch.rs
+++ b/crates/control-state/tests/failure_detector.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::register::Register;
-use lynxstair_ridge::watch::{Contact, Watch};
-use lynxstair_trailbook::words::{Life, Standing};
+use lynxstair_control_state::failure_detector::{Contact, Watch};
+use lynxstair_control_state::instance_registry::Register;
+use lynxstair_protocol::messages::{Life, Standing};
 
 const BEAT: Span = Span::from_millis(1_500);
 const WORKERS: u64 = 9;
--- a/crates/ridge/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 
 use lynxstair::types::Time;
-use lynxstair_ridge::book::{Book, Change, Order, Ruling};
-use lynxstair_ridge::feed::{Mirror, Steps};
+use lynxstair_control_state::config_feed::{Mirror, Steps};
+use lynxstair_control_state::config_store::{Book, Change, Order, Ruling};
 
 const FIRST: &str = r#"{"generation":"00000003","base-version":"00000000","note":"first",
     "routes":{"columns":["name","host","path-prefix","route-kind","service"],
--- a/crates/ridge/tests/huts.rs
+++ b/crates/control-state/tests/peer_set.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use lynxstair::types::Time;
-use lynxstair_ridge::huts::{Huts, MOST};
+use lynxstair_control_state::peer_set::{Huts, MOST};
 
 fn at(ms: u64) -> Time {
     Time::from_nanos((100_000 + ms) * 1_000_000)
--- a/crates/ridge/tests/purse.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -1,9 +1,9 @@
 //! The purse, when a gatekeeper comes back that was out of reach.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::purse::{Grant, Purse};
-use lynxstair_trailbook::configuration::Tenant;
-use lynxstair_trailbook::words::{Count, Share};
+use lynxstair_config::configuration::Tenant;
+use lynxstair_control_state::quota_allocator::{Grant, Purse};
+use lynxstair_protocol::messages::{Count, Share};
 
 const GRANT: Grant = Grant { window: Span::from_millis(5_000), requests: 20.0, over: 0.1 };
 const GATEKEEPERS: u32 = 11;
--- a/crates/ridge/tests/stack.rs
+++ b/crates/control-state/tests/stack.rs
@@ -3,8 +3,8 @@
 use std::thread;
 
 use lynxstair::types::Time;
-use lynxstair_ridge::book::{Book, Change, Order, Ruling};
-use lynxstair_ridge::feed::{Mirror, Steps};
+use lynxstair_control_state::config_feed::{Mirror, Steps};
+use lynxstair_control_state::config_store::{Book, Change, Order, Ruling};
 
 const STACK: usize = 128 << 10;
 
--- a/crates/hut/examples/state.rs
+++ b/crates/controller/examples/state.rs
@@ -1,16 +1,16 @@
 //! What one change of the book costs, by the size of its state: time, bytes, disk, memory. One size a run, so that the
 //! peak of memory is its own:
 //!
-//!     cargo run --profile trail -p lynxstair-hut --example state -- KILOBYTES [CHANGES]
+//!     cargo run --profile system -p lynxstair-controller --example state -- KILOBYTES [CHANGES]
 
 use std::time::Instant;
 
 use lynxstair::types::Time;
-use lynxstair_cairn::Record;
-use lynxstair_ridge::book::{Book, Change, Order, Ruling};
-use lynxstair_ridge::feed::{Mirror, Steps};
-use lynxstair_trailbook::agreement::State;
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_consensus::Record;
+use lynxstair_control_state::config_feed::{Mirror, Steps};
+use lynxstair_control_state::config_store::{Book, Change, Order, Ruling};
+use lynxstair_protocol::consensus::State;
+use lynxstair_protocol::messages::Bytes;
 use store::{Sqlite, Store};
 
 #[path = "../src/store.rs"]
--- a/crates/hut/src/agreement.rs
+++ b/crates/controller/src/agreement.rs
@@ -5,12 +5,12 @@
 
 use log::{info, warn};
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::{Do, Node};
-use lynxstair_ridge::book::Book;
-use lynxstair_ridge::feed::Steps;
-use lynxstair_trailbook::agreement::Member;
-use lynxstair_trailbook::words::Up;
-use lynxstair_wire::alarms::Alarms;
+use lynxstair_consensus::{Do, Node};
+use lynxstair_control_state::config_feed::Steps;
+use lynxstair_control_state::config_store::Book;
+use lynxstair_net::alarms::Alarms;
+use lynxstair_protocol::consensus::Member;
+use lynxstair_protocol::messages::Up;
 use may::sync::Blocker;
 
 use crate::aside::MOST_AT_ONCE;
--- a/crates/hut/src/control.rs
+++ b/crates/controller/src/control.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use lynxstair_ridge::book::Change;
-use lynxstair_trailbook::agreement::Member;
-use lynxstair_trailbook::values::{self, Value};
-use lynxstair_wire::calls::{Call, Reply};
+use lynxstair_config::json::{self, Value};
+use lynxstair_control_state::config_store::Change;
+use lynxstair_net::calls::{Call, Reply};
+use lynxstair_protocol::consensus::Member;
 
 use crate::hut::Hut;
 
@@ -59,7 +59,7 @@
 }
 
 pub fn error(status: u16, why: &str) -> Reply {
-    let why = values::Value::String(why.to_string()).stringify().unwrap_or_default();
+    let why = json::Value::String(why.to_string()).stringify().unwrap_or_default();
     Reply::json(status, format!(r#"{{"error":{why}}}"#))
 }
 
--- a/crates/hut/src/directory.rs
+++ b/crates/controller/src/directory.rs
@@ -1,9 +1,9 @@
 //! The directory: where clients may come in. Each hut tells the others which gatekeepers follow it.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::directory::Directory;
-use lynxstair_trailbook::words::Up;
-use lynxstair_wire::calls::{Call, Reply};
+use lynxstair_control_state::directory::Directory;
+use lynxstair_net::calls::{Call, Reply};
+use lynxstair_protocol::messages::Up;
 
 use crate::control::unsettled;
 use crate::hut::{Hut, Rooms};
--- a/crates/hut/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -7,7 +7,7 @@
 
 use log::{info, warn};
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::Record;
+use lynxstair_consensus::Record;
 
 use crate::hut::Hut;
 use crate::store::Store;
--- a/crates/hut/src/feed.rs
+++ b/crates/controller/src/feed.rs
@@ -5,12 +5,12 @@
 
 use log::info;
 use lynxstair::types::{Span, Time};
-use lynxstair_lines as lines;
-use lynxstair_ridge::feed::Sent;
-use lynxstair_ridge::purse::{Grant, Purse};
-use lynxstair_trailbook::settings::Bounds;
-use lynxstair_trailbook::words::{Bytes, Down, Edge, Ping, Readiness};
-use lynxstair_wire::conn::Conn;
+use lynxstair_config::settings::Bounds;
+use lynxstair_control_state::config_feed::Sent;
+use lynxstair_control_state::quota_allocator::{Grant, Purse};
+use lynxstair_net::conn::Conn;
+use lynxstair_protocol::messages::{Bytes, Down, Edge, Ping, Readiness};
+use lynxstair_transport as lines;
 
 use crate::agreement::Committed;
 use crate::hut::{Hut, MOST_UNSENT, Rooms};
--- a/crates/hut/src/first_shape.rs
+++ b/crates/controller/src/first_shape.rs
@@ -3,9 +3,9 @@
 
 use std::net::SocketAddr;
 
-use lynxstair_cairn::Record;
-use lynxstair_trailbook::agreement::{LogId, Member, State};
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_consensus::Record;
+use lynxstair_protocol::consensus::{LogId, Member, State};
+use lynxstair_protocol::messages::Bytes;
 use rusqlite::{Connection, OptionalExtension};
 use serde::Deserialize;
 
--- a/crates/hut/src/inner.rs
+++ b/crates/controller/src/inner.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use lynxstair_lines as lines;
-use lynxstair_trailbook::words::Up;
-use lynxstair_wire::conn::Conn;
-use lynxstair_wire::coroutine::go_then;
+use lynxstair_net::conn::Conn;
+use lynxstair_net::coroutine::go_then;
+use lynxstair_protocol::messages::Up;
+use lynxstair_transport as lines;
 
 use crate::hut::Hut;
 
--- a/crates/hut/src/lives.rs
+++ b/crates/controller/src/lives.rs
@@ -2,11 +2,11 @@
 
 use log::info;
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::register::Register;
-use lynxstair_ridge::watch::{Answer, Contact, Watch};
-use lynxstair_trailbook::values;
-use lynxstair_trailbook::words::{Down, Life, Standing, Up};
-use lynxstair_wire::calls::Reply;
+use lynxstair_config::json;
+use lynxstair_control_state::failure_detector::{Answer, Contact, Watch};
+use lynxstair_control_state::instance_registry::Register;
+use lynxstair_net::calls::Reply;
+use lynxstair_protocol::messages::{Down, Life, Standing, Up};
 
 use crate::control::error;
 use crate::hut::{Hut, Rooms};
@@ -129,12 +129,12 @@
     }
 }
 
-fn read_life(id: &str, body: &[u8]) -> Result<Life, values::Fault> {
-    let value = values::read(body)?;
-    let all = values::object(&value, "body")?;
-    let text = |key: &str| values::needed(all, key, "").and_then(|v| values::text(v, key));
-    let number = |key: &str| values::at(all, key).map_or(Ok(0.0), |v| values::number(v, key));
-    let Ok(address) = text("address")?.parse() else { return values::fault("address", "not an address") };
+fn read_life(id: &str, body: &[u8]) -> Result<Life, json::Fault> {
+    let value = json::read(body)?;
+    let all = json::object(&value, "body")?;
+    let text = |key: &str| json::needed(all, key, "").and_then(|v| json::text(v, key));
+    let number = |key: &str| json::at(all, key).map_or(Ok(0.0), |v| json::number(v, key));
+    let Ok(address) = text("address")?.parse() else { return json::fault("address", "not an address") };
     let standing = match text("state")? {
         "draining" => Standing::Draining,
         _ => Standing::Ready,
--- a/crates/hut/src/orders.rs
+++ b/crates/controller/src/orders.rs
@@ -7,8 +7,8 @@
 
 use log::info;
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::book::{Change, Order, Ruling};
-use lynxstair_wire::calls::{Call, Reply};
+use lynxstair_control_state::config_store::{Change, Order, Ruling};
+use lynxstair_net::calls::{Call, Reply};
 use may::sync::Blocker;
 
 use crate::agreement::Answer;
--- a/crates/hut/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -5,12 +5,12 @@
 
 use log::info;
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::Node;
-use lynxstair_lines as lines;
-use lynxstair_ridge::huts::{DEAF, Huts};
-use lynxstair_trailbook::words::{Down, Up};
-use lynxstair_wire::conn::Conn;
-use lynxstair_wire::coroutine::go;
+use lynxstair_consensus::Node;
+use lynxstair_control_state::peer_set::{DEAF, Huts};
+use lynxstair_net::conn::Conn;
+use lynxstair_net::coroutine::go;
+use lynxstair_protocol::messages::{Down, Up};
+use lynxstair_transport as lines;
 
 use crate::hut::{Hut, MOST_UNSENT, Rooms};
 
--- a/crates/hut/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,4 +1,4 @@
-//! Where a core keeps its record: in SQLite, synced before it counts. `crates/hut/tests/store.rs` holds the contract of
+//! Where a core keeps its record: in SQLite, synced before it counts. `crates/controller/tests/store.rs` holds the contract of
 //! every store, and what of it a loss of power may leave.
 
 use std::fs::{self, File};
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 
 use log::warn;
-use lynxstair_cairn::Record;
-use lynxstair_trailbook::digest;
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_consensus::Record;
+use lynxstair_protocol::digest;
+use lynxstair_protocol::messages::Bytes;
 use rusqlite::{Connection, ErrorCode, OptionalExtension, params};
 
 #[path = "first_shape.rs"]
--- a/crates/hut/tests/command.rs
+++ b/crates/controller/tests/command.rs
@@ -13,7 +13,7 @@
         (&["--loud"], "--loud"),
     ];
     for (args, wanted) in cases {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_lynxstair-hut"));
+        let mut child = Command::new(env!("CARGO_BIN_EXE_lynxstair-controller"));
         let out = child.args(args).env("LYNXSTAIR_BOOT", &path).output().expect("ran");
         let said = String::from_utf8_lossy(&out.stderr);
         assert!(out.status.code() == Some(2) && said.contains(wanted), "{args:?}: {:?} {said}", out.status);
--- a/crates/hut/tests/core.rs
+++ b/crates/controller/tests/core.rs
@@ -7,10 +7,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use lynxstair_standins::{Message, PATIENCE, until};
-use lynxstair_trailbook::frames;
-use lynxstair_trailbook::values::{self, Object, Value};
-use lynxstair_trailbook::words::{Down, Edge, Ping, Readiness, Up};
+use lynxstair_config::json::{self, Object, Value};
+use lynxstair_fakes::{Message, PATIENCE, until};
+use lynxstair_protocol::frames;
+use lynxstair_protocol::messages::{Down, Edge, Ping, Readiness, Up};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use tempfile::TempDir;
@@ -84,9 +84,9 @@
     fn settle(&self, n: usize, seeds: &[usize], bootstrap: bool) -> std::path::PathBuf {
         let own = self.at(n);
         let seeds: String = seeds.iter().map(|s| format!("  - \"{}\"\n", self.at(*s))).collect();
-        let data = self.folder.path().join(format!("hut{n}"));
+        let data = self.folder.path().join(format!("controller{n}"));
         let text = format!(
-            "node-name: \"hut{n}\"\nip: \"{}\"\nzone: \"z1\"\nregion: \"r1\"\nzones:\n  z1: \"r1\"\nbind:\n  \
+            "node-name: \"controller{n}\"\nip: \"{}\"\nzone: \"z1\"\nregion: \"r1\"\nzones:\n  z1: \"r1\"\nbind:\n  \
              control: \"{own}\"\n  directory: \"{}\"\nport-range:\n  - 7460\n  - 7475\nseeds:\n{seeds}\
              bootstrap: {bootstrap}\nlimits:\n  memory-mb: 64\n  max-fds: 900\nfault-budget:\n  machines: 1\n\
              data-dir: \"{}\"\nbeat-period-s: 0.3\n",
@@ -94,7 +94,8 @@
             self.board(n),
             data.display()
         );
-        let (new, file) = (self.folder.path().join("new"), self.folder.path().join(format!("hut{n}.yaml")));
+        let (new, file) =
+            (self.folder.path().join("new"), self.folder.path().join(format!("controller{n}.yaml")));
         std::fs::write(&new, text).expect("written");
         std::fs::rename(&new, &file).expect("renamed");
         file
@@ -102,7 +103,7 @@
 
     fn start(&mut self, n: usize, seeds: &[usize], bootstrap: bool) {
         let file = self.settle(n, seeds, bootstrap);
-        let child = Command::new(env!("CARGO_BIN_EXE_lynxstair-hut"))
+        let child = Command::new(env!("CARGO_BIN_EXE_lynxstair-controller"))
             .env("LYNXSTAIR_BOOT", &file)
             .stderr(self.log(n))
             .spawn()
@@ -125,14 +126,14 @@
     /// What a hut says of itself.
     fn status(&self, n: usize) -> Option<Object> {
         let message = call(self.at(n), "GET /status", "")?;
-        match values::read(&message.body) {
+        match json::read(&message.body) {
             Ok(Value::Object(all)) => Some(all),
             _ => None,
         }
     }
 
     fn says(&self, n: usize, key: &str) -> String {
-        let value = self.status(n).and_then(|all| values::at(&all, key).cloned());
+        let value = self.status(n).and_then(|all| json::at(&all, key).cloned());
         value.and_then(|v| v.stringify().ok()).unwrap_or_default()
     }
 
@@ -307,7 +308,7 @@
     let mut child = core.huts.remove(&lost).expect("runs");
     child.kill().expect("killed");
     child.wait().expect("ended");
-    let disk = core.folder.path().join(format!("hut{lost}"));
+    let disk = core.folder.path().join(format!("controller{lost}"));
     std::fs::write(disk.join("book.sqlite"), "no database at all".repeat(500)).expect("spoiled");
     std::fs::remove_file(disk.join("book.sqlite-wal")).expect("its log, which holds all by itself");
     core.start(lost, &[1, 2, 3], true);
@@ -321,7 +322,7 @@
         (message.status() == 200).then_some(message.body)
     });
     let text = String::from_utf8(read).expect("text");
-    assert!(values::read(text.as_bytes()).is_ok() && text.len() > 64 << 10, "{} bytes", text.len());
+    assert!(json::read(text.as_bytes()).is_ok() && text.len() > 64 << 10, "{} bytes", text.len());
     assert!(text.contains("\"r1199\"") && !text.contains("\"r1\"") && text.contains("00000007"));
 }
 
--- a/crates/hut/tests/store.rs
+++ b/crates/controller/tests/store.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use lynxstair_cairn::Record;
-use lynxstair_trailbook::agreement::{LogId, Member, State};
-use lynxstair_trailbook::words::Bytes;
+use lynxstair_consensus::Record;
+use lynxstair_protocol::consensus::{LogId, Member, State};
+use lynxstair_protocol::messages::Bytes;
 use store::{Memory, Not, Sqlite, Store};
 
 #[path = "../src/store.rs"]
--- a/crates/desk/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,7 +16,7 @@
     Span, Time, TimerTag, Wake, WorkerId,
 };
 
-use lynxstair_wire::log;
+use lynxstair_net::log;
 
 /// Timers come late by no more than this part of their span.
 const LATE_PART: u64 = 16;
--- a/crates/emulator/src/core/deliberate.rs
+++ b/crates/emulator/src/core/deliberate.rs
@@ -2,7 +2,7 @@
 //! them found by a judge; a fault that none finds is a hole in the judges.
 
 #[cfg(feature = "deliberate-faults")]
-use lynxstair_cairn::Fault;
+use lynxstair_consensus::Fault;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deliberate {
--- a/crates/emulator/src/core/disk.rs
+++ b/crates/emulator/src/core/disk.rs
@@ -2,8 +2,8 @@
 //! only what was synced outlives a loss of power for sure.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::Record;
-use lynxstair_trailbook::words::Life;
+use lynxstair_consensus::Record;
+use lynxstair_protocol::messages::Life;
 
 /// A write that the disk refused is tried again after so long.
 const REFUSED: Span = Span::from_millis(50);
--- a/crates/emulator/src/core/edge.rs
+++ b/crates/emulator/src/core/edge.rs
@@ -4,14 +4,14 @@
 use std::collections::BTreeSet;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::feed::Mirror;
-use lynxstair_ridge::register::Register;
-use lynxstair_ridge::trust::Trust;
-use lynxstair_trailbook::words::{Down, Standing};
+use lynxstair_control_state::config_feed::Mirror;
+use lynxstair_control_state::instance_registry::Register;
+use lynxstair_protocol::messages::{Down, Standing};
+use lynxstair_routing::config_lease::Trust;
 
 use super::histories::Version;
 
-/// As in `crates/pass`.
+/// As in `crates/proxy`.
 const FRESH: Span = Span::from_millis(3_000);
 
 #[derive(Default)]
--- a/crates/emulator/src/core/hut.rs
+++ b/crates/emulator/src/core/hut.rs
@@ -1,23 +1,23 @@
 //! A hut's process: the rooms that the real one holds (agreement, book, watch over the workers) tied together as
-//! `crates/hut` ties them, without its sockets. What it wants done comes out as values.
+//! `crates/controller` ties them, without its sockets. What it wants done comes out as values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::{Boot, Cairn, Do, Record};
-use lynxstair_ridge::book::{Book, Change, Order as Read, Ruling};
-use lynxstair_ridge::feed::{Sent, Steps};
-use lynxstair_ridge::register::Register;
-use lynxstair_ridge::watch::{Contact, Watch};
-use lynxstair_trailbook::agreement::Message;
-use lynxstair_trailbook::values;
-use lynxstair_trailbook::words::{Bytes, Down, Life};
+use lynxstair_config::json;
+use lynxstair_consensus::{Boot, Cairn, Do, Record};
+use lynxstair_control_state::config_feed::{Sent, Steps};
+use lynxstair_control_state::config_store::{Book, Change, Order as Read, Ruling};
+use lynxstair_control_state::failure_detector::{Contact, Watch};
+use lynxstair_control_state::instance_registry::Register;
+use lynxstair_protocol::consensus::Message;
+use lynxstair_protocol::messages::{Bytes, Down, Life};
 
 use super::deliberate::Deliberate;
 use super::histories::Version;
 
-/// As in `crates/hut`: how long a call may wait for the majority.
+/// As in `crates/controller`: how long a call may wait for the majority.
 const PATIENCE: Span = Span::from_millis(850);
 /// A lease, where a deliberate fault answers by one.
 const LEASE: Span = Span::from_millis(2_500);
@@ -368,8 +368,8 @@
 
 /// What a reader of the book sees: its number, and which change made it.
 pub(crate) fn version(book: &Book) -> Option<Version> {
-    let value = values::read(book.text()?.as_bytes()).ok()?;
-    let all = values::object(&value, "book").ok()?;
-    let mark = values::at(all, "mark").and_then(|v| values::number(v, "mark").ok())?;
+    let value = json::read(book.text()?.as_bytes()).ok()?;
+    let all = json::object(&value, "book").ok()?;
+    let mark = json::at(all, "mark").and_then(|v| json::number(v, "mark").ok())?;
     Some((book.generation, mark as u32))
 }
--- a/crates/emulator/src/core/operators.rs
+++ b/crates/emulator/src/core/operators.rs
@@ -2,7 +2,7 @@
 //! now and then once more after that.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::book::Change;
+use lynxstair_control_state::config_store::Change;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/emulator/src/core/workers.rs
+++ b/crates/emulator/src/core/workers.rs
@@ -2,7 +2,7 @@
 //! or dies without a word; another life follows.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::words::{Life, Standing};
+use lynxstair_protocol::messages::{Life, Standing};
 
 use super::hut::Ask;
 
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_cairn::Boot;
-use lynxstair_trailbook::agreement::Message;
-use lynxstair_trailbook::words::{Bytes, Down, Life};
+use lynxstair_consensus::Boot;
+use lynxstair_protocol::consensus::Message;
+use lynxstair_protocol::messages::{Bytes, Down, Life};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ownership::{
+use lynxstair_leases::{
     Broken, Came, Do, Epoch, Event, ForHolder, Holder, HolderStart, Image, Phase, Record, Start, Times,
     Voter, Wants,
 };
--- a/crates/emulator/tests/core.rs
+++ b/crates/emulator/tests/core.rs
@@ -4,7 +4,7 @@
 use lynxstair::types::Time;
 use lynxstair_emulator::core::histories::{Asked, Call, Told, linearizable};
 use lynxstair_emulator::core::{Deliberate, Judge, Story, play};
-use lynxstair_ridge::tries::{Heard, Met, Step, Try, Whose};
+use lynxstair_routing::attempt::{Heard, Met, Step, Try, Whose};
 use rayon::prelude::*;
 
 /// A call from one millisecond to another.
--- a/crates/emulator/tests/ownership.rs
+++ b/crates/emulator/tests/ownership.rs
@@ -5,7 +5,7 @@
 
 use lynxstair::types::Span;
 use lynxstair_emulator::owners::{DUTY, Owners, OwnersPlan};
-use lynxstair_ownership::{Answer, Broken, Came, Epoch, Event, Phase, Wants};
+use lynxstair_leases::{Answer, Broken, Came, Epoch, Event, Phase, Wants};
 use rayon::prelude::*;
 
 fn ms(n: u64) -> Span {
--- a/crates/export/src/lib.rs
+++ b/crates/export/src/lib.rs
@@ -1,5 +1,5 @@
 //! Units of use on their way from the gatekeepers to a sink, once and only once. No input, output, clock or
-//! thread: `crates/fleet` does those, `crates/standins` has a sink.
+//! thread: `crates/cluster` does those, `crates/fakes` has a sink.
 //!
 //! Each gatekeeper writes a [`Use`] down before it hands a succeeded answer to its client, seals what it wrote
 //! into numbered [`Batch`]es, and lets go of one only once the sink has it. The owner of the duty `export`
--- a/crates/standins/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair_export::{Batch, Mark, Says, Shelf};
-use lynxstair_ledger::Ledger;
+use lynxstair_record_log::Ledger;
 use serde::{Deserialize, Serialize};
 
 use crate::load::mono;
--- a/crates/trial/src/file.rs
+++ b/crates/fault-injection/src/file.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use lynxstair_fleet::{DUTIES, Invalid};
+use lynxstair_cluster::{DUTIES, Invalid};
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
--- a/crates/trial/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use lynxstair_export::Says;
-use lynxstair_standins::{Answered, Delivered, Landed};
+use lynxstair_fakes::{Answered, Delivered, Landed};
 use serde::Serialize;
 use serde_json::Value;
 
--- a/crates/trial/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -15,12 +15,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use lynxstair_cluster::DUTIES;
+use lynxstair_cluster::protocol::{Answer, Ask};
 use lynxstair_export::Says;
-use lynxstair_fleet::DUTIES;
-use lynxstair_fleet::protocol::{Answer, Ask};
+use lynxstair_fakes::{Load, Message, Plan, Sink, ask, config_named, free_port, mono};
+use lynxstair_leases::{DutySeen, Hold};
 use lynxstair_membership::{Broken, Phase, State};
-use lynxstair_ownership::{DutySeen, Hold};
-use lynxstair_standins::{Load, Message, Plan, Sink, ask, config_named, free_port, mono};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
@@ -71,7 +71,7 @@
     /// Histories, logs and records are left in a folder of the trial's name in here; none: nothing is left.
     pub keep: Option<&'a Path>,
     pub broken: Broken,
-    pub broken_ownership: lynxstair_ownership::Broken,
+    pub broken_ownership: lynxstair_leases::Broken,
     /// Told to stop from outside.
     pub stop: &'a AtomicBool,
 }
@@ -809,14 +809,14 @@
 
 /// What a member answers: its phase, and whom it sees as there.
 fn status(addr: SocketAddrV4) -> Option<(Phase, BTreeSet<String>)> {
-    let Answer::Status { view, .. } = lynxstair_fleet::ask(addr, &Ask::Status).ok()? else { return None };
+    let Answer::Status { view, .. } = lynxstair_cluster::ask(addr, &Ask::Status).ok()? else { return None };
     let there = view.members.iter().filter(|m| matches!(m.state, State::Alive | State::Suspected));
     Some((view.phase, there.map(|m| m.name.as_str().to_string()).collect()))
 }
 
 /// What a member is with each duty.
 fn duties(addr: SocketAddrV4) -> Option<Vec<DutySeen>> {
-    match lynxstair_fleet::ask(addr, &Ask::Own).ok()? {
+    match lynxstair_cluster::ask(addr, &Ask::Own).ok()? {
         Answer::Own { duties, .. } => Some(duties),
         _ => None,
     }
--- a/crates/gatekeeper/src/clients.rs
+++ b/crates/gatekeeper/src/clients.rs
@@ -13,11 +13,11 @@
 
 use crate::program::Gate;
 use crate::workers::Link;
-use lynxstair_desk::{Final, Pick};
-use lynxstair_wire::conn::{Conn, Got, Ring};
-use lynxstair_wire::coroutine::go_then;
-use lynxstair_wire::http::{self, Bad, Call, Extent, MOST_BODY, MOST_MESSAGE};
-use lynxstair_wire::log;
+use lynxstair_dispatch::{Final, Pick};
+use lynxstair_net::conn::{Conn, Got, Ring};
+use lynxstair_net::coroutine::go_then;
+use lynxstair_net::http::{self, Bad, Call, Extent, MOST_BODY, MOST_MESSAGE};
+use lynxstair_net::log;
 
 /// A connection brings its first invocation within so long, and a message is whole so long after its first byte:
 /// who sends nothing, or half a message, takes up no place.
@@ -583,7 +583,7 @@
     use lynxstair_settings::Bounds;
 
     use super::{IDLE_TIME, Stage, State, is_over, weight};
-    use lynxstair_wire::http::{Bad, Extent};
+    use lynxstair_net::http::{Bad, Extent};
 
     fn at(s: u64) -> Time {
         Time::from_nanos(s * 1_000_000_000)
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -9,11 +9,11 @@
 use lynxstair::types::{CountName, Outcome, Span, Time};
 
 use crate::program::Gate;
-use lynxstair_desk::Count;
-use lynxstair_wire::conn::{Conn, Got};
-use lynxstair_wire::coroutine::go_then;
-use lynxstair_wire::http::{self, MOST_MESSAGE, Stop};
-use lynxstair_wire::log;
+use lynxstair_dispatch::Count;
+use lynxstair_net::conn::{Conn, Got};
+use lynxstair_net::coroutine::go_then;
+use lynxstair_net::http::{self, MOST_MESSAGE, Stop};
+use lynxstair_net::log;
 
 /// A call that took so many times the counter's time limit gets no answer any more. A late total is no failure.
 const GIVEN_UP: f64 = 20.0;
--- a/crates/gatekeeper/src/discovery.rs
+++ b/crates/gatekeeper/src/discovery.rs
@@ -10,10 +10,10 @@
 use serde::Deserialize;
 
 use crate::program::Gate;
-use lynxstair_wire::conn::{Conn, Got};
-use lynxstair_wire::coroutine::go;
-use lynxstair_wire::http;
-use lynxstair_wire::log;
+use lynxstair_net::conn::{Conn, Got};
+use lynxstair_net::coroutine::go;
+use lynxstair_net::http;
+use lynxstair_net::log;
 
 /// A line comes every two seconds, empty where nothing changed: silence for longer is a broken watch.
 const SILENT: Span = Span::from_millis(3_500);
--- a/crates/gatekeeper/src/program.rs
+++ b/crates/gatekeeper/src/program.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, OnceLock};
 
 use lynxstair::types::{Outcome, Span, Time};
-use lynxstair_fleet::{Side, Uses};
+use lynxstair_cluster::{Side, Uses};
 use lynxstair_settings::{Bounds, Names};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -17,12 +17,12 @@
 use crate::counter::Counter;
 use crate::discovery::Discovery;
 use crate::workers::Workers;
-use lynxstair_desk::Desk;
-use lynxstair_wire::clock::Clock;
-use lynxstair_wire::conn::bound_buffers;
-use lynxstair_wire::coroutine::{go, prepare};
-use lynxstair_wire::log;
-use lynxstair_wire::ticker::Ticker;
+use lynxstair_dispatch::Desk;
+use lynxstair_net::clock::Clock;
+use lynxstair_net::conn::bound_buffers;
+use lynxstair_net::coroutine::{go, prepare};
+use lynxstair_net::log;
+use lynxstair_net::ticker::Ticker;
 
 /// After SIGTERM clients go on connecting for so long, as they learn of it late.
 const GRACE: Span = Span::from_millis(600);
@@ -197,7 +197,7 @@
     pub fn start(fleet: Option<&Path>) -> Result<Self, String> {
         prepare();
         let config = config::read()?;
-        let fleet = fleet.map(lynxstair_fleet::Config::read).transpose().map_err(|e| e.to_string())?;
+        let fleet = fleet.map(lynxstair_cluster::Config::read).transpose().map_err(|e| e.to_string())?;
         let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
         let gate = Arc::new(gate(&config)?);
         gate.discovery.take(&gate, &config.known, true);
--- a/crates/gatekeeper/src/workers.rs
+++ b/crates/gatekeeper/src/workers.rs
@@ -10,11 +10,11 @@
 
 use crate::clients::Client;
 use crate::program::Gate;
-use lynxstair_desk::{self as desk, GiveUp, Next};
-use lynxstair_wire::conn::{Conn, Got, Ring};
-use lynxstair_wire::coroutine::go_then;
-use lynxstair_wire::http::{self, Extent, MOST_BODY, MOST_MESSAGE, Stop};
-use lynxstair_wire::log;
+use lynxstair_dispatch::{self as desk, GiveUp, Next};
+use lynxstair_net::conn::{Conn, Got, Ring};
+use lynxstair_net::coroutine::go_then;
+use lynxstair_net::http::{self, Extent, MOST_BODY, MOST_MESSAGE, Stop};
+use lynxstair_net::log;
 
 pub type Order = desk::Order<Arc<Client>>;
 
--- a/crates/gatekeeper/tests/support/mod.rs
+++ b/crates/gatekeeper/tests/support/mod.rs
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub use lynxstair_standins::{
+pub use lynxstair_fakes::{
     Counter, Discovery, Does, Message, Seen, ask, config, counter, counter_that_says, discovery, member, text,
 };
-use lynxstair_standins::{free_port, worker};
+use lynxstair_fakes::{free_port, worker};
 
 pub struct World {
     pub addr: SocketAddr,
--- a/crates/ownership/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -3,7 +3,7 @@
 //! A few voters keep a small record together (by `raft`): duty, owner, epoch. [`Voter`] is one of them,
 //! [`Holder`] is the side of a member that stands for duties and asks. Both are told the time and what was
 //! heard, and hand back what to send, what to write and when to wake them; they open nothing, ask no clock and
-//! start no thread. Called by `crates/fleet` on sockets and by `crates/emulator`; they name neither.
+//! start no thread. Called by `crates/cluster` on sockets and by `crates/emulator`; they name neither.
 //!
 //! Safe by epochs: each owner has a higher one than all before, and whoever takes an effect refuses a lower one
 //! than it saw. Live by leases: they spare wasted work, and nothing is safe only because of them.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Room`] is told the time and the datagrams that came, and hands back what to send, what to write down and
 //! when to wake it. It opens nothing, asks no clock and starts no thread, so the same code runs in a
-//! gatekeeper, on a virtual clock with thousands of members and under a checker. Called by `crates/fleet` on
+//! gatekeeper, on a virtual clock with thousands of members and under a checker. Called by `crates/cluster` on
 //! sockets and by `crates/emulator`; it names neither.
 //!
 //! What it answers is "as seen from here", never "agreed". Nothing may be safe only because it is right.
--- a/crates/wire/tests/calls.rs
+++ b/crates/net/tests/calls.rs
@@ -4,10 +4,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use lynxstair_wire::alarms::Alarms;
-use lynxstair_wire::calls::{self, Call, Most, Reply};
-use lynxstair_wire::clock::Clock;
-use lynxstair_wire::coroutine::{go, prepare};
+use lynxstair_net::alarms::Alarms;
+use lynxstair_net::calls::{self, Call, Most, Reply};
+use lynxstair_net::clock::Clock;
+use lynxstair_net::coroutine::{go, prepare};
 
 /// More than sockets on loopback hold.
 const LONG: usize = 16 << 20;
--- a/crates/trailbook/src/agreement.rs
+++ b/crates/protocol/src/consensus.rs
@@ -1,4 +1,4 @@
-//! The messages by which the huts agree on the book, and what they agree on. `crates/cairn` decides, `crates/hut`
+//! The messages by which the huts agree on the book, and what they agree on. `crates/consensus` decides, `crates/controller`
 //! carries them. No message holds a time of day: what one hut knows of another's clock it has from an echo of its
 //! own.
 
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::words::Bytes;
+use crate::messages::Bytes;
 
 /// A place in the order of all states: the term that a state was written in, then its index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/trailbook/src/words.rs
+++ b/crates/protocol/src/messages.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::Message;
+use crate::consensus::Message;
 
 /// Bytes that are handed on without being looked at.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/trailbook/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use lynxstair_trailbook::agreement::{LogId, Member, Message, State};
-use lynxstair_trailbook::frames;
-use lynxstair_trailbook::words::{
+use lynxstair_protocol::consensus::{LogId, Member, Message, State};
+use lynxstair_protocol::frames;
+use lynxstair_protocol::messages::{
     Bytes, Count, Down, Edge, Life, Ping, Readiness, Share, Sighting, Standing, Up,
 };
 use serde::Serialize;
--- a/crates/pass/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_wire::calls;
-use lynxstair_wire::conn::{Conn, Got, Ring};
-use lynxstair_wire::coroutine::go_then;
-use lynxstair_wire::http::{self, Bad, Extent, MOST_HEAD};
+use lynxstair_net::calls;
+use lynxstair_net::conn::{Conn, Got, Ring};
+use lynxstair_net::coroutine::go_then;
+use lynxstair_net::http::{self, Bad, Extent, MOST_HEAD};
 use may::io::CoIo;
 use may::sync::Blocker;
 
--- a/crates/pass/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -7,12 +7,12 @@
 
 use log::{info, warn};
 use lynxstair::types::{Span, Time};
-use lynxstair_lines as lines;
-use lynxstair_ridge::huts::Huts;
-use lynxstair_trailbook::settings::Reload;
-use lynxstair_trailbook::words::{Count, Down, Ping, Readiness, Up};
-use lynxstair_wire::conn::Conn;
-use lynxstair_wire::coroutine::go;
+use lynxstair_config::settings::Reload;
+use lynxstair_control_state::peer_set::Huts;
+use lynxstair_net::conn::Conn;
+use lynxstair_net::coroutine::go;
+use lynxstair_protocol::messages::{Count, Down, Ping, Readiness, Up};
+use lynxstair_transport as lines;
 
 use crate::road::Road;
 use crate::rooms::Rooms;
--- a/crates/pass/src/road.rs
+++ b/crates/proxy/src/road.rs
@@ -5,13 +5,13 @@
 
 use log::info;
 use lynxstair::types::Span;
-use lynxstair_trailbook::settings::Settings;
-use lynxstair_trailbook::words::Edge;
-use lynxstair_wire::alarms::Alarms;
-use lynxstair_wire::calls::{self, Call, Most, Reply};
-use lynxstair_wire::clock::Clock;
-use lynxstair_wire::conn::bound_buffers;
-use lynxstair_wire::coroutine::{go, prepare};
+use lynxstair_config::settings::Settings;
+use lynxstair_net::alarms::Alarms;
+use lynxstair_net::calls::{self, Call, Most, Reply};
+use lynxstair_net::clock::Clock;
+use lynxstair_net::conn::bound_buffers;
+use lynxstair_net::coroutine::{go, prepare};
+use lynxstair_protocol::messages::Edge;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
--- a/crates/pass/src/rooms.rs
+++ b/crates/proxy/src/rooms.rs
@@ -5,18 +5,18 @@
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Outcome, Span, Time};
-use lynxstair_ridge::buckets::Buckets;
-use lynxstair_ridge::budget::Budget;
-use lynxstair_ridge::cold::{Cold, Tidings};
-use lynxstair_ridge::feed::{Mirror, Version};
-use lynxstair_ridge::ladder::{Ask, Ladder, Pick, Sent, Worker};
-use lynxstair_ridge::register::Register;
-use lynxstair_ridge::sharing::Sharing;
-use lynxstair_ridge::trust::Trust;
-use lynxstair_trailbook::configuration::Kind;
-use lynxstair_trailbook::settings::Settings;
-use lynxstair_trailbook::verdict::Verdict;
-use lynxstair_trailbook::words::Life;
+use lynxstair_config::configuration::Kind;
+use lynxstair_config::settings::Settings;
+use lynxstair_control_state::config_feed::{Mirror, Version};
+use lynxstair_control_state::instance_registry::Register;
+use lynxstair_protocol::messages::Life;
+use lynxstair_routing::config_lease::Trust;
+use lynxstair_routing::execution::Verdict;
+use lynxstair_routing::locality_balancer::{Ask, Ladder, Pick, Sent, Worker};
+use lynxstair_routing::proxy_counts::Sharing;
+use lynxstair_routing::retry_budget::Budget;
+use lynxstair_routing::slow_start::{Cold, Tidings};
+use lynxstair_routing::token_buckets::Buckets;
 
 /// When a client may come back to a gatekeeper that is not up to date, or knows no worker.
 const SOON: Span = Span::from_millis(300);
--- a/crates/pass/src/workers.rs
+++ b/crates/proxy/src/workers.rs
@@ -6,12 +6,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair::types::{Outcome, Span, Time};
-use lynxstair_ridge::ladder::Worker;
-use lynxstair_ridge::tries::{End, Heard, Met, State, Step, Stop as Why, Try, Whose};
-use lynxstair_trailbook::verdict::Verdict;
-use lynxstair_wire::alarms::Alarms;
-use lynxstair_wire::conn::{Conn, Got, Ring};
-use lynxstair_wire::http::{self, Bad, Extent, MOST_HEAD, Stop};
+use lynxstair_net::alarms::Alarms;
+use lynxstair_net::conn::{Conn, Got, Ring};
+use lynxstair_net::http::{self, Bad, Extent, MOST_HEAD, Stop};
+use lynxstair_routing::attempt::{End, Heard, Met, State, Step, Stop as Why, Try, Whose};
+use lynxstair_routing::execution::Verdict;
+use lynxstair_routing::locality_balancer::Worker;
 
 /// An answer up to this long is held until it is whole; a longer one is passed on as it comes.
 const HELD: usize = 64 << 10;
--- a/crates/pass/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_standins::{Message, PATIENCE, until};
+use lynxstair_fakes::{Message, PATIENCE, until};
 use tempfile::TempDir;
 
 struct System {
@@ -38,7 +38,7 @@
         let huts: Vec<SocketAddr> = (1..=3).map(|n| at(n, 8383)).collect();
         let folder = tempfile::tempdir().expect("a folder");
         let mut system = System { _folder: folder, huts, front: at(11, 8389), children: Vec::new() };
-        for (name, own) in [("hut1", 0), ("hut2", 1), ("hut3", 2), ("pass1", 3)] {
+        for (name, own) in [("controller1", 0), ("controller2", 1), ("controller3", 2), ("proxy1", 3)] {
             let own = system.huts.get(own).copied().unwrap_or(system.front);
             system.start_one(name, own);
         }
@@ -49,7 +49,7 @@
         let (kind, _) = name.split_at(name.len() - 1);
         let ip = own.ip();
         let bind = match kind {
-            "hut" => format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n"),
+            "controller" => format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n"),
             _ => format!("  front: \"{own}\"\n  readiness: \"{ip}:8384\"\n"),
         };
         let seeds: String = self.huts.iter().map(|h| format!("  - \"{h}\"\n")).collect();
@@ -63,7 +63,7 @@
         let file = folder.join(format!("{name}.yaml"));
         std::fs::write(&file, text).expect("written");
         let program =
-            Path::new(env!("CARGO_BIN_EXE_lynxstair-pass")).with_file_name(format!("lynxstair-{kind}"));
+            Path::new(env!("CARGO_BIN_EXE_lynxstair-proxy")).with_file_name(format!("lynxstair-{kind}"));
         assert!(program.exists(), "{}: run the tests with --workspace", program.display());
         let child = Command::new(program).env("LYNXSTAIR_BOOT", &file).stderr(Stdio::null()).spawn();
         self.children.push(child.expect("started"));
--- a/crates/pass/tests/tries.rs
+++ b/crates/proxy/tests/tries.rs
@@ -11,14 +11,14 @@
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time, WorkerId};
-use lynxstair_pass::workers::{Carrier, Outgoing, Workers};
-use lynxstair_ridge::ladder::Worker;
-use lynxstair_standins::Message;
-use lynxstair_wire::alarms::Alarms;
-use lynxstair_wire::clock::Clock;
-use lynxstair_wire::conn::Ring;
-use lynxstair_wire::coroutine::{go, prepare};
-use lynxstair_wire::http;
+use lynxstair_fakes::Message;
+use lynxstair_net::alarms::Alarms;
+use lynxstair_net::clock::Clock;
+use lynxstair_net::conn::Ring;
+use lynxstair_net::coroutine::{go, prepare};
+use lynxstair_net::http;
+use lynxstair_proxy::workers::{Carrier, Outgoing, Workers};
+use lynxstair_routing::locality_balancer::Worker;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/crates/pass/tests/turns.rs
+++ b/crates/proxy/tests/turns.rs
@@ -1,7 +1,7 @@
 //! Answers on one client's connection, in whatever order they get ready, fail or never begin.
 
 use lynxstair::rng::Rng;
-use lynxstair_pass::turns::{Then, Turn, Turns};
+use lynxstair_proxy::turns::{Then, Turn, Turns};
 
 /// One request's way through a story.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/pass/tests/whole_path.rs
+++ b/crates/proxy/tests/whole_path.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_standins::{Message, PATIENCE, until};
+use lynxstair_fakes::{Message, PATIENCE, until};
 use tempfile::TempDir;
 
 /// A message's body, as text.
@@ -143,8 +143,8 @@
         let folder = tempfile::tempdir().expect("a folder");
         let mut system = System { folder, children: HashMap::new(), huts, fronts };
         for n in 1..=3 {
-            system.start_one(&format!("hut{n}"), true);
-            system.start_one(&format!("pass{n}"), true);
+            system.start_one(&format!("controller{n}"), true);
+            system.start_one(&format!("proxy{n}"), true);
         }
         system
     }
@@ -152,9 +152,9 @@
     fn start_one(&mut self, name: &str, bootstrap: bool) {
         let (kind, n) = name.split_at(name.len() - 1);
         let n: usize = n.parse().expect("a number");
-        let own = if kind == "hut" { self.huts[n - 1] } else { self.fronts[n - 1] };
+        let own = if kind == "controller" { self.huts[n - 1] } else { self.fronts[n - 1] };
         let ip = own.ip();
-        let bind = if kind == "hut" {
+        let bind = if kind == "controller" {
             format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n")
         } else {
             format!("  front: \"{own}\"\n  readiness: \"{ip}:8384\"\n")
@@ -170,7 +170,7 @@
         let file = self.folder.path().join(format!("{name}.yaml"));
         std::fs::write(&file, text).expect("written");
         let program =
-            Path::new(env!("CARGO_BIN_EXE_lynxstair-pass")).with_file_name(format!("lynxstair-{kind}"));
+            Path::new(env!("CARGO_BIN_EXE_lynxstair-proxy")).with_file_name(format!("lynxstair-{kind}"));
         assert!(program.exists(), "{}: run the tests with --workspace", program.display());
         let child = Command::new(program)
             .env("LYNXSTAIR_BOOT", &file)
@@ -304,7 +304,7 @@
     let third = configuration(12, 8, r#"["k4"]"#, 1);
     assert_eq!(system.order("PUT /config HTTP/1.1", &third).status(), 200);
     let leader = system.leader();
-    system.kill(&format!("hut{}", leader + 1));
+    system.kill(&format!("controller{}", leader + 1));
     let read = system.order("GET /config HTTP/1.1", "");
     assert!(read.status() == 200 && text(&read).contains("0000000c"), "{}", text(&read));
     until("the taken key is refused", || {
@@ -313,8 +313,8 @@
     until("the new one works", || system.ask(1, "GET", "/safe/x", "d", "k4").filter(|m| m.status() == 200));
 
     // It comes back with its disk emptied, and is let in: with it, and without another, a change is taken.
-    std::fs::remove_dir_all(system.folder.path().join(format!("hut{}", leader + 1))).expect("removed");
-    system.start_one(&format!("hut{}", leader + 1), false);
+    std::fs::remove_dir_all(system.folder.path().join(format!("controller{}", leader + 1))).expect("removed");
+    system.start_one(&format!("controller{}", leader + 1), false);
     until("the emptied hut follows", || {
         let m = call(system.huts[leader], "GET /status HTTP/1.1", "")?;
         text(&m).contains("\"generation\":\"0000000c\"").then_some(())
@@ -323,13 +323,13 @@
     assert_eq!(system.order("PUT /config HTTP/1.1", &fourth).status(), 200);
 
     // A pass that is told to end goes on for a while and ends well.
-    let pass = system.children.get("pass3").expect("runs").id();
+    let pass = system.children.get("proxy3").expect("runs").id();
     assert!(Command::new("kill").arg("-TERM").arg(pass.to_string()).status().is_ok_and(|s| s.success()));
     until("it leaves the board", || {
         let m = call(board, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "");
         m.filter(|m| m.status() == 200 && !text(m).contains(&system.fronts[2].to_string()))
     });
-    let ended = system.children.remove("pass3").expect("runs").wait().expect("ended");
+    let ended = system.children.remove("proxy3").expect("runs").wait().expect("ended");
     assert!(ended.success(), "{ended}");
     drop(stops);
 }
@@ -339,7 +339,7 @@
 fn what_is_bad_is_named() {
     let file = tempfile::NamedTempFile::new().expect("a file");
     let run = |args: &[&str]| {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_lynxstair-pass"));
+        let mut child = Command::new(env!("CARGO_BIN_EXE_lynxstair-proxy"));
         let out = child.args(args).env_remove("LYNXSTAIR_BOOT").output().expect("ran");
         (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
     };
--- a/crates/ledger/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -1,7 +1,7 @@
 //! Durable records: appended, each with a checksum and the hash of all before it, on disk before it is said
 //! so.
 //!
-//! Called by `crates/fleet` for what a member must not forget. It knows nothing of what the bytes mean, and
+//! Called by `crates/cluster` for what a member must not forget. It knows nothing of what the bytes mean, and
 //! never runs on a coroutine's thread: [`Writer`] has a thread of its own.
 //!
 //! What can be wrong with a file is told apart: an end that was torn by a kill is cut off and told of as a
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/record-log/tests/ledger.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::channel;
 
-use lynxstair_ledger::{Error, Ledger, Opened, Repair, Writer};
+use lynxstair_record_log::{Error, Ledger, Opened, Repair, Writer};
 use tempfile::TempDir;
 
 /// In memory where there is such a place: hundreds of files are opened, and a disk takes 50 ms to say that it
--- a/crates/ridge/src/tries.rs
+++ b/crates/routing/src/attempt.rs
@@ -2,8 +2,8 @@
 //! came back and whose that was; and so, at its end, what may be said of the request. `docs/design/tries.md` has the
 //! same rows. The road tells it what it met and does what it says.
 
+use crate::execution::Verdict;
 use lynxstair::types::Outcome;
-use lynxstair_trailbook::verdict::Verdict;
 
 /// How far a try has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/ridge/src/ladder.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -11,12 +11,12 @@
     Arrival, CellId, CustomerId, InvId, KindId, Listed, Operation, OperationId, Outcome, Phase, Plan, PlanId,
     Repeat, Scope, Settings, Span, Time, WorkerId, ZoneId,
 };
-use lynxstair_desk::{Desk, Order, Pick as Picked};
-use lynxstair_trailbook::configuration::{Configuration, Kind};
-use lynxstair_trailbook::words::Standing;
+use lynxstair_config::configuration::{Configuration, Kind};
+use lynxstair_dispatch::{Desk, Order, Pick as Picked};
+use lynxstair_protocol::messages::Standing;
 
-use crate::cold::{Cold, Tidings};
-use crate::register::Known;
+use crate::slow_start::{Cold, Tidings};
+use lynxstair_control_state::instance_registry::Known;
 
 /// How far apart what is heard may be and still count as one moment for the module.
 const STEP: Span = Span::from_millis(1);
--- a/crates/ridge/src/buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -6,21 +6,15 @@
 
 use lynxstair::state::Store;
 use lynxstair::types::{Span, Time};
-use lynxstair_trailbook::configuration::Tenant;
-use lynxstair_trailbook::words::{Count, Share};
+use lynxstair_config::configuration::Tenant;
+use lynxstair_control_state::quota_limits::{DEPTH, OVER_PART, SLACK_PART};
+use lynxstair_protocol::messages::{Count, Share};
 
 /// A part that was given stands for so long without the purse's word; then an even part is the most.
 const STANDS: Span = Span::from_millis(2500);
 /// The most that a client is told to wait while a tenant is closed: a second (design page).
 const CLOSED: Span = Span::from_millis(1000);
-/// The parts of what the operators grant beyond the quota that are made use of: more room in the buckets, as what
-/// comes in by chance at many small ones would be refused with room left elsewhere; and a little faster filling.
-pub const SLACK_PART: f64 = 0.6;
-pub const OVER_PART: f64 = 0.4;
-/// At many gatekeepers a part is less than a token, and what comes in by chance would be refused with room left
-/// elsewhere: a bucket holds this many at the least. All of them together could then hold more than the quota;
-/// the purse closes a tenant before they let it through. Where a tenant was closed lately, one token is the least.
-pub const DEPTH: f64 = 4.0;
+/// Where a tenant was blocked lately, one token is the least depth.
 const LEAST: f64 = 1.0;
 /// Before it is told how many gatekeepers there are, one takes them for this many: after a start of all at once each
 /// would else spend the whole.
--- a/crates/ridge/tests/tries.rs
+++ b/crates/routing/tests/attempt.rs
@@ -1,7 +1,7 @@
 //! Every order in which a try can meet things, against what the protocol's page lets be said of it.
 
-use lynxstair_ridge::tries::{End, Heard, Met, Step, Stop, Try, Whose};
-use lynxstair_trailbook::verdict::Verdict;
+use lynxstair_routing::attempt::{End, Heard, Met, Step, Stop, Try, Whose};
+use lynxstair_routing::execution::Verdict;
 
 /// All answers that differ in what is judged.
 fn answers() -> Vec<Heard> {
--- a/crates/ridge/tests/sharing.rs
+++ b/crates/routing/tests/proxy_counts.rs
@@ -1,7 +1,7 @@
 //! Over how many gatekeepers things are split, while leaders come and go.
 
 use lynxstair::types::Time;
-use lynxstair_ridge::sharing::Sharing;
+use lynxstair_routing::proxy_counts::Sharing;
 
 /// A new leader finds gatekeepers one by one: the count before stands till it has found them all, and a gatekeeper more is
 /// counted at once; one that is gone for good gives its part free after a while.
--- a/crates/ridge/tests/cold.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What gatekeepers that can't hear the core send to workers that may have turned cold meanwhile.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_ridge::cold::Cold;
+use lynxstair_routing::slow_start::Cold;
 
 /// A zone is cut off from the core, emptied, and its workers turn cold: nobody in it is told. Whatever its gatekeepers would
 /// like to send, together they keep to what a cold worker may get in any second; and a worker that is warm goes on to
--- a/crates/lines/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use lynxstair::types::Span;
-use lynxstair_trailbook::frames;
-use lynxstair_wire::alarms::Alarms;
-use lynxstair_wire::conn::{Conn, Got};
+use lynxstair_net::alarms::Alarms;
+use lynxstair_net::conn::{Conn, Got};
+use lynxstair_protocol::frames;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
