--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,181 +1,209 @@
-//! A try: one sending of a request to one worker, from the connection to the end. What the kernel took of it, what
-//! came back and whose that was; and so, at its end, what may be said of the request. `docs/design/tries.md` has the
-//! same rows. The road tells it what it met and does what it says.
+//! An attempt: one forwarding of a request to one worker, from the connection to the end. What the kernel took of it, what
+//! came back and whose reply that was; and so, at its end, what may be claimed of the request. `docs/design/tries.md` has
+//! the same rows. The proxy reports events and does what the steps say.
 
-use crate::execution::Verdict;
 use lynxstair::types::Outcome;
 
-/// How far a try has come.
+use crate::execution::Execution;
+
+/// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum AttemptState {
     /// The kernel has taken nothing of the request.
     Unsent,
-    /// A part of it; the last byte is still here, and is never sent on once the try has ended.
+    /// A part of it; the last byte is still here, and is never sent once the attempt has ended.
     PartlySent,
-    /// All of it: it may arrive and run, whatever becomes of the connection or of us.
+    /// All of it: it may arrive and run, whatever becomes of the connection or of this process.
     Sent,
+    /// Nothing more happens.
     Ended,
 }
 
-/// Whose an answer is, by the ids that it carries.
+/// Whose a reply is, by the ids that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whose {
-    Ours,
-    /// It carries the id of another request: one that came too late, or one too many.
-    Anothers,
+pub enum ReplyOwner {
+    /// This attempt's.
+    Own,
+    /// It carries the id of another request: it came too late, or is a surplus one.
+    Other,
     /// It carries no id.
-    Nobodys,
-    /// It carries more than one.
-    Unclear,
+    Unidentified,
+    /// It carries more than one id.
+    Ambiguous,
 }
 
-/// An answer's head; the whole answer is there, or, where it is long, its beginning.
+/// The head of a reply; the complete reply is there, or, where it is long, its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
-    pub whose: Whose,
+pub struct ReplyHead {
+    /// Whose it is.
+    pub owner: ReplyOwner,
+    /// Its status.
     pub status: u16,
+    /// The worker says that the request has not run.
     pub says_not_run: bool,
+    /// It bears the worker's seal.
     pub is_sealed: bool,
+    /// Its body is encoded, which was not asked for.
     pub is_encoded: bool,
-    /// Nothing of it is still to come, nothing stands behind it, and the worker lets the connection stand.
+    /// Nothing of it is still to come, nothing follows it, and the worker keeps the connection open.
     pub is_clean: bool,
 }
 
 /// Why no more is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// The connection was closed in order, or reset.
-    Lost,
+    ConnectionLost,
+    /// The client has left.
     ClientGone,
-    TimeUp,
+    /// The deadline has passed.
+    DeadlineReached,
 }
 
-/// What the road met.
+/// What happened to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum AttemptEvent {
     /// No connection came up in time, or none may be opened.
     NoConnection,
-    /// The request may not be sent any more: its time is up, its zone evacuated, the book too old.
+    /// The request may not be sent any more: its deadline has passed, its zone is evacuated, the lease has run out.
     Withheld,
-    /// The kernel has taken some of the request; whether all of it.
+    /// The kernel has taken some of the request.
     Taken {
+        /// Whether all of it.
         all: bool,
     },
-    Answer(Heard),
-    /// Bytes that form no answer.
+    /// A reply has come.
+    Reply(ReplyHead),
+    /// Bytes that form no reply.
     Garbled,
-    /// All that the kernel held was read, and none of it was the answer; whether an unfinished one is there.
+    /// All that the kernel held was read, and none of it was the reply.
     Stopped {
-        why: Stop,
-        in_part: bool,
+        /// Why no more is waited for.
+        reason: StopReason,
+        /// An unfinished reply is there.
+        has_partial_reply: bool,
     },
 }
 
+/// What follows from an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum AttemptStep {
     /// There is more to wait for.
-    GoOn,
-    /// The answer is not this request's: it is passed over, and the next one looked at.
-    PassOver,
-    Over(End),
+    Continue,
+    /// The reply is not this request's: it is skipped, and the next one looked at.
+    SkipReply,
+    /// The attempt has ended.
+    Ended(AttemptEnd),
 }
 
-/// The end of a try.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
-    pub verdict: Verdict,
+pub struct AttemptEnd {
+    /// Whether the request may have run.
+    pub execution: Execution,
+    /// What the decision module is told.
     pub outcome: Outcome,
     /// The connection may carry another request.
-    pub keep: bool,
+    pub keep_connection: bool,
 }
 
+/// One attempt.
 #[derive(Debug)]
-pub struct Try {
-    state: State,
+pub struct Attempt {
+    state: AttemptState,
     /// The connection carried no other request before.
-    is_first: bool,
+    is_first_on_connection: bool,
     /// Something came that was not this request's.
     has_surplus: bool,
 }
 
-impl Try {
-    pub fn begin(is_first: bool) -> Try {
-        Try { state: State::Unsent, is_first, has_surplus: false }
+impl Attempt {
+    /// An attempt of which nothing is sent yet.
+    pub fn new(is_first_on_connection: bool) -> Attempt {
+        Attempt { state: AttemptState::Unsent, is_first_on_connection, has_surplus: false }
     }
 
-    pub fn state(&self) -> State {
+    /// How far it has come.
+    pub fn state(&self) -> AttemptState {
         self.state
     }
 
-    /// Every change goes through here.
-    pub fn step(&mut self, met: Met) -> Step {
-        let step = match met {
-            Met::NoConnection => over(Verdict::NeverRan, Outcome::ConnectFailed),
-            Met::Withheld => over(Verdict::NeverRan, Outcome::Cancelled),
-            Met::Taken { all } => {
-                self.state = if all { State::Sent } else { State::PartlySent };
-                Step::GoOn
+    /// Takes an event. Every change of state is made here.
+    pub fn on_event(&mut self, event: AttemptEvent) -> AttemptStep {
+        let step = match event {
+            AttemptEvent::NoConnection => ended(Execution::NeverRan, Outcome::ConnectFailed),
+            AttemptEvent::Withheld => ended(Execution::NeverRan, Outcome::Cancelled),
+            AttemptEvent::Taken { all } => {
+                self.state = if all { AttemptState::Sent } else { AttemptState::PartlySent };
+                AttemptStep::Continue
             }
-            Met::Answer(heard) => self.judge(heard),
-            // Who answers something has read something: also where the end of the request has not left.
-            Met::Garbled => over(Verdict::MayHaveRun, Outcome::Errored),
-            Met::Stopped { why, in_part } => self.stopped(why, in_part),
+            AttemptEvent::Reply(head) => self.on_reply(head),
+            // A worker that answers something has read something: also where the end of the request has not left.
+            AttemptEvent::Garbled => ended(Execution::MayHaveRun, Outcome::Errored),
+            AttemptEvent::Stopped { reason, has_partial_reply } => self.on_stopped(reason, has_partial_reply),
         };
-        if matches!(step, Step::Over(_)) {
-            self.state = State::Ended;
+        if matches!(step, AttemptStep::Ended(_)) {
+            self.state = AttemptState::Ended;
         }
         step
     }
 
-    fn judge(&mut self, heard: Heard) -> Step {
-        if (100..200).contains(&heard.status) {
-            return Step::PassOver;
+    fn on_reply(&mut self, head: ReplyHead) -> AttemptStep {
+        if (100..200).contains(&head.status) {
+            return AttemptStep::SkipReply;
         }
-        match heard.whose {
-            Whose::Unclear => return over(Verdict::MayHaveRun, Outcome::Errored),
-            // The one answer without an id that is somebody's: to a request that came without one. Only where no
-            // other request can be meant.
-            Whose::Nobodys
-                if heard.status == 400 && heard.says_not_run && self.is_first && !self.has_surplus =>
+        match head.owner {
+            ReplyOwner::Own => self.on_own_reply(head),
+            ReplyOwner::Ambiguous => ended(Execution::MayHaveRun, Outcome::Errored),
+            // The one reply without an id that is somebody's: to a request that came without one. Only where no other
+            // request can be meant.
+            ReplyOwner::Unidentified
+                if head.status == 400
+                    && head.says_not_run
+                    && self.is_first_on_connection
+                    && !self.has_surplus =>
             {
-                return over(Verdict::NeverRan, Outcome::Full);
+                ended(Execution::NeverRan, Outcome::Full)
             }
-            Whose::Anothers | Whose::Nobodys => {
+            ReplyOwner::Other | ReplyOwner::Unidentified => {
                 self.has_surplus = true;
-                return Step::PassOver;
+                AttemptStep::SkipReply
             }
-            Whose::Ours => {}
         }
-        let keep = heard.is_clean && !self.has_surplus && self.state == State::Sent;
-        let end = |verdict, outcome| Step::Over(End { verdict, outcome, keep });
-        match (heard.status, heard.says_not_run) {
-            (400 | 429 | 503, true) | (421, _) => end(Verdict::NeverRan, Outcome::Full),
-            // It contradicts itself; or it is a promise that the worker did not give and we can't.
-            (_, true) | (408 | 429 | 503, false) => over(Verdict::MayHaveRun, Outcome::Errored),
-            _ if heard.is_encoded => over(Verdict::MayHaveRun, Outcome::Errored),
-            (200..300, _) if !heard.is_sealed => over(Verdict::MayHaveRun, Outcome::Errored),
-            (500.., _) => end(Verdict::Failed, Outcome::Errored),
-            _ => end(Verdict::Ran, Outcome::Succeeded),
+    }
+
+    fn on_own_reply(&self, head: ReplyHead) -> AttemptStep {
+        let keep_connection = head.is_clean && !self.has_surplus && self.state == AttemptState::Sent;
+        let end = |execution, outcome| AttemptStep::Ended(AttemptEnd { execution, outcome, keep_connection });
+        match (head.status, head.says_not_run) {
+            (400 | 429 | 503, true) | (421, _) => end(Execution::NeverRan, Outcome::Full),
+            // It contradicts itself; or it is a promise that the worker did not give and a proxy can't.
+            (_, true) | (408 | 429 | 503, false) => ended(Execution::MayHaveRun, Outcome::Errored),
+            _ if head.is_encoded => ended(Execution::MayHaveRun, Outcome::Errored),
+            (200..300, _) if !head.is_sealed => ended(Execution::MayHaveRun, Outcome::Errored),
+            (500.., _) => end(Execution::Failed, Outcome::Errored),
+            _ => end(Execution::Ran, Outcome::Succeeded),
         }
     }
 
-    fn stopped(&self, why: Stop, in_part: bool) -> Step {
-        let outcome = match why {
-            Stop::Lost => Outcome::Reset,
-            Stop::ClientGone => Outcome::Cancelled,
-            Stop::TimeUp => Outcome::TimedOut,
+    fn on_stopped(&self, reason: StopReason, has_partial_reply: bool) -> AttemptStep {
+        let outcome = match reason {
+            StopReason::ConnectionLost => Outcome::Reset,
+            StopReason::ClientGone => Outcome::Cancelled,
+            StopReason::DeadlineReached => Outcome::TimedOut,
         };
-        // Where an answer has begun, the worker did not wait for the end of the request.
-        let may_have_run = self.state >= State::Sent || self.state == State::PartlySent && in_part;
-        match (may_have_run, why) {
-            (true, _) => over(Verdict::MayHaveRun, outcome),
-            (false, Stop::ClientGone) => over(Verdict::NeverRan, Outcome::Cancelled),
-            (false, _) => over(Verdict::NeverRan, Outcome::ConnectFailed),
+        // Where a reply has begun, the worker did not wait for the end of the request.
+        let may_have_run =
+            self.state >= AttemptState::Sent || self.state == AttemptState::PartlySent && has_partial_reply;
+        match (may_have_run, reason) {
+            (true, _) => ended(Execution::MayHaveRun, outcome),
+            (false, StopReason::ClientGone) => ended(Execution::NeverRan, Outcome::Cancelled),
+            (false, _) => ended(Execution::NeverRan, Outcome::ConnectFailed),
         }
     }
 }
 
 /// An end after which the connection carries nothing more.
-fn over(verdict: Verdict, outcome: Outcome) -> Step {
-    Step::Over(End { verdict, outcome, keep: false })
+fn ended(execution: Execution, outcome: Outcome) -> AttemptStep {
+    AttemptStep::Ended(AttemptEnd { execution, outcome, keep_connection: false })
 }
--- a/crates/routing/src/execution.rs
+++ b/crates/routing/src/execution.rs
@@ -1,8 +1,9 @@
-//! Whether a request may have run: what an answer to its client may promise, and whether it may be sent again.
+//! Whether a request may have run: what a response to its client may promise, and whether it may be retried.
 
-/// What is known of one try at a worker, or of all tries of a request together; in the order of what outweighs what.
+/// What is known of one attempt at a worker, or of all attempts of a request together; a later variant outweighs an
+/// earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Verdict {
+pub enum Execution {
     /// It has not run and never will: its last byte never left, or the worker itself said so.
     NeverRan,
     /// It was handed over, and nothing certain came back.
@@ -13,24 +14,24 @@
     Ran,
 }
 
-impl Verdict {
+impl Execution {
     /// Whether the request may go to a worker once more.
-    pub fn may_go_again(self, is_repeatable: bool) -> bool {
+    pub fn may_retry(self, is_idempotent: bool) -> bool {
         match self {
-            Verdict::NeverRan => true,
-            Verdict::MayHaveRun | Verdict::Failed => is_repeatable,
-            Verdict::Ran => false,
+            Execution::NeverRan => true,
+            Execution::MayHaveRun | Execution::Failed => is_idempotent,
+            Execution::Ran => false,
         }
     }
 
-    /// Whether the client may be told that it has not run (429, 503, 408, 421). What is repeatable may be told so
-    /// only where it is true as well: the words mean the same for all kinds.
-    pub fn may_promise(self) -> bool {
-        self == Verdict::NeverRan
+    /// Whether the client may be told that it has not run (429, 503, 408, 421). An idempotent request may be told so only
+    /// where it is true as well: the statuses mean the same for all kinds.
+    pub fn may_claim_not_run(self) -> bool {
+        self == Execution::NeverRan
     }
 
-    /// What is known after a further try.
-    pub fn and(self, later: Verdict) -> Verdict {
+    /// What is known after a further attempt.
+    pub fn and(self, later: Execution) -> Execution {
         self.max(later)
     }
 }
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -1,7 +1,8 @@
-//! The ladder: near workers first. The workers of one service in one zone are a rung; which of them gets a request
-//! is the module's decision (`lynxstair::policy`, behind the desk), and so is whether the rung is full. The ladder
-//! only says in which order the rungs are asked, and which are not: zones that are evacuated, regions that are not a
-//! home. The module's words and the system's meet here: an invocation is a request's try, a delivery its sending.
+//! The locality balancer: near workers first. The workers of one service in one zone are a locality; which of them gets a
+//! request is the decision module's to say (`lynxstair::policy`, behind the dispatcher), and so is whether the locality is
+//! full. The balancer only says in which order localities are asked, and which are not: zones that are evacuated, regions
+//! that are not a home, workers that are warming up. The module's vocabulary and the system's meet here: an invocation is
+//! an attempt, a delivery its forwarding.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -11,115 +12,147 @@
     Arrival, CellId, CustomerId, InvId, KindId, Listed, Operation, OperationId, Outcome, Phase, Plan, PlanId,
     Repeat, Scope, Settings, Span, Time, WorkerId, ZoneId,
 };
-use lynxstair_config::configuration::{Configuration, Kind};
-use lynxstair_dispatch::{Desk, Order, Pick as Picked};
-use lynxstair_protocol::messages::Standing;
+use lynxstair_config::configuration::{Configuration, RouteKind};
+use lynxstair_control_state::instance_registry::RegisteredInstance;
+use lynxstair_dispatch::{Dispatcher, Order, Pick as Picked};
+use lynxstair_protocol::messages::InstanceState;
 
-use crate::slow_start::{Cold, Tidings};
-use lynxstair_control_state::instance_registry::Known;
+use crate::slow_start::{SlowStart, WarmUpKnowledge};
 
-/// How far apart what is heard may be and still count as one moment for the module.
+/// How far apart events may be and still count as one moment for the module.
 const STEP: Span = Span::from_millis(1);
-/// The least that the module lets be out at a worker, over all gatekeepers, is less than what a worker answers within
-/// the routes' targets: so many times as much may be.
-const ROOMIER: u32 = 2;
-/// When a client is to come back where every rung is full, in parts of the route's target.
-const COME_BACK: f64 = 0.25;
-const COME_BACK_LEAST: Span = Span::from_millis(100);
+/// The least concurrency that the module allows at a worker, over all proxies, is less than what a worker answers within the
+/// routes' targets: it is told of so many times fewer proxies.
+const CONCURRENCY_FACTOR: u32 = 2;
+/// When a client is to come back where every locality is full, as a fraction of the route's target,
+const RETRY_AFTER_PART: f64 = 0.25;
+/// and at the least.
+const MIN_RETRY_AFTER: Span = Span::from_millis(100);
+/// A locality tells at most so many kinds of work apart: the module numbers them in a byte.
+const MAX_WORK_KINDS: usize = 200;
+/// The module gives an attempt up after so many times the target.
+const TIMEOUT_TARGETS: f64 = 4.0;
+/// What a late response is worth to the module, as a fraction.
+const LATE_SHARE: f32 = 0.3;
+/// For how long the module counts on an idle connection.
+const IDLE_CONNECTION: Span = Span::from_millis(6_000);
 
-/// A worker as it is called.
+/// A worker instance that requests are sent to.
 #[derive(Debug, PartialEq)]
 pub struct Worker {
+    /// The instance's id.
     pub id: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
+    /// Its service.
     pub service: String,
+    /// Its zone.
     pub zone: String,
-    /// As the module knows it.
+    /// Its number in the decision module.
     pub number: WorkerId,
 }
 
-struct Held {
+/// A worker of a locality.
+struct Endpoint {
     worker: Arc<Worker>,
-    cold_until: Time,
-    listed: Phase,
-    heft: f32,
+    warming_until: Time,
+    phase: Phase,
+    weight: f32,
 }
 
-struct Rung {
-    desk: Desk<()>,
-    workers: BTreeMap<WorkerId, Held>,
+/// Service and zone.
+type LocalityKey = (String, String);
+
+struct Locality {
+    dispatcher: Dispatcher<()>,
+    endpoints: BTreeMap<WorkerId, Endpoint>,
 }
 
-/// What is asked of a service.
-pub struct Ask<'a> {
+/// What a request asks of a service.
+pub struct EndpointQuery<'a> {
+    /// The service.
     pub service: &'a str,
-    pub kind: Kind,
+    /// What the request does.
+    pub kind: RouteKind,
+    /// The route's latency target.
     pub target: Span,
-    pub valid_until: Time,
+    /// Its deadline.
+    pub deadline: Time,
     /// Whether a zone may serve it: by evacuation and by homes.
-    pub allows: &'a dyn Fn(&str) -> bool,
-    /// Workers that it was at already.
+    pub is_zone_allowed: &'a dyn Fn(&str) -> bool,
+    /// Workers that it was sent to already.
     pub tried: &'a [Arc<Worker>],
 }
 
-/// A try that is to be sent.
-pub struct Sent {
-    rung: (String, String),
+/// A worker that was picked for an attempt; the attempt's end is reported by it.
+pub struct PickedEndpoint {
+    locality: LocalityKey,
     order: Order<()>,
+    /// The worker.
     pub worker: Arc<Worker>,
-    pub at: Time,
+    picked_at: Time,
 }
 
+/// The answer to a query.
 pub enum Pick {
-    Send(Box<Sent>),
-    /// No rung takes it now; when to come back.
+    /// Send it there.
+    Endpoint(Box<PickedEndpoint>),
+    /// No locality takes it now; when to come back.
     Full(Span),
 }
 
-pub struct Ladder {
+/// All localities, as one proxy sees them.
+pub struct LocalityBalancer {
     seed: u64,
     /// All zones, near ones first.
     zones: Vec<String>,
     own_zone: String,
-    near: Vec<String>,
-    /// How many gatekeepers there are in each zone.
-    gatekeepers: HashMap<String, u32>,
-    rungs: HashMap<(String, String), Rung>,
-    /// What kinds of work each service has, as the module tells them apart.
-    work: HashMap<String, Vec<(Kind, Span)>>,
-    cold_per_s: HashMap<String, f64>,
+    near_zones: Vec<String>,
+    /// How many proxies there are in each zone.
+    proxies: HashMap<String, u32>,
+    localities: HashMap<LocalityKey, Locality>,
+    /// The kinds of work that each service has, as the module tells them apart.
+    work: HashMap<String, Vec<(RouteKind, Span)>>,
+    /// What a worker of each service takes while it warms up, in requests a second.
+    warm_up_rates: HashMap<String, f64>,
     numbers: HashMap<String, WorkerId>,
-    last: u64,
-    cold: Cold,
+    last_number: u64,
+    slow_start: SlowStart,
 }
 
-impl Ladder {
+impl LocalityBalancer {
     /// `zones`: each with its region.
-    pub fn new(seed: u64, zone: &str, region: &str, zones: &[(String, String)], cold: Cold) -> Self {
+    pub fn new(
+        seed: u64,
+        zone: &str,
+        region: &str,
+        zones: &[(String, String)],
+        slow_start: SlowStart,
+    ) -> Self {
         let near: Vec<String> = zones.iter().filter(|(_, r)| r == region).map(|(z, _)| z.clone()).collect();
         let mut order: Vec<String> = zones.iter().map(|(z, _)| z.clone()).collect();
-        // From the own zone on, near ones first, and from elsewhere on at each gatekeeper.
+        // From the own zone on, near ones first, and of the others each proxy begins with another.
         let turn = if order.is_empty() { 0 } else { seed as usize % order.len() };
         order.rotate_left(turn);
         order.sort_by_key(|z| (z != zone, !near.contains(z)));
-        Ladder {
+        LocalityBalancer {
             seed,
             zones: order,
             own_zone: zone.to_string(),
-            near,
-            gatekeepers: HashMap::new(),
-            rungs: HashMap::new(),
+            near_zones: near,
+            proxies: HashMap::new(),
+            localities: HashMap::new(),
             work: HashMap::new(),
-            cold_per_s: HashMap::new(),
+            warm_up_rates: HashMap::new(),
             numbers: HashMap::new(),
-            last: 0,
-            cold,
+            last_number: 0,
+            slow_start,
         }
     }
 
-    /// A version came into force. What it asks of a service that was not known so far begins anew.
+    /// A configuration came into force. A service whose kinds of work were not all known begins anew.
     pub fn configure(&mut self, now: Time, configuration: &Configuration) {
-        let mut work: HashMap<String, Vec<(Kind, Span)>> = HashMap::new();
+        let mut work: HashMap<String, Vec<(RouteKind, Span)>> = HashMap::new();
         for route in configuration.all_routes() {
             for (service, _) in &route.services {
                 let kinds = work.entry(service.clone()).or_default();
@@ -128,211 +161,243 @@
                 }
             }
         }
-        self.cold_per_s = configuration.services.iter().map(|(n, s)| (n.clone(), s.cold_per_s)).collect();
+        let rates = configuration.services.iter().map(|(name, s)| (name.clone(), s.warm_up_rate));
+        self.warm_up_rates = rates.collect();
         for (service, mut kinds) in work {
             let known = self.work.entry(service.clone()).or_default();
-            kinds.retain(|k| !known.contains(k));
-            if kinds.is_empty() || known.len() + kinds.len() > 200 {
+            kinds.retain(|kind| !known.contains(kind));
+            if kinds.is_empty() || known.len() + kinds.len() > MAX_WORK_KINDS {
                 continue;
             }
             known.extend(kinds);
-            self.renew(now, |(s, _)| *s == service);
+            self.rebuild(now, |(s, _)| *s == service);
         }
     }
 
-    pub fn shared_by(&mut self, now: Time, zones: &[(String, u32)]) {
-        let gatekeepers: HashMap<String, u32> = zones.iter().cloned().collect();
-        if gatekeepers != self.gatekeepers {
-            self.gatekeepers = gatekeepers;
-            self.renew(now, |_| true);
+    /// How many proxies there are in each zone.
+    pub fn set_proxy_counts(&mut self, now: Time, zones: &[(String, u32)]) {
+        let proxies: HashMap<String, u32> = zones.iter().cloned().collect();
+        if proxies != self.proxies {
+            self.proxies = proxies;
+            self.rebuild(now, |_| true);
         }
     }
 
-    /// Begins rungs anew, with the workers that they have.
-    fn renew(&mut self, now: Time, which: impl Fn(&(String, String)) -> bool) {
-        let keys: Vec<_> = self.rungs.keys().filter(|k| which(k)).cloned().collect();
+    /// Begins localities anew, with the workers that they have.
+    fn rebuild(&mut self, now: Time, is_concerned: impl Fn(&LocalityKey) -> bool) {
+        let keys: Vec<_> = self.localities.keys().filter(|key| is_concerned(key)).cloned().collect();
         for key in keys {
-            let Some(old) = self.rungs.remove(&key) else { continue };
-            let rung = Rung { desk: self.desk(now, &key), workers: old.workers };
-            let all: Vec<Listed> = rung.workers.values().map(|h| listed(h, h.listed)).collect();
-            rung.desk.listed(now, Scope::Full, &all);
-            self.rungs.insert(key, rung);
+            let Some(old) = self.localities.remove(&key) else { continue };
+            let dispatcher = self.new_dispatcher(now, &key);
+            let locality = Locality { dispatcher, endpoints: old.endpoints };
+            let all: Vec<Listed> =
+                locality.endpoints.values().map(|endpoint| endpoint.listed(endpoint.phase)).collect();
+            locality.dispatcher.listed(now, Scope::Full, &all);
+            self.localities.insert(key, locality);
         }
     }
 
-    /// How many gatekeepers send to the workers of a zone, besides those that only come by.
-    fn sharing(&self, zone: &str) -> u32 {
-        let of = |z: &str| self.gatekeepers.get(z).copied().unwrap_or(0);
+    /// How many proxies send to the workers of a zone, besides those that do so now and then.
+    fn proxies_sending_to(&self, zone: &str) -> u32 {
+        let of = |z: &str| self.proxies.get(z).copied().unwrap_or(0);
         if zone == self.own_zone {
             return of(zone).max(1);
         }
-        // Elsewhere those come by whose own rungs are full: seldom more than a region's at a time.
-        self.near.iter().map(|z| of(z)).sum::<u32>().max(1)
+        // To other zones those send whose own localities are full: seldom more than a region's at a time.
+        self.near_zones.iter().map(|z| of(z)).sum::<u32>().max(1)
     }
 
-    fn desk(&self, now: Time, (service, zone): &(String, String)) -> Desk<()> {
-        let operation = |(kind, target): &(Kind, Span)| Operation {
+    fn new_dispatcher(&self, now: Time, (service, zone): &LocalityKey) -> Dispatcher<()> {
+        let operation = |(kind, target): &(RouteKind, Span)| Operation {
             latency_objective: *target,
-            integration_timeout: target.times(4.0),
-            late_share: 0.3,
+            integration_timeout: target.times(TIMEOUT_TARGETS),
+            late_share: LATE_SHARE,
             billed_value: 1.0,
-            repeat: if kind.is_repeatable() { Repeat::Idempotent } else { Repeat::NonIdempotent },
+            repeat: if kind.is_idempotent() { Repeat::Idempotent } else { Repeat::NonIdempotent },
         };
         let settings = Settings {
-            gatekeepers: self.sharing(zone).div_ceil(ROOMIER),
+            gatekeepers: self.proxies_sending_to(zone).div_ceil(CONCURRENCY_FACTOR),
             step: STEP,
             operations: self.work.get(service).map_or(Vec::new(), |w| w.iter().map(operation).collect()),
             plans: vec![Plan::default()],
-            idle: Span::from_millis(6000),
+            idle: IDLE_CONNECTION,
             max_deliveries: 1,
             start_share: 1.0,
             ..Settings::default()
         };
-        let seed = self.seed ^ self.rungs.len() as u64;
-        Desk::open(now, seed, &settings)
+        let seed = self.seed ^ self.localities.len() as u64;
+        Dispatcher::new(now, seed, &settings)
     }
 
-    /// A worker's life, as the register knows it now.
-    pub fn place(&mut self, now: Time, id: &str, known: &Known) {
-        let key = (known.service.clone(), known.zone.clone());
-        if known.standing == Standing::Gone {
-            let Some(number) = self.numbers.remove(id) else { return };
-            if let Some(rung) = self.rungs.get_mut(&key)
-                && let Some(held) = rung.workers.remove(&number)
-            {
-                rung.desk.listed(now, Scope::Delta, &[listed(&held, Phase::Gone)]);
-            }
-            return;
+    /// Takes over an instance as the registry knows it now.
+    pub fn update_instance(&mut self, now: Time, id: &str, instance: &RegisteredInstance) {
+        let key = (instance.service.clone(), instance.zone.clone());
+        if instance.state == InstanceState::Deregistered {
+            return self.remove_instance(now, id, &key);
         }
-        if !self.rungs.contains_key(&key) {
-            let desk = self.desk(now, &key);
-            self.rungs.insert(key.clone(), Rung { desk, workers: BTreeMap::new() });
+        if !self.localities.contains_key(&key) {
+            let dispatcher = self.new_dispatcher(now, &key);
+            self.localities.insert(key.clone(), Locality { dispatcher, endpoints: BTreeMap::new() });
         }
-        let last = &mut self.last;
+        let last = &mut self.last_number;
         let number = *self.numbers.entry(id.to_string()).or_insert_with(|| {
             *last += 1;
             WorkerId(*last)
         });
-        let Some(rung) = self.rungs.get_mut(&key) else { return };
-        let phase = if known.standing == Standing::Ready { Phase::Ready } else { Phase::Draining };
-        let worker = Arc::new(Worker {
-            id: id.to_string(),
-            address: known.address,
-            service: known.service.clone(),
-            zone: known.zone.clone(),
-            number,
-        });
-        let heft = known.capacity.max(1) as f32;
-        let held = Held { worker, cold_until: known.cold_until, listed: phase, heft };
-        rung.desk.listed(now, Scope::Delta, &[listed(&held, phase)]);
-        rung.workers.insert(number, held);
+        let Some(locality) = self.localities.get_mut(&key) else { return };
+        let is_ready = instance.state == InstanceState::Ready;
+        let endpoint = Endpoint {
+            worker: Arc::new(Worker {
+                id: id.to_string(),
+                address: instance.address,
+                service: instance.service.clone(),
+                zone: instance.zone.clone(),
+                number,
+            }),
+            warming_until: instance.warming_until,
+            phase: if is_ready { Phase::Ready } else { Phase::Draining },
+            weight: instance.capacity.max(1) as f32,
+        };
+        locality.dispatcher.listed(now, Scope::Delta, &[endpoint.listed(endpoint.phase)]);
+        locality.endpoints.insert(number, endpoint);
     }
 
-    /// The worker that gets a request, or nobody.
-    pub fn pick(&mut self, now: Time, ask: &Ask, tidings: &dyn Fn(&str) -> Tidings) -> Pick {
-        let Some(operation) = self
-            .work
-            .get(ask.service)
-            .and_then(|w| w.iter().position(|(kind, target)| (*kind, *target) == (ask.kind, ask.target)))
-        else {
-            return Pick::Full(COME_BACK_LEAST);
-        };
+    fn remove_instance(&mut self, now: Time, id: &str, key: &LocalityKey) {
+        let Some(number) = self.numbers.remove(id) else { return };
+        if let Some(locality) = self.localities.get_mut(key)
+            && let Some(endpoint) = locality.endpoints.remove(&number)
+        {
+            locality.dispatcher.listed(now, Scope::Delta, &[endpoint.listed(Phase::Gone)]);
+        }
+    }
+
+    /// The worker that gets a request, or none.
+    pub fn pick(
+        &mut self,
+        now: Time,
+        query: &EndpointQuery,
+        warm_up: &dyn Fn(&str) -> WarmUpKnowledge,
+    ) -> Pick {
+        let kinds = self.work.get(query.service);
+        let kind = kinds.and_then(|w| w.iter().position(|kind| *kind == (query.kind, query.target)));
+        let Some(kind) = kind else { return Pick::Full(MIN_RETRY_AFTER) };
         let arrival = Arrival {
             inv: InvId::default(),
-            valid_until: ask.valid_until,
+            valid_until: query.deadline,
             customer: CustomerId(0),
-            operation: OperationId(operation as u8),
+            operation: OperationId(kind as u8),
             plan: PlanId(0),
             spread: 1.0,
             units: 1.0,
         };
-        let per_s = self.cold_per_s.get(ask.service).copied().unwrap_or(0.0);
-        for zone in &self.zones {
-            if !(ask.allows)(zone) {
+        let rate = self.warm_up_rates.get(query.service).copied().unwrap_or(0.0);
+        for n in 0..self.zones.len() {
+            if !(query.is_zone_allowed)(&self.zones[n]) {
                 continue;
             }
-            let key = (ask.service.to_string(), zone.clone());
-            let Some(rung) = self.rungs.get_mut(&key) else { continue };
-            let sharing =
-                if *zone == self.own_zone { self.gatekeepers.get(zone).copied().unwrap_or(0) } else { 0 };
-            let is_unsaid = tidings(zone) == Tidings::Unsaid;
-            let is_unheard = *zone == self.own_zone && tidings(zone) == Tidings::Unheard;
-            let mut held_back = Vec::new();
-            for held in rung.workers.values_mut().filter(|h| h.listed == Phase::Ready) {
-                let is_cold = is_unsaid || now < held.cold_until;
-                let was_tried = ask.tried.iter().any(|t| t.number == held.worker.number);
-                let id = &held.worker.id;
-                if was_tried
-                    || is_cold && !self.cold.has_room(now, id, per_s, sharing)
-                    || is_unheard && !self.cold.has_room_unheard(now, id, per_s, sharing)
-                {
-                    held_back.push(listed(held, Phase::Draining));
-                }
-            }
-            if held_back.len() == rung.workers.len() {
-                continue;
+            let knowledge = warm_up(&self.zones[n]);
+            if let Some(picked) = self.pick_in_zone(now, n, query, arrival, rate, knowledge) {
+                return Pick::Endpoint(Box::new(picked));
             }
-            if !held_back.is_empty() {
-                rung.desk.listed(now, Scope::Delta, &held_back);
-            }
-            let (inv, picked) = rung.desk.pick(now, arrival, ());
-            if !held_back.is_empty() {
-                held_back.iter_mut().for_each(|l| l.phase = Phase::Ready);
-                rung.desk.listed(now, Scope::Delta, &held_back);
-            }
-            if let Picked::Deliver(order) = picked {
-                let Some(held) = rung.workers.get(&order.worker) else {
-                    rung.desk.gone(now, inv);
-                    continue;
-                };
-                if is_unsaid || now < held.cold_until {
-                    self.cold.take(&held.worker.id);
-                }
-                if is_unheard {
-                    self.cold.take_unheard(&held.worker.id);
-                }
-                let worker = held.worker.clone();
-                return Pick::Send(Box::new(Sent { rung: key, order, worker, at: now }));
+        }
+        Pick::Full(query.target.times(RETRY_AFTER_PART).max(MIN_RETRY_AFTER))
+    }
+
+    fn pick_in_zone(
+        &mut self,
+        now: Time,
+        zone: usize,
+        query: &EndpointQuery,
+        arrival: Arrival,
+        rate: f64,
+        knowledge: WarmUpKnowledge,
+    ) -> Option<PickedEndpoint> {
+        let zone = &self.zones[zone];
+        let key = (query.service.to_string(), zone.clone());
+        let locality = self.localities.get_mut(&key)?;
+        let is_own_zone = *zone == self.own_zone;
+        // Workers that warm up get requests from their own zone only.
+        let proxies = if is_own_zone { self.proxies.get(zone).copied().unwrap_or(0) } else { 0 };
+        let may_be_cold = knowledge == WarmUpKnowledge::NotYetReported;
+        let is_unknown = is_own_zone && knowledge == WarmUpKnowledge::Unknown;
+        let mut held_back = Vec::new();
+        for endpoint in locality.endpoints.values().filter(|e| e.phase == Phase::Ready) {
+            let is_warming = may_be_cold || now < endpoint.warming_until;
+            let was_tried = query.tried.iter().any(|t| t.number == endpoint.worker.number);
+            let id = &endpoint.worker.id;
+            if was_tried
+                || is_warming && !self.slow_start.admits(now, id, rate, proxies)
+                || is_unknown && !self.slow_start.admits_unknown(now, id, rate, proxies)
+            {
+                held_back.push(endpoint.listed(Phase::Draining));
             }
         }
-        Pick::Full(ask.target.times(COME_BACK).max(COME_BACK_LEAST))
+        if held_back.len() == locality.endpoints.len() {
+            return None;
+        }
+        let (invocation, picked) = locality.pick_without(now, arrival, held_back);
+        let Picked::Deliver(order) = picked else { return None };
+        let Some(endpoint) = locality.endpoints.get(&order.worker) else {
+            locality.dispatcher.gone(now, invocation);
+            return None;
+        };
+        if may_be_cold || now < endpoint.warming_until {
+            self.slow_start.spend(&endpoint.worker.id);
+        }
+        if is_unknown {
+            self.slow_start.spend_unknown(&endpoint.worker.id);
+        }
+        let worker = endpoint.worker.clone();
+        Some(PickedEndpoint { locality: key, order, worker, picked_at: now })
     }
 
-    /// How a try ended.
-    pub fn ended(&mut self, now: Time, sent: &Sent, outcome: Outcome) {
-        if let Some(rung) = self.rungs.get(&sent.rung) {
-            rung.desk.report(now, &sent.order, outcome, now - sent.at, None);
-            rung.desk.gone(now, sent.order.inv);
+    /// An attempt at a picked worker has ended.
+    pub fn report(&mut self, now: Time, picked: &PickedEndpoint, outcome: Outcome) {
+        if let Some(locality) = self.localities.get(&picked.locality) {
+            locality.dispatcher.report(now, &picked.order, outcome, now - picked.picked_at, None);
+            locality.dispatcher.gone(now, picked.order.inv);
         }
     }
 
-    /// Several times a second: the module's own upkeep.
+    /// The module's own upkeep; several times a second.
     pub fn tick(&mut self, now: Time) {
-        for rung in self.rungs.values() {
-            if rung.desk.next_due() <= now {
-                rung.desk.tick(now);
+        for locality in self.localities.values() {
+            if locality.dispatcher.next_due() <= now {
+                locality.dispatcher.tick(now);
             }
         }
-        let rungs = &self.rungs;
-        let is_cold = |id: &str| {
-            rungs
-                .values()
-                .flat_map(|r| r.workers.values())
-                .any(|h| h.worker.id == id && now < h.cold_until + STEP)
-        };
-        self.cold.keep(now, is_cold);
-        self.rungs.retain(|_, r| !r.workers.is_empty());
+        let endpoints = || self.localities.values().flat_map(|locality| locality.endpoints.values());
+        let is_warming = |id: &str| endpoints().any(|e| e.worker.id == id && now < e.warming_until + STEP);
+        self.slow_start.expire(now, is_warming);
+        self.localities.retain(|_, locality| !locality.endpoints.is_empty());
     }
 }
 
-fn listed(held: &Held, phase: Phase) -> Listed {
-    Listed {
-        worker: held.worker.number,
-        zone: ZoneId(0),
-        kind: KindId(0),
-        cell: CellId(0),
-        phase,
-        heft: held.heft,
-        started_at: None,
+impl Locality {
+    /// Has the module pick a worker, but none of those that are held back.
+    fn pick_without(&self, now: Time, arrival: Arrival, mut held_back: Vec<Listed>) -> (InvId, Picked<()>) {
+        if held_back.is_empty() {
+            return self.dispatcher.pick(now, arrival, ());
+        }
+        self.dispatcher.listed(now, Scope::Delta, &held_back);
+        let picked = self.dispatcher.pick(now, arrival, ());
+        held_back.iter_mut().for_each(|listed| listed.phase = Phase::Ready);
+        self.dispatcher.listed(now, Scope::Delta, &held_back);
+        picked
+    }
+}
+
+impl Endpoint {
+    /// The worker as the module is told of it.
+    fn listed(&self, phase: Phase) -> Listed {
+        Listed {
+            worker: self.worker.number,
+            zone: ZoneId(0),
+            kind: KindId(0),
+            cell: CellId(0),
+            phase,
+            heft: self.weight,
+            started_at: None,
+        }
     }
 }
--- a/crates/routing/src/proxy_counts.rs
+++ b/crates/routing/src/proxy_counts.rs
@@ -1,47 +1,47 @@
-//! Over how many gatekeepers what all may spend together is split: quotas, further tries, cold room. The leader of the
-//! core tells how many there are in each zone.
+//! Over how many proxies a common grant is split: quotas, retries, warm-up capacity. The leader tells how many there are in
+//! each zone.
 
 use lynxstair::types::{Span, Time};
 
-/// So long a smaller count has to stand before it goes. A leader that has just begun, or was cut off from some, tells
-/// those that it has found so far; each would take more than its part by that.
-const STANDS: Span = Span::from_millis(4_000);
-/// A leader tells each count once; of more within that time the oldest goes.
-const MOST: usize = 64;
+/// For so long a smaller count has to stand before it is used. A leader that has just begun, or was partitioned off from
+/// some proxies, counts those that it has found so far; each proxy would take more than its part by that.
+const SETTLE_TIME: Span = Span::from_millis(4_000);
+/// A leader tells each count once; of more counts within that time the oldest is dropped.
+const MAX_REPORTS: usize = 64;
 
-/// Gatekeepers in each zone.
-pub type Zones = Vec<(String, u32)>;
+/// The number of proxies in each zone.
+pub type ZoneCounts = Vec<(String, u32)>;
 
+/// The counts that were told lately.
 #[derive(Debug, Default)]
-pub struct Sharing {
-    /// What was told, and when.
-    told: Vec<(Time, Zones)>,
+pub struct ProxyCounts {
+    reports: Vec<(Time, ZoneCounts)>,
 }
 
-impl Sharing {
-    /// The leader says how many there are.
-    pub fn hear(&mut self, now: Time, zones: &[(String, u32)]) {
-        self.told.push((now, zones.to_vec()));
-        if self.told.len() > MOST {
-            self.told.remove(0);
+impl ProxyCounts {
+    /// The leader tells how many there are.
+    pub fn record(&mut self, now: Time, counts: &[(String, u32)]) {
+        self.reports.push((now, counts.to_vec()));
+        if self.reports.len() > MAX_REPORTS {
+            self.reports.remove(0);
         }
-        self.forget(now);
+        self.expire(now);
     }
 
-    /// Lets go of what another count has stood in the place of for long enough; whether something went.
-    pub fn forget(&mut self, now: Time) -> bool {
-        let gone = self.told.iter().skip(1).take_while(|(at, _)| now - *at >= STANDS).count();
-        self.told.drain(..gone);
-        gone > 0
+    /// Drops reports that another one has replaced for long enough; returns whether there were any.
+    pub fn expire(&mut self, now: Time) -> bool {
+        let replaced = self.reports.iter().skip(1).take_while(|(at, _)| now - *at >= SETTLE_TIME).count();
+        self.reports.drain(..replaced);
+        replaced > 0
     }
 
     /// How many there may be in each zone.
-    pub fn zones(&self) -> Zones {
-        let mut zones = Zones::new();
-        for (zone, n) in self.told.iter().flat_map(|(_, told)| told) {
+    pub fn zones(&self) -> ZoneCounts {
+        let mut zones = ZoneCounts::new();
+        for (zone, count) in self.reports.iter().flat_map(|(_, counts)| counts) {
             match zones.iter_mut().find(|(z, _)| z == zone) {
-                Some((_, most)) => *most = (*most).max(*n),
-                None => zones.push((zone.clone(), *n)),
+                Some((_, max)) => *max = (*max).max(*count),
+                None => zones.push((zone.clone(), *count)),
             }
         }
         zones
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,47 +1,52 @@
-//! Further tries at a worker: for each service, what this gatekeeper may spend of what the operators grant to all of
-//! them. It earns by requests, and what it saves up is its part of the slack.
+//! The retry budget: for each service, how many retries this proxy may make of what the operators grant to all proxies.
+//! Requests earn it, and what is saved up is this proxy's part of the slack.
 
 use std::collections::HashMap;
 
-/// The part of what is granted that is made use of: windows slide, and arrivals that were thought lost count too.
-const PART: f64 = 0.6;
+/// The fraction of what is granted that is used: windows slide, and attempts that seemed lost on the way count too.
+const USED_PART: f64 = 0.6;
+/// How many proxies share the grant, as long as that is not known.
+const INITIAL_PROXIES: f64 = 8.0;
 
+/// Retries that may still be made, by service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
-    gatekeepers: f64,
+    proxies: f64,
     saved: HashMap<String, f64>,
 }
 
-impl Budget {
+impl RetryBudget {
+    /// All proxies together are granted `ratio` retries for each request and `slack` on top in each window.
     pub fn new(ratio: f64, slack: f64) -> Self {
-        Budget { ratio, slack, gatekeepers: 8.0, saved: HashMap::new() }
+        RetryBudget { ratio, slack, proxies: INITIAL_PROXIES, saved: HashMap::new() }
     }
 
-    pub fn shared_by(&mut self, gatekeepers: u32) {
-        self.gatekeepers = f64::from(gatekeepers.max(1));
+    /// How many proxies share the grant.
+    pub fn set_proxy_count(&mut self, proxies: u32) {
+        self.proxies = f64::from(proxies.max(1));
     }
 
-    fn most(&self) -> f64 {
-        (self.slack * PART / self.gatekeepers).max(1.0)
+    fn max_saved(&self) -> f64 {
+        (self.slack * USED_PART / self.proxies).max(1.0)
     }
 
-    /// A request of a client for the service has gone to a worker.
+    /// A client's request for the service has gone to a worker for the first time.
     pub fn earn(&mut self, service: &str) {
-        let (more, most) = (self.ratio * PART, self.most());
+        let (earned, max) = (self.ratio * USED_PART, self.max_saved());
         match self.saved.get_mut(service) {
-            Some(saved) => *saved = (*saved + more).min(most),
+            Some(saved) => *saved = (*saved + earned).min(max),
             None => {
-                self.saved.insert(service.to_string(), most);
+                self.saved.insert(service.to_string(), max);
             }
         }
     }
 
-    /// Whether one more try may be made.
-    pub fn spend(&mut self, service: &str) -> bool {
-        let most = self.most();
-        let saved = self.saved.entry(service.to_string()).or_insert(most);
+    /// Spends a retry; false where there is none left.
+    pub fn try_spend(&mut self, service: &str) -> bool {
+        let max = self.max_saved();
+        let saved = self.saved.entry(service.to_string()).or_insert(max);
         if *saved < 1.0 {
             return false;
         }
@@ -49,29 +54,8 @@
         true
     }
 
-    pub fn keep(&mut self, is_held: impl Fn(&str) -> bool) {
-        self.saved.retain(|service, _| is_held(service));
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::Budget;
-
-    /// Where every request asks for a further try, all gatekeepers together stay within the rule.
-    #[test]
-    fn storms_are_bounded() {
-        let (ratio, slack, gatekeepers) = (0.2, 56.0, 8);
-        let (mut requests, mut further) = (0, 0);
-        let mut all: Vec<Budget> = (0..gatekeepers).map(|_| Budget::new(ratio, slack)).collect();
-        for n in 0..2000 {
-            let budget = &mut all[n % gatekeepers];
-            budget.shared_by(gatekeepers as u32);
-            budget.earn("s");
-            requests += 1;
-            further += u32::from(budget.spend("s"));
-            assert!(f64::from(further) <= ratio * f64::from(requests) + slack, "{further} of {requests}");
-        }
-        assert!(further > 150, "{further}");
+    /// Forgets services that the configuration does not hold any more.
+    pub fn retain_services(&mut self, is_configured: impl Fn(&str) -> bool) {
+        self.saved.retain(|service, _| is_configured(service));
     }
 }
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -1,154 +1,157 @@
-//! The ordinary path of every request: one token bucket for each tenant at this gatekeeper. A token, and the request
-//! goes on; none, and it is refused with the time to the next. The buckets of all gatekeepers hold together what the
-//! tenant's quota is, by the parts that the purse gives them.
+//! The ordinary path of every request: one token bucket for each tenant at this proxy. A token, and the request goes on;
+//! none, and it is rejected with the time to the next. The buckets of all proxies together hold what the tenant's quota is,
+//! by the shares that the quota allocator gives them.
 
 use std::collections::HashMap;
 
 use lynxstair::state::Store;
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_limits::{DEPTH, OVER_PART, SLACK_PART};
-use lynxstair_protocol::messages::{Count, Share};
+use lynxstair_control_state::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
+use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
-/// A part that was given stands for so long without the purse's word; then an even part is the most.
-const STANDS: Span = Span::from_millis(2500);
-/// The most that a client is told to wait while a tenant is closed: a second (design page).
-const CLOSED: Span = Span::from_millis(1000);
-/// Where a tenant was blocked lately, one token is the least depth.
-const LEAST: f64 = 1.0;
-/// Before it is told how many gatekeepers there are, one takes them for this many: after a start of all at once each
-/// would else spend the whole.
-const UNTOLD: f64 = 12.0;
-/// And a new one begins with this many at the least.
-const FIRST: f64 = 2.0;
+/// A share stands for so long without the allocator's word; then an even share is the most.
+const SHARE_VALIDITY: Span = Span::from_millis(2_500);
+/// The most that a client is told to wait while a tenant is blocked: a second (design page).
+const MAX_BLOCKED_WAIT: Span = Span::from_millis(1_000);
+const MIN_BLOCKED_WAIT: Span = Span::from_millis(1);
+/// The least depth where a tenant was blocked lately, in tokens.
+const MIN_THROTTLED_DEPTH: f64 = 1.0;
+/// Before it is told how many proxies there are, a proxy takes them for this many: after a start of all at once each would
+/// else spend the whole.
+const INITIAL_PROXIES: f64 = 12.0;
+/// A new bucket begins with this many tokens at the least.
+const MIN_INITIAL_TOKENS: f64 = 2.0;
 
 #[derive(Default)]
-struct Bucket {
+struct TokenBucket {
     tokens: Store,
-    /// The part of the quota that was given, and when.
-    part: Option<(f64, Time)>,
-    closed_until: Time,
-    tight_until: Time,
-    passed: u32,
-    refused: u32,
+    /// The share of the quota that was given, and when.
+    share: Option<(f64, Time)>,
+    blocked_until: Time,
+    throttled_until: Time,
+    admitted: u32,
+    rejected: u32,
 }
 
-pub struct Buckets {
-    all: HashMap<String, Bucket>,
-    gatekeepers: f64,
-    /// Requests, and a part of the quota, that the operators grant beyond it in a window.
-    slack: (f64, f64),
-}
-
-impl Bucket {
-    fn part(&self, now: Time, gatekeepers: f64) -> f64 {
-        match self.part {
-            Some((part, at)) if now - at < STANDS => part,
-            Some((part, _)) => part.min(1.0 / gatekeepers),
-            None => 1.0 / gatekeepers,
+impl TokenBucket {
+    fn share(&self, now: Time, proxies: f64) -> f64 {
+        let even = 1.0 / proxies;
+        match self.share {
+            Some((share, at)) if now - at < SHARE_VALIDITY => share,
+            Some((share, _)) => share.min(even),
+            None => even,
         }
     }
 }
 
-impl Buckets {
-    /// `requests` and a part of the quota, `over`, are granted beyond it in a window.
-    pub fn new(requests: f64, over: f64) -> Self {
-        Buckets { all: HashMap::new(), gatekeepers: UNTOLD, slack: (requests, over) }
+/// The buckets of all tenants at this proxy.
+pub struct TokenBuckets {
+    buckets: HashMap<String, TokenBucket>,
+    proxies: f64,
+    /// Requests that the operators grant beyond the quota in a window, over all proxies.
+    slack: f64,
+    /// The fraction by which they let the quota be exceeded on top of that.
+    overshoot: f64,
+}
+
+impl TokenBuckets {
+    /// `slack` requests and a fraction `overshoot` of the quota are granted beyond it in a window.
+    pub fn new(slack: f64, overshoot: f64) -> Self {
+        TokenBuckets { buckets: HashMap::new(), proxies: INITIAL_PROXIES, slack, overshoot }
     }
 
-    /// How many gatekeepers there are in all.
-    pub fn shared_by(&mut self, gatekeepers: u32) {
-        self.gatekeepers = f64::from(gatekeepers.max(1));
+    /// How many proxies there are in all.
+    pub fn set_proxy_count(&mut self, proxies: u32) {
+        self.proxies = f64::from(proxies.max(1));
     }
 
-    /// Whether a tenant's request goes on; else after how long it may come back. Decided at once, always.
+    /// Takes a token for a tenant's request; the error is the time after which it may come back. Decided at once, always.
     pub fn admit(&mut self, now: Time, tenant: &Tenant) -> Result<(), Span> {
         if tenant.rate <= 0.0 {
             return Ok(());
         }
-        let gatekeepers = self.gatekeepers;
-        let bucket = self.all.entry(tenant.name.clone()).or_insert_with(|| Bucket {
-            // Its burst is split over the gatekeepers.
-            tokens: Store { level: (tenant.burst / gatekeepers).max(FIRST), at: now },
-            ..Bucket::default()
+        let proxies = self.proxies;
+        let bucket = self.buckets.entry(tenant.name.clone()).or_insert_with(|| TokenBucket {
+            // The burst is split over the proxies.
+            tokens: Store { level: (tenant.burst / proxies).max(MIN_INITIAL_TOKENS), at: now },
+            ..TokenBucket::default()
         });
-        let part = bucket.part(now, gatekeepers);
-        let (requests, over) = self.slack;
-        let rate = tenant.rate * part * (1.0 + over * OVER_PART);
-        let most = tenant.burst * part + requests * SLACK_PART / gatekeepers;
-        let least = if now < bucket.tight_until { LEAST } else { DEPTH };
-        let level = bucket.tokens.fill(now, rate, most.max(least));
-        if now < bucket.closed_until {
+        let share = bucket.share(now, proxies);
+        let rate = tenant.rate * share * (1.0 + self.overshoot * OVERSHOOT_PART);
+        let depth = tenant.burst * share + self.slack * SLACK_PART / proxies;
+        let min_depth = if now < bucket.throttled_until { MIN_THROTTLED_DEPTH } else { MIN_DEPTH };
+        let level = bucket.tokens.fill(now, rate, depth.max(min_depth));
+        if now < bucket.blocked_until {
             // Nothing is saved up meanwhile.
             bucket.tokens.level = level.min(0.0);
-            bucket.refused += 1;
-            return Err(CLOSED.min(bucket.closed_until - now).max(Span::from_millis(1)));
+            bucket.rejected += 1;
+            return Err(MAX_BLOCKED_WAIT.min(bucket.blocked_until - now).max(MIN_BLOCKED_WAIT));
         }
         if level < 1.0 {
-            bucket.refused += 1;
+            bucket.rejected += 1;
             return Err(Span::from_secs((1.0 - level) / rate));
         }
         bucket.tokens.level -= 1.0;
-        bucket.passed += 1;
+        bucket.admitted += 1;
         Ok(())
     }
 
-    /// A token that was not spent after all: the request went to no worker.
-    pub fn give_back(&mut self, tenant: &str) {
-        if let Some(bucket) = self.all.get_mut(tenant).filter(|b| b.passed > 0) {
-            bucket.passed -= 1;
+    /// Returns a token that was not spent after all: the request went to no worker.
+    pub fn refund(&mut self, tenant: &str) {
+        if let Some(bucket) = self.buckets.get_mut(tenant).filter(|b| b.admitted > 0) {
+            bucket.admitted -= 1;
             bucket.tokens.level += 1.0;
         }
     }
 
-    /// The parts that are held.
-    pub fn holds(&self, now: Time) -> Vec<(String, f32)> {
-        let n = self.gatekeepers;
-        let given = self.all.iter().filter(|(_, b)| b.part.is_some());
-        given.map(|(tenant, b)| (tenant.clone(), b.part(now, n) as f32)).collect()
+    /// The shares that were given, by tenant.
+    pub fn held_shares(&self, now: Time) -> Vec<(String, f32)> {
+        let given = self.buckets.iter().filter(|(_, bucket)| bucket.share.is_some());
+        given.map(|(tenant, bucket)| (tenant.clone(), bucket.share(now, self.proxies) as f32)).collect()
     }
 
-    /// What was counted since the last time.
-    pub fn counts(&mut self) -> Vec<Count> {
-        let counted = self.all.iter_mut().filter(|(_, b)| b.passed + b.refused > 0);
+    /// What was counted since the last call.
+    pub fn take_usage(&mut self) -> Vec<TenantUsage> {
+        let counted = self.buckets.iter_mut().filter(|(_, b)| b.admitted + b.rejected > 0);
         counted
-            .map(|(tenant, b)| Count {
+            .map(|(tenant, bucket)| TenantUsage {
                 tenant: tenant.clone(),
-                passed: std::mem::take(&mut b.passed),
-                refused: std::mem::take(&mut b.refused),
-                ago_ms: 0,
+                admitted: std::mem::take(&mut bucket.admitted),
+                rejected: std::mem::take(&mut bucket.rejected),
+                age_ms: 0,
             })
             .collect()
     }
 
-    /// What the purse says, in answer to a ping that was sent then or to all at once.
-    pub fn hear(&mut self, now: Time, sent_at: Time, shares: &[Share]) {
+    /// Takes over shares, as of `given_at`.
+    pub fn apply_shares(&mut self, now: Time, given_at: Time, shares: &[QuotaShare]) {
         for share in shares {
-            let bucket = self.all.entry(share.tenant.clone()).or_default();
-            if share.part.is_finite() {
-                bucket.part = Some((f64::from(share.part).clamp(0.0, 1.0), sent_at));
+            let bucket = self.buckets.entry(share.tenant.clone()).or_default();
+            if share.fraction.is_finite() {
+                bucket.share = Some((f64::from(share.fraction).clamp(0.0, 1.0), given_at));
             }
-            if share.closed_ms > 0 {
-                bucket.closed_until = now + Span::from_millis(u64::from(share.closed_ms));
+            if share.blocked_ms > 0 {
+                bucket.blocked_until = now + Span::from_millis(u64::from(share.blocked_ms));
                 bucket.tokens.level = bucket.tokens.level.min(0.0);
             }
-            if share.tight_ms > 0 {
-                bucket.tight_until = now + Span::from_millis(u64::from(share.tight_ms));
+            if share.throttled_ms > 0 {
+                bucket.throttled_until = now + Span::from_millis(u64::from(share.throttled_ms));
             }
         }
     }
 
-    /// The core that leads answers: what was given before still stands.
-    pub fn renew(&mut self, sent_at: Time) {
-        for bucket in self.all.values_mut() {
-            if let Some((_, at)) = &mut bucket.part {
+    /// The leader has acknowledged a heartbeat that was sent then: the shares that were given before still stand.
+    pub fn renew_shares(&mut self, sent_at: Time) {
+        for bucket in self.buckets.values_mut() {
+            if let Some((_, at)) = &mut bucket.share {
                 *at = sent_at.max(*at);
             }
         }
     }
 
-    /// Lets go of tenants that no configuration holds any more.
-    pub fn keep(&mut self, is_held: impl Fn(&str) -> bool) {
-        self.all.retain(|tenant, _| is_held(tenant));
+    /// Forgets tenants that the configuration does not hold any more.
+    pub fn retain_tenants(&mut self, is_configured: impl Fn(&str) -> bool) {
+        self.buckets.retain(|tenant, _| is_configured(tenant));
     }
 }
--- a/crates/routing/tests/attempt.rs
+++ b/crates/routing/tests/attempt.rs
@@ -1,17 +1,19 @@
 //! Every order in which a try can meet things, against what the protocol's page lets be said of it.
 
-use lynxstair_routing::attempt::{End, Heard, Met, Step, Stop, Try, Whose};
-use lynxstair_routing::execution::Verdict;
+use lynxstair_routing::attempt::{
+    Attempt, AttemptEnd, AttemptEvent, AttemptStep, ReplyHead, ReplyOwner, StopReason,
+};
+use lynxstair_routing::execution::Execution;
 
 /// All answers that differ in what is judged.
-fn answers() -> Vec<Heard> {
+fn answers() -> Vec<ReplyHead> {
     let mut all = Vec::new();
-    for whose in [Whose::Ours, Whose::Anothers, Whose::Nobodys, Whose::Unclear] {
+    for whose in [ReplyOwner::Own, ReplyOwner::Other, ReplyOwner::Unidentified, ReplyOwner::Ambiguous] {
         for status in [100, 200, 302, 400, 404, 408, 421, 429, 500, 503, 504] {
             for bits in 0..16 {
                 let bit = |n: u32| bits >> n & 1 == 1;
-                all.push(Heard {
-                    whose,
+                all.push(ReplyHead {
+                    owner: whose,
                     status,
                     says_not_run: bit(0),
                     is_sealed: bit(1),
@@ -25,67 +27,79 @@
 }
 
 /// What the worker may have done, told by all that was met, without the room's own states.
-fn check(is_first: bool, met: &[Met], end: End) {
-    let whole_left = met.contains(&Met::Taken { all: true });
-    let is_surplus = |m: &Met| matches!(m, Met::Answer(h) if h.status >= 200 && matches!(h.whose, Whose::Anothers | Whose::Nobodys));
+fn check(is_first: bool, met: &[AttemptEvent], end: AttemptEnd) {
+    let whole_left = met.contains(&AttemptEvent::Taken { all: true });
+    let is_surplus = |m: &AttemptEvent| matches!(m, AttemptEvent::Reply(h) if h.status >= 200 && matches!(h.owner, ReplyOwner::Other | ReplyOwner::Unidentified));
     let last = met[met.len() - 1];
-    let answer = if let Met::Answer(heard) = last { Some(heard) } else { None };
-    let ours = answer.filter(|h| h.whose == Whose::Ours);
+    let answer = if let AttemptEvent::Reply(heard) = last { Some(heard) } else { None };
+    let ours = answer.filter(|h| h.owner == ReplyOwner::Own);
     let surplus_before = met[..met.len() - 1].iter().any(is_surplus);
-    match end.verdict {
-        Verdict::NeverRan => {
+    match end.execution {
+        Execution::NeverRan => {
             // Its last byte never left and nothing of it was answered; or the worker says so: of it, or of the only
             // request that it can mean.
             let says_so = ours
                 .is_some_and(|h| h.status == 421 || h.says_not_run && [400, 429, 503].contains(&h.status));
             let means_it = answer.is_some_and(|h| {
-                h.whose == Whose::Nobodys && h.status == 400 && h.says_not_run && is_first && !surplus_before
+                h.owner == ReplyOwner::Unidentified
+                    && h.status == 400
+                    && h.says_not_run
+                    && is_first
+                    && !surplus_before
             });
-            let is_begun = matches!(last, Met::Garbled | Met::Answer(_) | Met::Stopped { in_part: true, .. });
-            let unsent = !whole_left && (!is_begun || !met.iter().any(|m| matches!(m, Met::Taken { .. })));
+            let is_begun = matches!(
+                last,
+                AttemptEvent::Garbled
+                    | AttemptEvent::Reply(_)
+                    | AttemptEvent::Stopped { has_partial_reply: true, .. }
+            );
+            let unsent =
+                !whole_left && (!is_begun || !met.iter().any(|m| matches!(m, AttemptEvent::Taken { .. })));
             assert!(says_so || means_it || unsent, "{met:?}: {end:?}");
         }
-        Verdict::Ran | Verdict::Failed => {
+        Execution::Ran | Execution::Failed => {
             let heard = ours.unwrap_or_else(|| panic!("{met:?}: {end:?}"));
             assert!(!heard.is_encoded && !heard.says_not_run && heard.status >= 200, "{met:?}: {end:?}");
             assert!(heard.is_sealed || !(200..300).contains(&heard.status), "{met:?}: {end:?}");
             assert!(![408, 421, 429, 503].contains(&heard.status), "a promise of ours: {met:?}: {end:?}");
-            assert_eq!(end.verdict == Verdict::Failed, heard.status >= 500, "{met:?}");
+            assert_eq!(end.execution == Execution::Failed, heard.status >= 500, "{met:?}");
         }
-        Verdict::MayHaveRun => {}
+        Execution::MayHaveRun => {}
     }
-    if end.keep {
+    if end.keep_connection {
         let clean = ours.is_some_and(|h| h.is_clean);
         assert!(clean && whole_left && !surplus_before, "{met:?}: {end:?}");
     }
-    if whole_left && ours.is_none() && !matches!(last, Met::Answer(_)) {
-        assert_eq!(end.verdict, Verdict::MayHaveRun, "{met:?}");
+    if whole_left && ours.is_none() && !matches!(last, AttemptEvent::Reply(_)) {
+        assert_eq!(end.execution, Execution::MayHaveRun, "{met:?}");
     }
 }
 
 /// Goes on from what was met so far, whatever comes next; the number of ends seen.
-fn play(is_first: bool, met: &mut Vec<Met>, deep: usize, answers: &[Heard]) -> usize {
-    let mut next: Vec<Met> = answers.iter().map(|h| Met::Answer(*h)).collect();
-    next.push(Met::Garbled);
-    for why in [Stop::Lost, Stop::ClientGone, Stop::TimeUp] {
-        next.extend([false, true].map(|in_part| Met::Stopped { why, in_part }));
+fn play(is_first: bool, met: &mut Vec<AttemptEvent>, deep: usize, answers: &[ReplyHead]) -> usize {
+    let mut next: Vec<AttemptEvent> = answers.iter().map(|h| AttemptEvent::Reply(*h)).collect();
+    next.push(AttemptEvent::Garbled);
+    for why in [StopReason::ConnectionLost, StopReason::ClientGone, StopReason::DeadlineReached] {
+        next.extend(
+            [false, true].map(|in_part| AttemptEvent::Stopped { reason: why, has_partial_reply: in_part }),
+        );
     }
-    if !met.contains(&Met::Taken { all: true }) {
-        next.extend([false, true].map(|all| Met::Taken { all }));
+    if !met.contains(&AttemptEvent::Taken { all: true }) {
+        next.extend([false, true].map(|all| AttemptEvent::Taken { all }));
     }
     let mut ends = 0;
     for one in next {
         // Nothing is answered before something was handed over.
-        if met.is_empty() && matches!(one, Met::Answer(_) | Met::Garbled) {
+        if met.is_empty() && matches!(one, AttemptEvent::Reply(_) | AttemptEvent::Garbled) {
             continue;
         }
-        let mut this = Try::begin(is_first);
+        let mut this = Attempt::new(is_first);
         met.iter().for_each(|m| {
-            this.step(*m);
+            this.on_event(*m);
         });
         met.push(one);
-        match this.step(one) {
-            Step::Over(end) => {
+        match this.on_event(one) {
+            AttemptStep::Ended(end) => {
                 check(is_first, met, end);
                 ends += 1;
             }
--- a/crates/routing/tests/proxy_counts.rs
+++ b/crates/routing/tests/proxy_counts.rs
@@ -1,7 +1,7 @@
 //! Over how many gatekeepers things are split, while leaders come and go.
 
 use lynxstair::types::Time;
-use lynxstair_routing::proxy_counts::Sharing;
+use lynxstair_routing::proxy_counts::ProxyCounts;
 
 /// A new leader finds gatekeepers one by one: the count before stands till it has found them all, and a gatekeeper more is
 /// counted at once; one that is gone for good gives its part free after a while.
@@ -9,7 +9,7 @@
 fn fewer_only_after_a_while() {
     let at = |ms: u64| Time::from_nanos((100_000 + ms) * 1_000_000);
     let zones = |a: u32, b: u32| vec![("a".to_string(), a), ("b".to_string(), b)];
-    let mut sharing = Sharing::default();
+    let mut sharing = ProxyCounts::default();
     // When, what is told; what goes then.
     let cases = [
         (0, Some(zones(21, 20)), zones(21, 20)),
@@ -23,9 +23,9 @@
     ];
     for (ms, told, wanted) in cases {
         match told {
-            Some(told) => sharing.hear(at(ms), &told),
+            Some(told) => sharing.record(at(ms), &told),
             None => {
-                sharing.forget(at(ms));
+                sharing.expire(at(ms));
             }
         }
         assert_eq!(sharing.zones(), wanted, "at {ms} ms");
--- /dev/null
+++ b/crates/routing/tests/retry_budget.rs
@@ -0,0 +1,20 @@
+//! The retry budget of several proxies together.
+
+use lynxstair_routing::retry_budget::RetryBudget;
+
+/// Where every request asks for a retries try, all proxies together stay within the rule.
+#[test]
+fn storms_are_bounded() {
+    let (ratio, slack, proxies) = (0.2, 56.0, 8);
+    let (mut requests, mut retries) = (0, 0);
+    let mut all: Vec<RetryBudget> = (0..proxies).map(|_| RetryBudget::new(ratio, slack)).collect();
+    for n in 0..2000 {
+        let budget = &mut all[n % proxies];
+        budget.set_proxy_count(proxies as u32);
+        budget.earn("s");
+        requests += 1;
+        retries += u32::from(budget.try_spend("s"));
+        assert!(f64::from(retries) <= ratio * f64::from(requests) + slack, "{retries} of {requests}");
+    }
+    assert!(retries > 150, "{retries}");
+}
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What gatekeepers that can't hear the core send to workers that may have turned cold meanwhile.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_routing::slow_start::Cold;
+use lynxstair_routing::slow_start::SlowStart;
 
 /// A zone is cut off from the core, emptied, and its workers turn cold: nobody in it is told. Whatever its gatekeepers would
 /// like to send, together they keep to what a cold worker may get in any second; and a worker that is warm goes on to
@@ -11,13 +11,13 @@
     for (per_s, overshoot, slack, sharing) in [(2.9, 1.5, 5.0, 3), (22.0, 1.5, 5.0, 2), (22.0, 1.5, 8.0, 15)]
     {
         let most = per_s * overshoot + slack;
-        let mut passes: Vec<Cold> = (0..sharing).map(|_| Cold::new(overshoot, slack)).collect();
+        let mut passes: Vec<SlowStart> = (0..sharing).map(|_| SlowStart::new(overshoot, slack)).collect();
         let mut sent: Vec<u64> = Vec::new();
         for ms in 0..20_000 {
             let now = Time::from_nanos(1_000_000_000) + Span::from_millis(ms);
             for cold in &mut passes {
-                if cold.has_room_unheard(now, "i-1", per_s, sharing) {
-                    cold.take_unheard("i-1");
+                if cold.admits_unknown(now, "i-1", per_s, sharing) {
+                    cold.spend_unknown("i-1");
                     sent.push(ms);
                 }
             }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,6 +1,7 @@
-//! Lines between the system's own processes: frames of CBOR on one TCP connection, written at once, never waited
-//! for. A line that breaks is opened anew by who opened it; what was on the way is lost, and both sides know that.
+//! Connections between the system's own processes: CBOR frames on one TCP connection. Writes never wait; a connection that
+//! breaks is reopened by the side that opened it. What was in flight is lost then, and both sides know that.
 #![deny(unsafe_code)]
+#![warn(missing_docs)]
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,66 +14,101 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// What a line holds of one direction.
-pub const MOST: usize = frames::MOST_FRAME + 4;
-/// Bytes that nobody acknowledges for so long end a line.
-const SILENCE: Span = Span::from_millis(1_500);
+/// The buffer of one direction, in bytes: it holds the longest frame.
+pub const MAX_BUFFER: usize = frames::MAX_FRAME_LEN + 4;
+/// Bytes that stay unacknowledged for so long end a connection (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// Opens a line; None where that fails or takes longer than `within`, which is to be little more than the longest way
-/// there and back: what was sent to a machine without power is sent again after seconds only.
-pub fn open(alarms: &Alarms, to: SocketAddr, within: Span) -> Option<Arc<Conn>> {
-    let conn = Arc::new(Conn::open(to, MOST).ok()?);
-    let until = alarms.now() + within;
-    alarms.nudge(until, &conn);
-    if !connected(alarms, &conn, until) {
+/// Opens a connection; None where that fails or takes longer than `timeout`. The time-out should be little more than the
+/// longest round trip: a lost opening packet is repeated after seconds only.
+pub fn connect(alarms: &Alarms, to: SocketAddr, timeout: Span) -> Option<Arc<Conn>> {
+    let conn = Arc::new(Conn::open(to, MAX_BUFFER).ok()?);
+    let deadline = alarms.now() + timeout;
+    alarms.nudge(deadline, &conn);
+    if conn.connected_by(|| alarms.now() >= deadline).is_err() {
         conn.close();
         return None;
     }
-    limit(&conn);
+    limit_unacknowledged(&conn);
     Some(conn)
 }
 
-fn connected(alarms: &Alarms, conn: &Arc<Conn>, until: lynxstair::types::Time) -> bool {
-    conn.connected_by(|| alarms.now() >= until).is_ok()
+/// How a connection is kept open.
+#[derive(Clone, Copy, Debug)]
+pub struct ReconnectPolicy {
+    /// How long an attempt to connect may take.
+    pub connect_timeout: Span,
+    /// The pause after a connection has ended, and after the first failed attempt.
+    pub min_delay: Span,
+    /// The longest pause, after many failed attempts.
+    pub max_delay: Span,
 }
 
-pub fn limit(conn: &Conn) {
-    conn.limit_silence(SILENCE);
+/// Each failed attempt makes the next pause longer by this factor.
+const BACKOFF_FACTOR: f64 = 1.25;
+
+/// Keeps a connection open for as long as it is wanted, and has each one served until it ends; for a coroutine of its own.
+pub fn keep_connected(
+    alarms: &Alarms,
+    to: SocketAddr,
+    policy: ReconnectPolicy,
+    is_wanted: impl Fn() -> bool,
+    mut serve: impl FnMut(&Arc<Conn>),
+) {
+    let mut delay = policy.min_delay;
+    while is_wanted() {
+        match connect(alarms, to, policy.connect_timeout) {
+            Some(conn) => {
+                delay = policy.min_delay;
+                serve(&conn);
+                conn.close();
+            }
+            None => delay = delay.times(BACKOFF_FACTOR).min(policy.max_delay),
+        }
+        alarms.sleep_until(alarms.now() + delay);
+    }
+}
+
+/// Has the kernel end a connection whose bytes nobody acknowledges.
+pub fn limit_unacknowledged(conn: &Conn) {
+    conn.limit_silence(UNACKNOWLEDGED_TIMEOUT);
 }
 
-/// A word as it goes over a line.
-pub fn frame<T: Serialize>(word: &T) -> Vec<u8> {
+/// A message encoded as a frame, for several connections perhaps.
+pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut out = Vec::new();
-    frames::put(word, &mut out);
+    frames::encode(message, &mut out);
     out
 }
 
-/// Writes a frame; a line that leads nowhere is closed.
-pub fn write(conn: &Conn, frame: &[u8], most_unsent: usize) {
-    if conn.unsent() > most_unsent || conn.write(|out| out.write_all(frame)).is_err() {
+/// Writes a frame without waiting. The connection is closed where more than `max_unsent` bytes are still unsent, as
+/// nobody reads at its other end.
+pub fn write(conn: &Conn, frame: &[u8], max_unsent: usize) {
+    if conn.unsent() > max_unsent || conn.write(|out| out.write_all(frame)).is_err() {
         conn.close();
     }
 }
 
-/// Reads words to the end of the line, or until one is answered with false.
-pub fn read<T: DeserializeOwned>(conn: &Conn, mut hear: impl FnMut(T) -> bool) {
-    read_while(conn, |word: Option<T>| word.is_none_or(&mut hear));
+/// Reads messages until the connection ends or `handle` returns false.
+pub fn read<T: DeserializeOwned>(conn: &Conn, mut handle: impl FnMut(T) -> bool) {
+    read_while(conn, |message: Option<T>| message.is_none_or(&mut handle));
 }
 
-/// The same, where whoever listens is also asked, by None, each time that it is woken.
-pub fn read_while<T: DeserializeOwned>(conn: &Conn, mut hear: impl FnMut(Option<T>) -> bool) {
+/// The same, where `handle` is also called with None at each wake-up, before what arrived is decoded.
+pub fn read_while<T: DeserializeOwned>(conn: &Conn, mut handle: impl FnMut(Option<T>) -> bool) {
     loop {
-        if conn.read() != Got::Bytes || !hear(None) {
+        if conn.read() != Got::Bytes || !handle(None) {
             return;
         }
         loop {
             let mut inbound = conn.inbound();
-            match frames::take::<T>(inbound.bytes()) {
+            match frames::decode::<T>(inbound.bytes()) {
                 Ok(None) => break,
-                Ok(Some((word, length))) => {
+                Ok(Some((message, length))) => {
                     inbound.consume(length);
+                    // The handler may write to this connection.
                     drop(inbound);
-                    if !hear(Some(word)) {
+                    if !handle(Some(message)) {
                         return;
                     }
                 }
