--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Huts on a virtual clock, with a network that loses, delays and cuts (both ways or one), disks that are slow, lose
+//! Replicas on a virtual clock, with a network that loses, delays and cuts (both ways or one), disks that are slow, lose
 //! what was not synced with the power, or are emptied, machines that stand still, are killed at any step or are gone
 //! for good while empty ones come at other addresses. The judge knows only what was committed where, what was
 //! acknowledged and what was read: states are lists of changes, and each must go on from the one before.
@@ -14,8 +14,8 @@
     format!("10.0.0.{}:80", n + 1).parse().expect("an address")
 }
 
-struct Hut {
-    room: Option<Consensus>,
+struct Replica {
+    consensus: Option<Consensus>,
     disk: Option<PersistentState>,
     /// Writes on their way to the disk: when they are synced.
     writes: Vec<(Time, u64, PersistentState)>,
@@ -30,7 +30,7 @@
 struct World {
     now: Time,
     rng: Rng,
-    huts: Vec<Hut>,
+    replicas: Vec<Replica>,
     tolerated: usize,
     messages: BTreeMap<(Time, u64), (usize, usize, Message)>,
     last: u64,
@@ -54,7 +54,7 @@
         let mut world = World {
             now: Time::from_nanos(1_000_000_000),
             rng: Rng::new(seed),
-            huts: Vec::new(),
+            replicas: Vec::new(),
             tolerated: n / 2,
             messages: BTreeMap::new(),
             last: 0,
@@ -69,14 +69,14 @@
             unwell: None,
         };
         (0..n).for_each(|_| world.come(Span::ZERO));
-        (0..n).for_each(|hut| world.start(hut, true));
+        (0..n).for_each(|replica| world.start(replica, true));
         world
     }
 
     /// One more machine, with nothing on its disk.
     fn come(&mut self, after: Span) {
-        self.huts.push(Hut {
-            room: None,
+        self.replicas.push(Replica {
+            consensus: None,
             disk: None,
             writes: Vec::new(),
             back_at: self.now + after,
@@ -87,61 +87,61 @@
         });
     }
 
-    fn start(&mut self, hut: usize, bootstrap: bool) {
+    fn start(&mut self, replica: usize, bootstrap: bool) {
         // Three are named, whatever has become of them since.
         let seeds: Vec<NodeAddress> = (0..3).map(node).collect();
         let boot = ConsensusConfig {
-            me: node(hut),
+            me: node(replica),
             seeds: &seeds,
             seed: u64::from(self.rng.draw()),
-            stored: self.huts[hut].disk.clone(),
+            stored: self.replicas[replica].disk.clone(),
             bootstrap,
             tolerated: self.tolerated,
             catch_up: Span::from_millis(4000),
         };
-        self.huts[hut].room = Some(Consensus::new(self.now, boot));
-        self.act(hut);
+        self.replicas[replica].consensus = Some(Consensus::new(self.now, boot));
+        self.act(replica);
     }
 
     /// Power is lost (or the process killed, where `keeps` what was written but not synced).
-    fn stop(&mut self, hut: usize, keeps: bool, down: Span) {
-        let h = &mut self.huts[hut];
+    fn stop(&mut self, replica: usize, keeps: bool, down: Span) {
+        let h = &mut self.replicas[replica];
         if keeps && let Some((_, _, record)) = h.writes.last() {
             h.disk = Some(record.clone());
         }
         h.writes.clear();
-        h.room = None;
+        h.consensus = None;
         h.committed.clear();
         h.back_at = self.now + down;
-        self.open.retain(|(at, _, _)| *at != hut);
-        self.reads.retain(|(at, _, _)| *at != hut);
+        self.open.retain(|(at, _, _)| *at != replica);
+        self.reads.retain(|(at, _, _)| *at != replica);
     }
 
     fn all(&mut self, keeps: bool, down: Span) {
-        (0..self.huts.len())
-            .filter(|h| !self.huts[*h].is_gone)
+        (0..self.replicas.len())
+            .filter(|h| !self.replicas[*h].is_gone)
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|hut| self.stop(hut, keeps, down));
+            .for_each(|replica| self.stop(replica, keeps, down));
     }
 
-    fn act(&mut self, hut: usize) {
+    fn act(&mut self, replica: usize) {
         loop {
-            let Some(room) = &mut self.huts[hut].room else { return };
-            let todo = room.take_actions();
+            let Some(consensus) = &mut self.replicas[replica].consensus else { return };
+            let todo = consensus.take_actions();
             if todo.is_empty() {
                 return;
             }
             for item in todo {
                 match item {
                     Action::Persist(number, record) => {
-                        let at = self.now + self.huts[hut].sync;
-                        self.huts[hut].writes.push((at, number, record));
+                        let at = self.now + self.replicas[replica].sync;
+                        self.replicas[replica].writes.push((at, number, record));
                     }
-                    Action::Send(to, message) => self.say(hut, to, message),
-                    Action::Committed(_, state) => self.committed(hut, &state.0),
+                    Action::Send(to, message) => self.say(replica, to, message),
+                    Action::Committed(_, state) => self.committed(replica, &state.0),
                     Action::ProposalDone(number, committed) => {
-                        let which = self.open.iter().position(|(at, n, _)| (*at, *n) == (hut, number));
+                        let which = self.open.iter().position(|(at, n, _)| (*at, *n) == (replica, number));
                         if let Some(which) = which {
                             let (_, _, change) = self.open.remove(which);
                             if committed {
@@ -150,11 +150,11 @@
                         }
                     }
                     Action::ReadDone(number, sure) => {
-                        let which = self.reads.iter().position(|(at, n, _)| (*at, *n) == (hut, number));
+                        let which = self.reads.iter().position(|(at, n, _)| (*at, *n) == (replica, number));
                         let (_, _, acked) = self.reads.remove(which.expect("one that was asked"));
                         if sure {
                             self.answered += 1;
-                            let read = &self.huts[hut].committed;
+                            let read = &self.replicas[replica].committed;
                             let missing = self.acked[..acked].iter().find(|a| !read.contains(a));
                             assert_eq!(missing, None, "acknowledged before the read, and not in {read:?}");
                         }
@@ -165,7 +165,7 @@
     }
 
     fn say(&mut self, from: usize, to: NodeAddress, message: Message) {
-        let to = (0..self.huts.len()).find(|n| node(*n) == to).expect("a hut");
+        let to = (0..self.replicas.len()).find(|n| node(*n) == to).expect("a replica");
         let is_cut = self.cut.is_some_and(|(who, _, one_way)| who == from || who == to && !one_way);
         if !is_cut && self.rng.unit() >= self.losses {
             let delay = Span::from_secs(0.0005 + 0.004 * self.rng.unit().powi(3));
@@ -174,10 +174,10 @@
         }
     }
 
-    fn committed(&mut self, hut: usize, state: &[u8]) {
-        let old = &self.huts[hut].committed;
-        assert!(state.starts_with(old), "hut {hut} goes back from {old:?} to {state:?}");
-        self.huts[hut].committed = state.to_vec();
+    fn committed(&mut self, replica: usize, state: &[u8]) {
+        let old = &self.replicas[replica].committed;
+        assert!(state.starts_with(old), "replica {replica} goes back from {old:?} to {state:?}");
+        self.replicas[replica].committed = state.to_vec();
         if state.len() > self.longest.len() {
             assert!(state.starts_with(&self.longest), "{:?} was committed, and now {state:?}", self.longest);
             self.longest = state.to_vec();
@@ -189,41 +189,41 @@
     fn step(&mut self) {
         self.now = self.now + Span::from_millis(1);
         let now = self.now;
-        for hut in 0..self.huts.len() {
-            if self.huts[hut].is_gone || self.huts[hut].stands_still_until > now {
+        for replica in 0..self.replicas.len() {
+            if self.replicas[replica].is_gone || self.replicas[replica].stands_still_until > now {
                 continue;
             }
-            if self.huts[hut].room.is_none() {
-                if now >= self.huts[hut].back_at {
-                    self.start(hut, false);
+            if self.replicas[replica].consensus.is_none() {
+                if now >= self.replicas[replica].back_at {
+                    self.start(replica, false);
                 }
                 continue;
             }
-            while let Some((at, number, record)) = self.huts[hut].writes.first().cloned()
+            while let Some((at, number, record)) = self.replicas[replica].writes.first().cloned()
                 && at <= now
             {
-                self.huts[hut].writes.remove(0);
-                self.huts[hut].disk = Some(record);
-                self.huts[hut].room.as_mut().expect("runs").on_persisted(now, number);
-                self.act(hut);
+                self.replicas[replica].writes.remove(0);
+                self.replicas[replica].disk = Some(record);
+                self.replicas[replica].consensus.as_mut().expect("runs").on_persisted(now, number);
+                self.act(replica);
             }
-            self.huts[hut].room.as_mut().expect("runs").tick(now);
-            self.act(hut);
-            // Every hut keeps a line to all that it knows of, and so is seen by them.
-            let other = (now.nanos() / 1_000_000) as usize % self.huts.len();
-            if self.huts[other].room.is_some() && self.cut.is_none() {
-                self.huts[hut].room.as_mut().expect("runs").on_peer_seen(now, node(other));
-                self.act(hut);
+            self.replicas[replica].consensus.as_mut().expect("runs").tick(now);
+            self.act(replica);
+            // Every replica keeps a line to all that it knows of, and so is seen by them.
+            let other = (now.nanos() / 1_000_000) as usize % self.replicas.len();
+            if self.replicas[other].consensus.is_some() && self.cut.is_none() {
+                self.replicas[replica].consensus.as_mut().expect("runs").on_peer_seen(now, node(other));
+                self.act(replica);
             }
         }
         let due: Vec<_> = self.messages.range(..=(now, u64::MAX)).map(|(key, _)| *key).collect();
         for key in due {
             let (from, to, message) = self.messages.remove(&key).expect("due");
-            if self.huts[to].stands_still_until > now {
+            if self.replicas[to].stands_still_until > now {
                 // It lies in the kernel until the machine goes on.
-                self.messages.insert((self.huts[to].stands_still_until, key.1), (from, to, message));
-            } else if let Some(room) = &mut self.huts[to].room {
-                room.handle_message(now, node(from), message);
+                self.messages.insert((self.replicas[to].stands_still_until, key.1), (from, to, message));
+            } else if let Some(consensus) = &mut self.replicas[to].consensus {
+                consensus.handle_message(now, node(from), message);
                 self.act(to);
             }
         }
@@ -234,90 +234,96 @@
 
     /// An operator asks whoever says that it leads.
     fn propose(&mut self) {
-        for hut in 0..self.huts.len() {
-            let mut state = self.huts[hut].committed.clone();
-            let Some(room) = &mut self.huts[hut].room else { continue };
-            if room.is_established_leader() && !room.has_uncommitted() && self.next_change < 250 {
+        for replica in 0..self.replicas.len() {
+            let mut state = self.replicas[replica].committed.clone();
+            let Some(consensus) = &mut self.replicas[replica].consensus else { continue };
+            if consensus.is_established_leader() && !consensus.has_uncommitted() && self.next_change < 250 {
                 state.push(self.next_change);
-                if let Some(number) = room.propose(self.now, state) {
-                    self.open.push((hut, number, self.next_change));
+                if let Some(number) = consensus.propose(self.now, state) {
+                    self.open.push((replica, number, self.next_change));
                     self.next_change += 1;
                 }
-                self.act(hut);
+                self.act(replica);
             }
         }
     }
 
     fn read(&mut self) {
-        for hut in 0..self.huts.len() {
-            let Some(room) = &mut self.huts[hut].room else { continue };
-            if let Some(number) = room.request_read(self.now) {
-                self.reads.push((hut, number, self.acked.len()));
+        for replica in 0..self.replicas.len() {
+            let Some(consensus) = &mut self.replicas[replica].consensus else { continue };
+            if let Some(number) = consensus.request_read(self.now) {
+                self.reads.push((replica, number, self.acked.len()));
             }
-            self.act(hut);
+            self.act(replica);
         }
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..self.huts.len())
-            .find(|h| self.huts[*h].room.as_ref().is_some_and(Consensus::is_established_leader))
+        (0..self.replicas.len())
+            .find(|h| self.replicas[*h].consensus.as_ref().is_some_and(Consensus::is_established_leader))
     }
 
     /// It votes by the disk that it has now, as a leader sees it, and holds what is committed.
-    fn is_well(&self, hut: usize) -> bool {
-        let Some(leader) = self.leader().and_then(|l| self.huts[l].room.as_ref()) else { return false };
-        let Some(disk) = &self.huts[hut].disk else { return false };
-        let member = Member { node: node(hut), disk: disk.disk };
+    fn is_well(&self, replica: usize) -> bool {
+        let Some(leader) = self.leader().and_then(|l| self.replicas[l].consensus.as_ref()) else {
+            return false;
+        };
+        let Some(disk) = &self.replicas[replica].disk else { return false };
+        let member = Member { node: node(replica), disk: disk.disk };
         leader.voters().contains(&member)
             && leader.outgoing_voter().is_none()
             && !leader.has_uncommitted()
-            && self.huts[hut].committed == self.longest
+            && self.replicas[replica].committed == self.longest
     }
 
     fn trouble(&mut self) {
-        let here: Vec<usize> = (0..self.huts.len()).filter(|h| !self.huts[*h].is_gone).collect();
-        let hut = match (self.rng.draw() % 2, self.leader()) {
+        let here: Vec<usize> = (0..self.replicas.len()).filter(|h| !self.replicas[*h].is_gone).collect();
+        let replica = match (self.rng.draw() % 2, self.leader()) {
             (0, Some(leader)) => leader,
             _ => here[self.rng.draw() as usize % here.len()],
         };
         match self.rng.draw() % 11 {
-            0 => self.stop(hut, true, Span::from_millis(300)),
-            1 => self.stop(hut, false, Span::from_millis(900)),
+            0 => self.stop(replica, true, Span::from_millis(300)),
+            1 => self.stop(replica, false, Span::from_millis(900)),
             2 => {
-                self.cut = Some((hut, self.now + Span::from_millis(2500), self.rng.draw().is_multiple_of(2)))
+                self.cut =
+                    Some((replica, self.now + Span::from_millis(2500), self.rng.draw().is_multiple_of(2)))
+            }
+            3 => {
+                self.replicas[replica].sync =
+                    Span::from_millis([1, 1, 30, 1500][self.rng.draw() as usize % 4])
             }
-            3 => self.huts[hut].sync = Span::from_millis([1, 1, 30, 1500][self.rng.draw() as usize % 4]),
             4 => self.all(false, Span::from_millis(400)),
             5 => self.all(true, Span::from_millis(200)),
             6 => {
                 let long = [300, 700, 2000, 6000][self.rng.draw() as usize % 4];
-                self.huts[hut].stands_still_until = self.now + Span::from_millis(long);
+                self.replicas[replica].stands_still_until = self.now + Span::from_millis(long);
             }
-            kind => self.lose(hut, kind),
+            kind => self.lose(replica, kind),
         }
     }
 
     /// A disk is emptied, at times while all others lose power; or a machine is gone for good, and an empty one comes
     /// at another address, at times before it. Not before the last one is well again, as long as it is there.
-    fn lose(&mut self, hut: usize, kind: u32) {
-        if self.unwell.is_some_and(|u| !self.is_well(u)) || !self.is_well(hut) {
+    fn lose(&mut self, replica: usize, kind: u32) {
+        if self.unwell.is_some_and(|u| !self.is_well(u)) || !self.is_well(replica) {
             return;
         }
         match kind {
             7 | 8 => {
-                self.unwell = Some(hut);
+                self.unwell = Some(replica);
                 if kind == 8 {
                     self.all(false, Span::from_millis(500));
                 }
-                self.stop(hut, false, Span::from_millis(500));
-                self.huts[hut].disk = None;
+                self.stop(replica, false, Span::from_millis(500));
+                self.replicas[replica].disk = None;
             }
-            _ if self.huts.len() < 12 => {
+            _ if self.replicas.len() < 12 => {
                 let after = [300, 1000, 3000][self.rng.draw() as usize % 3];
-                self.unwell = Some(self.huts.len());
+                self.unwell = Some(self.replicas.len());
                 self.come(Span::from_millis(after));
-                self.stop(hut, false, Span::ZERO);
-                self.huts[hut].is_gone = true;
+                self.stop(replica, false, Span::ZERO);
+                self.replicas[replica].is_gone = true;
             }
             _ => {}
         }
@@ -339,18 +345,18 @@
         }
         if ms == 10_500 {
             world.losses = 0.0;
-            for hut in &mut world.huts {
-                (hut.sync, hut.stands_still_until) = (Span::from_millis(1), Time::default());
+            for replica in &mut world.replicas {
+                (replica.sync, replica.stands_still_until) = (Span::from_millis(1), Time::default());
             }
         }
     }
     let leader = world.leader().unwrap_or_else(|| {
         let disk =
-            |h: &Hut| h.disk.as_ref().map(|d| (d.disk, d.term, d.vote, d.last, d.state.voters.clone()));
-        let disks: Vec<_> = world.huts.iter().map(|h| (h.is_gone, disk(h))).collect();
+            |h: &Replica| h.disk.as_ref().map(|d| (d.disk, d.term, d.vote, d.last, d.state.voters.clone()));
+        let disks: Vec<_> = world.replicas.iter().map(|h| (h.is_gone, disk(h))).collect();
         panic!("seed {seed}: nobody leads after all is calm: {disks:#?}")
     });
-    let committed = &world.huts[leader].committed;
+    let committed = &world.replicas[leader].committed;
     for acked in &world.acked {
         assert!(
             committed.contains(acked),
@@ -358,10 +364,15 @@
         );
     }
     assert!(!world.acked.is_empty() && world.answered > 0, "seed {seed}: nothing was acknowledged, or read");
-    let room = world.huts[leader].room.as_ref().expect("leads");
-    let here = |m: &Member| (0..world.huts.len()).any(|h| node(h) == m.node && !world.huts[h].is_gone);
-    assert!(room.voters().iter().all(here), "seed {seed}: one that is gone still votes: {:?}", room.voters());
-    assert!(room.voters().len() >= n, "seed {seed}: too few vote: {:?}", room.voters());
+    let consensus = world.replicas[leader].consensus.as_ref().expect("leads");
+    let here =
+        |m: &Member| (0..world.replicas.len()).any(|h| node(h) == m.node && !world.replicas[h].is_gone);
+    assert!(
+        consensus.voters().iter().all(here),
+        "seed {seed}: one that is gone still votes: {:?}",
+        consensus.voters()
+    );
+    assert!(consensus.voters().len() >= n, "seed {seed}: too few vote: {:?}", consensus.voters());
 }
 
 fn seeds(from: u64, count: u64) -> std::ops::Range<u64> {
@@ -392,7 +403,7 @@
             world.step();
             if ms == 2000 {
                 world.stop(lost, false, Span::ZERO);
-                world.huts[lost].is_gone = true;
+                world.replicas[lost].is_gone = true;
                 world.come(Span::from_millis(1000));
             }
             // The successor counts from when it was there for the time to catch up, and another loss may follow.
@@ -400,7 +411,7 @@
                 assert!(world.is_well(3), "seed {seed}: the successor does not vote, or holds not all");
                 let next = (lost + 1) % 3;
                 world.stop(next, false, Span::ZERO);
-                world.huts[next].is_gone = true;
+                world.replicas[next].is_gone = true;
             }
             if ms % 500 == 0 {
                 world.propose();
@@ -408,7 +419,7 @@
         }
         let leader = world.leader().unwrap_or_else(|| panic!("seed {seed}: nobody leads"));
         assert!(world.acked.len() > 15, "seed {seed}: only {:?}", world.acked);
-        assert!(world.acked.iter().all(|a| world.huts[leader].committed.contains(a)), "seed {seed}");
+        assert!(world.acked.iter().all(|a| world.replicas[leader].committed.contains(a)), "seed {seed}");
     }
 }
 
@@ -421,23 +432,23 @@
         world.losses = 0.0;
         (0..2000).for_each(|_| world.step());
         world.stop(1, false, Span::ZERO);
-        world.huts[1].is_gone = true;
+        world.replicas[1].is_gone = true;
         world.come(Span::from_millis(300));
         let amid = (0..5000).any(|_| {
             world.step();
-            let voters = |h: &Hut| h.disk.as_ref().map_or(0, |d| d.state.voters.len());
-            world.huts.iter().filter(|h| voters(h) == 4).count() >= 3
+            let voters = |h: &Replica| h.disk.as_ref().map_or(0, |d| d.state.voters.len());
+            world.replicas.iter().filter(|h| voters(h) == 4).count() >= 3
         });
         assert!(amid, "seed {seed}: no successor is taken in");
         world.all(true, Span::from_millis(300));
         (0..2000).for_each(|_| world.step());
         let leader = world.leader().unwrap_or_else(|| panic!("seed {seed}: nobody leads"));
-        let room = world.huts[leader].room.as_ref().expect("leads");
+        let consensus = world.replicas[leader].consensus.as_ref().expect("leads");
         assert!(
-            !room.voters().iter().any(|m| m.node == node(1)),
+            !consensus.voters().iter().any(|m| m.node == node(1)),
             "seed {seed}: the one that is gone still votes"
         );
-        assert!(room.voters().len() == 3 && world.is_well(3), "seed {seed}: {:?}", room.voters());
+        assert!(consensus.voters().len() == 3 && world.is_well(3), "seed {seed}: {:?}", consensus.voters());
     }
 }
 
@@ -456,16 +467,20 @@
         assert!(founded, "seed {seed}");
         let lost = (seed % 3) as usize;
         world.stop(lost, false, Span::from_millis(400));
-        world.huts[lost].disk = None;
+        world.replicas[lost].disk = None;
         for _ in 0..4000 {
             world.step();
             world.propose();
             let holds =
-                |h: &&Hut| h.disk.as_ref().is_some_and(|d| d.state.config.0.len() >= world.acked.len());
-            assert!(world.acked.is_empty() || world.huts.iter().filter(holds).count() > 2, "seed {seed}");
+                |h: &&Replica| h.disk.as_ref().is_some_and(|d| d.state.config.0.len() >= world.acked.len());
+            assert!(world.acked.is_empty() || world.replicas.iter().filter(holds).count() > 2, "seed {seed}");
         }
         let leader = world.leader().unwrap_or_else(|| panic!("seed {seed}: nobody leads"));
-        assert_eq!(world.huts[leader].room.as_ref().map(|r| r.voters().len()), Some(5), "seed {seed}");
+        assert_eq!(
+            world.replicas[leader].consensus.as_ref().map(|r| r.voters().len()),
+            Some(5),
+            "seed {seed}"
+        );
         assert!(!world.acked.is_empty() && world.is_well(lost), "seed {seed}");
     }
 }
@@ -485,16 +500,16 @@
         (0..1000).for_each(|_| world.step());
         assert!(!world.is_well(3), "seed {seed}: three vote, so a fourth has no vote");
         let now = world.now;
-        world.huts[ends].room.as_mut().expect("runs").begin_shutdown(now);
+        world.replicas[ends].consensus.as_mut().expect("runs").begin_shutdown(now);
         world.act(ends);
         let mut ended = None;
         for ms in 0..1500 {
             world.step();
-            let room = world.huts[ends].room.as_ref().expect("runs");
-            if ended.is_none() && room.may_shut_down(world.now) {
+            let consensus = world.replicas[ends].consensus.as_ref().expect("runs");
+            if ended.is_none() && consensus.may_shut_down(world.now) {
                 ended = Some(ms);
                 assert!(
-                    !room.is_voter() && !room.is_established_leader(),
+                    !consensus.is_voter() && !consensus.is_established_leader(),
                     "seed {seed}: ends before it is replaced"
                 );
             }
@@ -503,7 +518,7 @@
     }
 }
 
-/// A hut alone can neither lead nor say that it is sure of anything.
+/// A replica alone can neither lead nor say that it is sure of anything.
 #[test]
 fn alone_nobody_leads() {
     let now = Time::from_nanos(1_000_000_000);
@@ -518,17 +533,17 @@
         tolerated: 1,
         catch_up,
     };
-    let mut room = Consensus::new(now, boot);
+    let mut consensus = Consensus::new(now, boot);
     for ms in 0..5000 {
-        room.tick(now + Span::from_millis(ms));
-        room.take_actions();
+        consensus.tick(now + Span::from_millis(ms));
+        consensus.take_actions();
     }
     assert!(
-        !room.is_established_leader()
-            && room.confirmed_at().is_none()
-            && room.propose(now, vec![1]).is_none()
+        !consensus.is_established_leader()
+            && consensus.confirmed_at().is_none()
+            && consensus.propose(now, vec![1]).is_none()
     );
-    assert!(room.request_read(now).is_none() && !room.has_quorum_contact(now));
+    assert!(consensus.request_read(now).is_none() && !consensus.has_quorum_contact(now));
 }
 
 /// A vote that is asked for again before the first one is on the disk waits for the disk as well.
@@ -553,15 +568,15 @@
         tolerated: 1,
         catch_up,
     };
-    let mut room = Consensus::new(now, boot);
+    let mut consensus = Consensus::new(now, boot);
     let ask = Message::RequestVote { term: 3, last: LogId::default(), is_pre_vote: false };
     for _ in 0..2 {
-        room.handle_message(now, node(1), ask.clone());
+        consensus.handle_message(now, node(1), ask.clone());
         assert!(
-            room.take_actions().iter().all(|d| matches!(d, Action::Persist(..))),
+            consensus.take_actions().iter().all(|d| matches!(d, Action::Persist(..))),
             "said before it was synced"
         );
     }
-    room.on_persisted(now, 2);
-    assert!(room.take_actions().iter().any(|d| matches!(d, Action::Send(..))));
+    consensus.on_persisted(now, 2);
+    assert!(consensus.take_actions().iter().any(|d| matches!(d, Action::Send(..))));
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,8 +1,8 @@
-//! Exhaustive check of small cases: the real room, driven by the model checker `stateright` through every order of
+//! Exhaustive check of small cases: the real consensus, driven by the model checker `stateright` through every order of
 //! deliveries, losses, syncs, campaigns, kills, losses of power, emptied disks, proposals and reads that the budgets of a
 //! case leave open. docs/design/agreement.md, "Exhaustive check", says what is in it and what is not.
 //!
-//! Each state that is visited was reached by calls of the real room alone, so what is found is real. What is left out
+//! Each state that is visited was reached by calls of the real consensus alone, so what is found is real. What is left out
 //! of a state's hash (see `form`) can only make two states one, whose continuations differ in when something happens.
 
 use std::collections::hash_map::DefaultHasher;
@@ -34,7 +34,7 @@
 const COPIES: &str = "committed by a majority of the voters, each by its disk";
 const VOTES: &str = "elected by a majority of the voters, each by its disk";
 
-/// Faults of the surroundings that the room does not bear, put in to see that they are found.
+/// Faults of the surroundings that the consensus does not bear, put in to see that they are found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outside {
     /// A disk says that it synced, and loses the last of it with the power.
@@ -48,7 +48,7 @@
 /// How often each may happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Budget {
-    /// A hut's patience ends; its pre-vote is taken as granted, as it binds nobody.
+    /// A replica's patience ends; its pre-vote is taken as granted, as it binds nobody.
     campaigns: u8,
     /// A leader's next round.
     rounds: u8,
@@ -78,8 +78,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Hut {
-    room: Consensus,
+struct Replica {
+    consensus: Consensus,
     /// Its own clock: nobody else's has to do with it.
     now: Time,
     disk: Option<PersistentState>,
@@ -112,7 +112,7 @@
 struct Written {
     voters: Vec<Member>,
     outgoing: Option<Member>,
-    book: Vec<u8>,
+    config: Vec<u8>,
     before: Vec<LogId>,
 }
 
@@ -133,7 +133,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    huts: Vec<Arc<Hut>>,
+    replicas: Vec<Arc<Replica>>,
     way: Vec<Parcel>,
     seen: History,
     left: Budget,
@@ -141,8 +141,8 @@
 
 impl Hash for World {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        for hut in &self.huts {
-            hut.form.hash(to);
+        for replica in &self.replicas {
+            replica.form.hash(to);
         }
         for parcel in &self.way {
             (parcel.from, parcel.to, parcel.form).hash(to);
@@ -155,7 +155,7 @@
 impl PartialEq for World {
     fn eq(&self, other: &World) -> bool {
         let forms = |w: &World| -> Vec<u64> {
-            w.huts
+            w.replicas
                 .iter()
                 .map(|h| h.form)
                 .chain(w.way.iter().map(|p| hash_of((p.from, p.to, p.form))))
@@ -172,7 +172,7 @@
     budget: Budget,
     fault: Option<Fault>,
     outside: Option<Outside>,
-    /// So many messages may be under way from one hut to another; beyond that heartbeats are lost, and then older ones.
+    /// So many messages may be under way from one replica to another; beyond that heartbeats are lost, and then older ones.
     lane: usize,
     /// So many acts from the start.
     depth: usize,
@@ -182,11 +182,11 @@
 enum Start {
     /// Three that were just founded.
     Founded,
-    /// Hut 0 leads.
+    /// Replica 0 leads.
     Led,
-    /// Hut 0 leads, and a change is acknowledged that hut 2 has not got.
+    /// Replica 0 leads, and a change is acknowledged that replica 2 has not got.
     Behind,
-    /// Hut 0 leads, hut 3 is a learner that holds everything; whoever is not heard till the next round is gone.
+    /// Replica 0 leads, replica 3 is a learner that holds everything; whoever is not heard till the next round is gone.
     Newcomer,
 }
 
@@ -194,7 +194,7 @@
     NodeAddress::from(([10, 0, 0, n as u8 + 1], 80))
 }
 
-fn hut_at(node: NodeAddress) -> usize {
+fn replica_at(node: NodeAddress) -> usize {
     match node {
         NodeAddress::V4(a) => a.ip().octets()[3] as usize - 1,
         NodeAddress::V6(_) => unreachable!("no such address here"),
@@ -207,11 +207,11 @@
     hasher.finish()
 }
 
-/// A room's text with each time replaced by its rank among the room's times, and without its chance (`seed`, `drawn`,
-/// `patience`) and the count of its writes: the room compares times only with its own, chance says only how long
+/// A consensus's text with each time replaced by its rank among the consensus's times, and without its chance (`seed`, `drawn`,
+/// `patience`) and the count of its writes: the consensus compares times only with its own, chance says only how long
 /// somebody waits, and the numbers of writes say no more than their order.
-fn canonical(room: &Consensus, now: Time) -> String {
-    let text = format!("{room:?}");
+fn canonical(consensus: &Consensus, now: Time) -> String {
+    let text = format!("{consensus:?}");
     let mut times: Vec<u64> = text.split("Time(").skip(1).filter_map(number_before(')')).collect();
     times.push(now.nanos());
     times.sort_unstable();
@@ -248,14 +248,15 @@
     move |text| text.split(end).next()?.parse().ok()
 }
 
-impl Hut {
+impl Replica {
     fn start(&mut self, me: usize, bootstrap: bool, fault: Option<Fault>) {
         if self.disk.is_none() {
             self.births += 1;
         }
         let seeds = [node(0), node(1), node(2)];
-        self.room = Consensus::new(self.now, boot(me, &seeds, self.disk.clone(), bootstrap, self.births));
-        self.room.fault = fault;
+        self.consensus =
+            Consensus::new(self.now, boot(me, &seeds, self.disk.clone(), bootstrap, self.births));
+        self.consensus.fault = fault;
         self.writes.clear();
         self.committed.clear();
         self.proposed = None;
@@ -277,7 +278,7 @@
     }
 
     fn leads(&self, me: usize) -> bool {
-        self.room.leader() == Some(node(me))
+        self.consensus.leader() == Some(node(me))
     }
 }
 
@@ -303,17 +304,21 @@
 
 impl World {
     fn new(case: &Case) -> World {
-        let huts = if case.start == Start::Newcomer { 4 } else { 3 };
-        let mut world =
-            World { huts: Vec::new(), way: Vec::new(), seen: History::default(), left: Budget::default() };
+        let replicas = if case.start == Start::Newcomer { 4 } else { 3 };
+        let mut world = World {
+            replicas: Vec::new(),
+            way: Vec::new(),
+            seen: History::default(),
+            left: Budget::default(),
+        };
         let now = Time::from_nanos(1_000_000_000);
-        for me in 0..huts {
+        for me in 0..replicas {
             let seeds = [node(0), node(1), node(2)];
             let is_founder = me < 3;
-            let room = Consensus::new(now, boot(me, &seeds, None, is_founder, 1));
+            let consensus = Consensus::new(now, boot(me, &seeds, None, is_founder, 1));
             let (writes, reads) = (Vec::new(), Vec::new());
-            let hut = Hut {
-                room,
+            let replica = Replica {
+                consensus,
                 now,
                 disk: None,
                 kept: None,
@@ -326,8 +331,8 @@
                 births: 1,
                 form: 0,
             };
-            world.huts.push(Arc::new(hut));
-            Arc::make_mut(&mut world.huts[me]).room.fault = case.fault;
+            world.replicas.push(Arc::new(replica));
+            Arc::make_mut(&mut world.replicas[me]).consensus.fault = case.fault;
             world.act(case, me, false);
         }
         world.calm(case, &[]);
@@ -335,7 +340,7 @@
             world.left.campaigns = 1;
             world.step(case, Act::Campaign(0));
             world.calm(case, &[]);
-            assert!(world.huts[0].room.is_established_leader(), "the case begins with a leader");
+            assert!(world.replicas[0].consensus.is_established_leader(), "the case begins with a leader");
         }
         match case.start {
             Start::Founded | Start::Led | Start::Newcomer => {}
@@ -355,8 +360,8 @@
     fn calm(&mut self, case: &Case, cut: &[usize]) {
         loop {
             self.way.retain(|p| !cut.contains(&p.from) && !cut.contains(&p.to));
-            if let Some(hut) = (0..self.huts.len()).find(|h| !self.huts[*h].writes.is_empty()) {
-                self.step(case, Act::Sync(hut));
+            if let Some(replica) = (0..self.replicas.len()).find(|h| !self.replicas[*h].writes.is_empty()) {
+                self.step(case, Act::Sync(replica));
             } else if !self.way.is_empty() {
                 self.step(case, Act::Deliver(0));
             } else {
@@ -366,22 +371,22 @@
     }
 
     fn step(&mut self, case: &Case, act: Act) {
-        let hut = match act {
+        let replica = match act {
             Act::Deliver(at) => self.way[at].to,
             Act::Sync(h) | Act::Campaign(h) | Act::Round(h) | Act::Pause(h) | Act::Kill(h) => h,
             Act::Outage(h) | Act::Empty(h) | Act::Propose(h) | Act::Read(h) => h,
         };
-        let led = self.huts[hut].leads(hut);
-        let World { huts, way, seen, left } = self;
-        let h = Arc::make_mut(&mut huts[hut]);
+        let led = self.replicas[replica].leads(replica);
+        let World { replicas, way, seen, left } = self;
+        let h = Arc::make_mut(&mut replicas[replica]);
         match act {
             Act::Deliver(at) => {
                 let parcel = way.remove(at);
-                h.room.handle_message(h.now, node(parcel.from), parcel.message.as_ref().clone());
+                h.consensus.handle_message(h.now, node(parcel.from), parcel.message.as_ref().clone());
             }
             Act::Sync(_) => {
                 let (number, record) = h.writes.remove(0);
-                let own = Member { node: node(hut), disk: record.disk };
+                let own = Member { node: node(replica), disk: record.disk };
                 if record.last != LogId::default() {
                     seen.copies.entry(record.last).or_default().insert(own);
                 }
@@ -391,23 +396,23 @@
                 let lies = case.outside == Some(Outside::SyncLies);
                 h.kept = if lies { h.disk.take() } else { Some(record.clone()) };
                 h.disk = Some(record);
-                h.room.on_persisted(h.now, number);
+                h.consensus.on_persisted(h.now, number);
             }
             Act::Campaign(_) => {
                 left.campaigns -= 1;
                 // Asking at once is what a patience that ends, a pre-vote granted and `TimeoutNow` have in common.
-                let term = h.room.term();
-                h.room.handle_message(h.now, node((hut + 1) % 3), Message::TimeoutNow { term });
+                let term = h.consensus.term();
+                h.consensus.handle_message(h.now, node((replica + 1) % 3), Message::TimeoutNow { term });
             }
             Act::Round(_) => {
                 left.rounds -= 1;
-                h.now = h.room.next_due();
-                h.room.tick(h.now);
+                h.now = h.consensus.next_due();
+                h.consensus.tick(h.now);
             }
             Act::Pause(_) => {
                 left.pauses -= 1;
                 h.now = h.now + Span::from_millis(1_000);
-                h.room.tick(h.now);
+                h.consensus.tick(h.now);
             }
             Act::Kill(_) => {
                 left.kills -= 1;
@@ -415,46 +420,46 @@
                     h.kept = Some(record.clone());
                     h.disk = Some(record);
                 }
-                h.start(hut, false, case.fault);
+                h.start(replica, false, case.fault);
             }
             Act::Outage(_) => {
                 left.outages -= 1;
                 h.disk = h.kept.clone();
-                h.start(hut, false, case.fault);
+                h.start(replica, false, case.fault);
             }
             Act::Empty(_) => {
                 left.emptied -= 1;
                 (h.disk, h.kept) = (None, None);
-                h.start(hut, case.outside == Some(Outside::OldNumber), case.fault);
+                h.start(replica, case.outside == Some(Outside::OldNumber), case.fault);
             }
             Act::Propose(_) => {
                 left.proposals -= 1;
                 seen.changes += 1;
                 let change = seen.changes;
-                let book: Vec<u8> = h.committed.iter().copied().chain([change]).collect();
-                h.proposed = h.room.propose(h.now, book).map(|number| (number, change));
+                let config: Vec<u8> = h.committed.iter().copied().chain([change]).collect();
+                h.proposed = h.consensus.propose(h.now, config).map(|number| (number, change));
             }
             Act::Read(_) => {
                 left.reads -= 1;
                 if case.outside == Some(Outside::ReadAtOnce) {
                     seen.read(&h.committed, &seen.acked.clone());
-                } else if let Some(number) = h.room.request_read(h.now) {
+                } else if let Some(number) = h.consensus.request_read(h.now) {
                     h.reads.push((number, seen.acked.clone()));
                 }
             }
         }
-        self.act(case, hut, led);
+        self.act(case, replica, led);
     }
 
-    /// Does what a room asked for, and judges it.
-    fn act(&mut self, case: &Case, hut: usize, led: bool) {
-        let World { huts, way, seen, .. } = self;
-        let newcomer = (huts.len() > 3).then(|| node(3));
-        let h = Arc::make_mut(&mut huts[hut]);
+    /// Does what a consensus asked for, and judges it.
+    fn act(&mut self, case: &Case, replica: usize, led: bool) {
+        let World { replicas, way, seen, .. } = self;
+        let newcomer = (replicas.len() > 3).then(|| node(3));
+        let h = Arc::make_mut(&mut replicas[replica]);
         if let Some(newcomer) = newcomer {
-            h.room.on_peer_seen(h.now, newcomer);
+            h.consensus.on_peer_seen(h.now, newcomer);
         }
-        for order in h.room.take_actions() {
+        for order in h.consensus.take_actions() {
             match order {
                 Action::Persist(number, record) => {
                     seen.written(h.last, record.last, &record.state);
@@ -462,10 +467,10 @@
                     h.writes.push((number, record));
                 }
                 Action::Send(to, message) if case.budget.reads == 0 && h.says_nothing(to, &message) => {}
-                Action::Send(to, message) => send(way, case.lane, hut, hut_at(to), message),
-                Action::Committed(at, book) => {
-                    h.committed = book.0.to_vec();
-                    seen.committed(at, &book.0, h.room.leader() == Some(node(hut)));
+                Action::Send(to, message) => send(way, case.lane, replica, replica_at(to), message),
+                Action::Committed(at, config) => {
+                    h.committed = config.0.to_vec();
+                    seen.committed(at, &config.0, h.consensus.leader() == Some(node(replica)));
                 }
                 Action::ProposalDone(number, is_committed) => {
                     if let Some((_, change)) = h.proposed.take_if(|(n, _)| *n == number)
@@ -483,30 +488,31 @@
                 }
             }
         }
-        if h.leads(hut) && !led {
-            let votes = seen.votes.get(&(h.room.term(), node(hut)));
-            let counted = h.room.voters().iter().filter(|m| votes.is_some_and(|v| v.contains(m))).count();
-            seen.require(counted > h.room.voters().len() / 2, Wrong::UncountedVotes);
+        if h.leads(replica) && !led {
+            let votes = seen.votes.get(&(h.consensus.term(), node(replica)));
+            let counted =
+                h.consensus.voters().iter().filter(|m| votes.is_some_and(|v| v.contains(m))).count();
+            seen.require(counted > h.consensus.voters().len() / 2, Wrong::UncountedVotes);
         }
         // Where no disk is emptied, a term has not even two that are elected.
-        if h.room.is_established_leader() || h.leads(hut) && case.budget.emptied == 0 {
-            let first = *seen.leaders.entry(h.room.term()).or_insert(hut);
-            seen.require(first == hut, Wrong::TwoLeaders);
+        if h.consensus.is_established_leader() || h.leads(replica) && case.budget.emptied == 0 {
+            let first = *seen.leaders.entry(h.consensus.term()).or_insert(replica);
+            seen.require(first == replica, Wrong::TwoLeaders);
         }
-        let text = canonical(&h.room, h.now);
+        let text = canonical(&h.consensus, h.now);
         let writes: Vec<String> = h.writes.iter().map(|(_, record)| format!("{record:?}")).collect();
         let disks = format!("{:?} {:?}", h.disk, h.kept);
         h.form = hash_of((text, disks, writes, &h.committed, h.proposed, &h.reads, (h.told, h.births)));
         // As long as no more than the budget is lost, some disk holds what was acknowledged.
         let holds = |change: &u8| {
-            huts.iter().any(|h| h.disk.as_ref().is_some_and(|d| d.state.config.0.contains(change)))
+            replicas.iter().any(|h| h.disk.as_ref().is_some_and(|d| d.state.config.0.contains(change)))
         };
         let are_kept = seen.acked.iter().all(holds);
         seen.require(are_kept, Wrong::Forgotten);
     }
 }
 
-/// Clocks and echoes are struck out: nothing about the book hangs on them. What is there already is not sent twice.
+/// Clocks and echoes are struck out: nothing about the configuration hangs on them. What is there already is not sent twice.
 fn send(way: &mut Vec<Parcel>, lane: usize, from: usize, to: usize, mut message: Message) {
     match &mut message {
         Message::Append { clock_echo: echo, confirmed_ago: fresh, .. } => (*echo, *fresh) = (0, None),
@@ -542,35 +548,35 @@
         }
         let state = (state.voters.clone(), state.outgoing_voter, state.config.0.to_vec());
         if let Some(w) = self.written.get(&at) {
-            let is_same = (w.voters.clone(), w.outgoing, w.book.clone()) == state;
+            let is_same = (w.voters.clone(), w.outgoing, w.config.clone()) == state;
             return self.require(is_same, Wrong::TwoChains);
         }
-        let (voters, outgoing, book) = state;
+        let (voters, outgoing, config) = state;
         let mut before = self.written.get(&last).map_or(Vec::new(), |w| w.before.clone());
         before.extend((last != LogId::default()).then_some(last));
         let goes_on = self.committed.range(..at).all(|(id, _)| before.contains(id));
         self.require(goes_on, Wrong::TwoChains);
         let is_newest = self.written.keys().next_back().is_none_or(|newest| *newest < at);
-        let are_kept = self.acked.iter().all(|change| book.contains(change));
+        let are_kept = self.acked.iter().all(|change| config.contains(change));
         self.require(are_kept || !is_newest, Wrong::Forgotten);
-        self.written.insert(at, Written { voters, outgoing, book, before });
+        self.written.insert(at, Written { voters, outgoing, config, before });
     }
 
-    fn committed(&mut self, at: LogId, book: &[u8], by_leader: bool) {
+    fn committed(&mut self, at: LogId, config: &[u8], by_leader: bool) {
         let Some(state) = self.written.get(&at) else { return self.require(false, Wrong::TwoChains) };
         let is_in_later = self.written.range(at..).skip(1).all(|(_, later)| later.before.contains(&at));
-        let is_chain = state.book == book && is_in_later;
+        let is_chain = state.config == config && is_in_later;
         let holders = self.copies.get(&at);
         let copies = state.voters.iter().filter(|m| holders.is_some_and(|c| c.contains(m))).count();
         let is_majority = copies > state.voters.len() / 2;
         self.require(is_chain, Wrong::TwoChains);
         self.require(!by_leader || is_majority, Wrong::UncountedCopies);
-        self.committed.insert(at, book.to_vec());
+        self.committed.insert(at, config.to_vec());
     }
 
-    fn read(&mut self, book: &[u8], acked: &[u8]) {
+    fn read(&mut self, config: &[u8], acked: &[u8]) {
         self.reads_done += 1;
-        self.require(acked.iter().all(|change| book.contains(change)), Wrong::StaleRead);
+        self.require(acked.iter().all(|change| config.contains(change)), Wrong::StaleRead);
     }
 }
 
@@ -585,21 +591,23 @@
     fn actions(&self, world: &World, acts: &mut Vec<Act>) {
         let left = world.left;
         acts.extend((0..world.way.len()).map(Act::Deliver));
-        for (h, hut) in world.huts.iter().enumerate() {
-            let has_role = hut.leads(h);
+        for (h, replica) in world.replicas.iter().enumerate() {
+            let has_role = replica.leads(h);
             let can = [
-                (!hut.writes.is_empty(), Act::Sync(h)),
-                (left.campaigns > 0 && !has_role && hut.room.is_voter(), Act::Campaign(h)),
+                (!replica.writes.is_empty(), Act::Sync(h)),
+                (left.campaigns > 0 && !has_role && replica.consensus.is_voter(), Act::Campaign(h)),
                 (left.rounds > 0 && has_role, Act::Round(h)),
                 (left.pauses > 0 && has_role, Act::Pause(h)),
                 (left.kills > 0, Act::Kill(h)),
                 (left.outages > 0, Act::Outage(h)),
                 (left.emptied > 0, Act::Empty(h)),
                 (
-                    left.proposals > 0 && hut.room.is_established_leader() && !hut.room.has_uncommitted(),
+                    left.proposals > 0
+                        && replica.consensus.is_established_leader()
+                        && !replica.consensus.has_uncommitted(),
                     Act::Propose(h),
                 ),
-                (left.reads > 0 && hut.room.is_established_leader(), Act::Read(h)),
+                (left.reads > 0 && replica.consensus.is_established_leader(), Act::Read(h)),
             ];
             acts.extend(can.into_iter().filter_map(|(may, act)| may.then_some(act)));
         }
@@ -732,7 +740,7 @@
 }
 
 #[test]
-fn faults_of_the_room_are_found() {
+fn faults_of_the_consensus_are_found() {
     let with = |fault, start, budget| Case { fault: Some(fault), ..case(start, 60, budget) };
     let exchange = Budget { rounds: 1, ..Budget::default() };
     finds("LearnerCounts", with(Fault::LearnerCounts, Start::Newcomer, exchange), COPIES);
@@ -773,11 +781,11 @@
         let at = world.way.iter().position(|p| p.to == 0 && says(p)).expect("an answer");
         world.step(&case, Act::Deliver(at));
     };
-    // Hut 2 answers a round of hut 0 twice, at once and from its disk. Both answers are held up.
+    // Replica 2 answers a round of replica 0 twice, at once and from its disk. Both answers are held up.
     act(&mut world, &[Act::Propose(0), Act::Sync(0)]);
     hear(&mut world, 0, 2);
     act(&mut world, &[Act::Sync(2), Act::Campaign(2), Act::Sync(2)]);
-    // Hut 2 leads by the vote of hut 1, and has a change committed.
+    // Replica 2 leads by the vote of replica 1, and has a change committed.
     hear(&mut world, 2, 1);
     act(&mut world, &[Act::Sync(1)]);
     hear(&mut world, 1, 2);
@@ -790,7 +798,7 @@
     act(&mut world, &[Act::Sync(1)]);
     hear(&mut world, 1, 2);
     assert_eq!(world.seen.acked, [2]);
-    // Hut 0 knows nothing of it. Its own change is committed by the one answer, by which a round begins.
+    // Replica 0 knows nothing of it. Its own change is committed by the one answer, by which a round begins.
     act(&mut world, &[Act::Read(0)]);
     hear_stored(&mut world, new);
     hear_stored(&mut world, old);
--- a/crates/control-state/tests/commands.rs
+++ b/crates/control-state/tests/commands.rs
@@ -1,4 +1,4 @@
-//! What an order gets, the first time and when it is sent again: one winner under a number, taken once, never refused
+//! What an command gets, the first time and when it is sent again: one winner under a number, taken once, never refused
 //! after it was taken.
 
 use std::sync::Arc;
@@ -26,26 +26,26 @@
     )
 }
 
-fn rule(book: &ConfigStore, change: &Operation) -> CommandOutcome {
+fn apply(store: &ConfigStore, change: &Operation) -> CommandOutcome {
     let zones = [("z".into(), "r".into())];
-    let mut order = Command::new(change.clone());
-    let ruling = book.apply(&order, &zones);
+    let mut command = Command::new(change.clone());
+    let outcome = store.apply(&command, &zones);
     // The same where it was read before.
-    order.parse();
-    assert_eq!(book.apply(&order, &zones), ruling);
-    ruling
+    command.parse();
+    assert_eq!(store.apply(&command, &zones), outcome);
+    outcome
 }
 
-fn take(book: &ConfigStore, change: &Operation) -> ConfigStore {
-    match rule(book, change) {
-        CommandOutcome::Accepted(book) => *book,
+fn take(store: &ConfigStore, change: &Operation) -> ConfigStore {
+    match apply(store, change) {
+        CommandOutcome::Accepted(store) => *store,
         other => panic!("{change:?}: {other:?}"),
     }
 }
 
 /// What the operator gets of it: 200, 503 where nothing clear is said, else the refusal.
-fn status(book: &ConfigStore, change: &Operation) -> u16 {
-    match rule(book, change) {
+fn status(store: &ConfigStore, change: &Operation) -> u16 {
+    match apply(store, change) {
         CommandOutcome::Accepted(_) | CommandOutcome::AlreadyApplied => 200,
         CommandOutcome::Unknown => 503,
         CommandOutcome::Rejected(rejection) => rejection.status(),
@@ -59,9 +59,9 @@
     let first = take(&ConfigStore::default(), &put(3, 0, ""));
     let (a, b) = (put(7, 3, "a"), put(8, 3, "b"));
     let second = take(&first, &a);
-    assert_eq!((status(&second, &b), rule(&second, &a)), (412, CommandOutcome::AlreadyApplied));
+    assert_eq!((status(&second, &b), apply(&second, &a)), (412, CommandOutcome::AlreadyApplied));
     let third = take(&second, &put(9, 7, ""));
-    assert_eq!(rule(&third, &a), CommandOutcome::AlreadyApplied);
+    assert_eq!(apply(&third, &a), CommandOutcome::AlreadyApplied);
     assert_eq!(status(&third, &put(9, 9, "x")), 400, "a generation not above");
     assert_eq!(status(&third, &put(10, 3, "x")), 412);
     assert_eq!(ConfigStore::decode(&third.encode()).as_ref(), Some(&third));
@@ -76,15 +76,15 @@
 fn one_of_two_under_the_same_number_wins() {
     let first = take(&ConfigStore::default(), &put(3, 0, ""));
     let (winner, loser) = (put(7, 3, "a"), put(7, 3, "b"));
-    let mut book = take(&first, &winner);
+    let mut store = take(&first, &winner);
     for later in 8..40 {
-        assert_eq!((rule(&book, &winner), status(&book, &loser)), (CommandOutcome::AlreadyApplied, 412));
-        book = take(&book, &put(later, later - 1, ""));
+        assert_eq!((apply(&store, &winner), status(&store, &loser)), (CommandOutcome::AlreadyApplied, 412));
+        store = take(&store, &put(later, later - 1, ""));
     }
-    // The same sheet as a change of the other kind is another order.
+    // The same sheet as a change of the other kind is another command.
     let (Operation::Put(body), Operation::Patch(other)) = (put(7, 3, "a"), patch(7, 3, "")) else { panic!() };
     assert_ne!(command_id(&Operation::Put(body.clone())), command_id(&Operation::Patch(body)));
-    assert_eq!(status(&book, &Operation::Patch(other)), 412);
+    assert_eq!(status(&store, &Operation::Patch(other)), 412);
 }
 
 /// Identities lie on disks: another build that made others would refuse what this one took.
@@ -102,35 +102,35 @@
 /// again. What can't have been taken is refused all the same.
 #[test]
 fn what_is_forgotten_is_not_refused() {
-    let order = |n: u64| put(n + 1, n, "");
+    let command = |n: u64| put(n + 1, n, "");
     let all = MAX_APPLIED_COMMANDS as u64 + 50;
-    let mut book = ConfigStore::default();
+    let mut store = ConfigStore::default();
     for n in 0..all {
-        book = take(&book, &order(n));
+        store = take(&store, &command(n));
     }
     for n in 0..all {
         let wanted = if n < 50 { CommandOutcome::Unknown } else { CommandOutcome::AlreadyApplied };
-        assert_eq!(rule(&book, &order(n)), wanted, "{n}");
+        assert_eq!(apply(&store, &command(n)), wanted, "{n}");
     }
-    assert_eq!(status(&book, &put(60, 59, "lost")), 412, "of a time that is remembered");
-    assert_eq!(status(&book, &put(all, all, "")), 400, "not above the one that it builds on");
-    assert!(book.encode().len() < 30_000, "{} bytes", book.encode().len());
+    assert_eq!(status(&store, &put(60, 59, "lost")), 412, "of a time that is remembered");
+    assert_eq!(status(&store, &put(all, all, "")), 400, "not above the one that it builds on");
+    assert!(store.encode().len() < 30_000, "{} bytes", store.encode().len());
     // A disk of a build that held other identities: nothing that may have been taken is refused.
-    let text = book.to_json().expect("a configuration");
+    let text = store.to_json().expect("a configuration");
     let older = cbor!({
         "number" => 9, "generation" => all, "text" => text, "evacuated" => ["z"], "taken" => [[1, 2]],
     });
     let mut bytes = Vec::new();
     ciborium::into_writer(&older.expect("a value"), &mut bytes).expect("written");
-    let book = ConfigStore::decode(&bytes).expect("read");
-    assert_eq!((book.revision, book.generation, book.evacuated.len()), (9, all, 1));
+    let store = ConfigStore::decode(&bytes).expect("read");
+    assert_eq!((store.revision, store.generation, store.evacuated.len()), (9, all, 1));
     assert_eq!(
-        (rule(&book, &order(all - 1)), status(&book, &put(all + 1, all, ""))),
+        (apply(&store, &command(all - 1)), status(&store, &put(all + 1, all, ""))),
         (CommandOutcome::Unknown, 200)
     );
 }
 
-/// Three disks, as the agreement leaves them when the leader goes: each holds the newest book that it has synced, by
+/// Three disks, as the agreement leaves them when the leader goes: each holds the newest store that it has synced, by
 /// term and index; who leads next goes on from the newest of a majority.
 struct Disks([(u64, u64, ConfigStore); 3]);
 
@@ -140,7 +140,7 @@
     }
 }
 
-/// Where the leader (disk 0) has gone when the order is sent again.
+/// Where the leader (disk 0) has gone when the command is sent again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Gone {
     BeforeItCame,
@@ -152,20 +152,20 @@
     AnsweredButLost,
 }
 
-/// The table: what a second sending gets where the first got no answer, for each kind of order and each step at which
+/// The table: what a second sending gets where the first got no answer, for each kind of command and each step at which
 /// the leader goes. It takes effect once: what was kept is known, what was lost is taken now.
 #[test]
 fn the_second_sending() {
     use Gone::*;
     let start = take(&ConfigStore::default(), &put(3, 0, ""));
     let emptied = take(&start, &Operation::Evacuate("z".into()));
-    let orders = [
+    let commands = [
         (&start, put(7, 3, "")),
         (&start, patch(7, 3, r#","remove":{"routes":["r"]}"#)),
         (&start, Operation::Evacuate("z".into())),
         (&emptied, Operation::Restore("z".into())),
     ];
-    let steps = [
+    let deltas = [
         (BeforeItCame, false),
         (BeforeTheWrite, false),
         (WrittenNotSynced, false),
@@ -174,9 +174,9 @@
         (SyncedByAMajority, true),
         (AnsweredButLost, true),
     ];
-    for (before, order) in &orders {
-        for (step, is_kept) in steps {
-            let after = take(before, order);
+    for (before, command) in &commands {
+        for (step, is_kept) in deltas {
+            let after = take(before, command);
             let old = || (1, 5, (*before).clone());
             let mut disks = Disks([old(), old(), old()]);
             let synced = match step {
@@ -192,28 +192,28 @@
                 _ => &[[0, 1], [0, 2], [1, 2]],
             };
             for majority in majorities {
-                let book = disks.newest(*majority);
-                match (rule(&book, order), is_kept) {
+                let store = disks.newest(*majority);
+                match (apply(&store, command), is_kept) {
                     (CommandOutcome::Accepted(now), false) => assert_eq!(*now, after, "{step:?}"),
-                    (CommandOutcome::AlreadyApplied, true) => assert_eq!(book, after, "{step:?}"),
-                    (other, _) => panic!("{order:?}, {step:?}, {majority:?}: {other:?}"),
+                    (CommandOutcome::AlreadyApplied, true) => assert_eq!(store, after, "{step:?}"),
+                    (other, _) => panic!("{command:?}, {step:?}, {majority:?}: {other:?}"),
                 }
             }
         }
     }
 }
 
-/// Up to eight orders under way at once, each sent again and again in any order as its answers are lost, with leaders
+/// Up to eight commands under way at once, each sent again and again in any command as its answers are lost, with leaders
 /// that go on from what was agreed on or from one change before where that was not: each takes effect once at most,
 /// one that was acknowledged is never refused, and one of those on the same base wins.
 #[test]
 fn eight_at_once() {
     arbtest::arbtest(|u| {
-        let mut book = take(&ConfigStore::default(), &put(1, 0, ""));
+        let mut store = take(&ConfigStore::default(), &put(1, 0, ""));
         let mut acknowledged: Vec<Arc<Operation>> = Vec::new();
         for _ in 0..u.int_in_range(1..=6)? {
-            let (base, from) = (book.generation, book.clone());
-            let orders: Vec<Arc<Operation>> = (0..u.int_in_range(1..=8u64)?)
+            let (base, from) = (store.generation, store.clone());
+            let commands: Vec<Arc<Operation>> = (0..u.int_in_range(1..=8u64)?)
                 .map(|n| {
                     // Some under the same number, some under their own.
                     Ok(Arc::new(put(base + 1 + n / u.int_in_range(1..=3)?, base, &format!("{n}"))))
@@ -221,23 +221,23 @@
                 .collect::<arbtest::arbitrary::Result<_>>()?;
             let mut winner: Option<Arc<Operation>> = None;
             for _ in 0..u.int_in_range(1..=24)? {
-                let order = u.choose(&orders)?;
-                match rule(&book, order) {
+                let command = u.choose(&commands)?;
+                match apply(&store, command) {
                     CommandOutcome::Accepted(_) if u.ratio(1, 4)? => {} // The leader is gone before a majority has it.
                     CommandOutcome::Accepted(new) => {
-                        assert_eq!((book.revision, winner.replace(order.clone())), (from.revision, None));
-                        book = *new;
+                        assert_eq!((store.revision, winner.replace(command.clone())), (from.revision, None));
+                        store = *new;
                     }
-                    CommandOutcome::AlreadyApplied => assert_eq!(winner.as_ref(), Some(order)),
+                    CommandOutcome::AlreadyApplied => assert_eq!(winner.as_ref(), Some(command)),
                     CommandOutcome::Rejected(Rejection::VersionConflict { .. }) => {
-                        assert!(winner.is_some() && winner.as_ref() != Some(order))
+                        assert!(winner.is_some() && winner.as_ref() != Some(command))
                     }
                     other => panic!("{other:?}"),
                 }
             }
             acknowledged.extend(winner);
-            for order in &acknowledged {
-                assert_eq!(rule(&book, order), CommandOutcome::AlreadyApplied);
+            for command in &acknowledged {
+                assert_eq!(apply(&store, command), CommandOutcome::AlreadyApplied);
             }
         }
         Ok(())
@@ -246,19 +246,19 @@
 }
 
 /// Evacuations and returns: what is so already is acknowledged and changes nothing. They carry no identity: one sent
-/// again after the zone was taken back is an order like any other (docs/design/orders.md says what keeps late ones away).
+/// again after the zone was taken back is an command like any other (docs/design/commands.md says what keeps late ones away).
 #[test]
 fn zones_are_emptied_and_taken_back() {
     let change = Operation::Evacuate("z".into());
-    let book = take(&ConfigStore::default(), &change);
-    assert!(book.evacuated.contains("z"));
-    assert_eq!(rule(&book, &change), CommandOutcome::AlreadyApplied);
+    let store = take(&ConfigStore::default(), &change);
+    assert!(store.evacuated.contains("z"));
+    assert_eq!(apply(&store, &change), CommandOutcome::AlreadyApplied);
     let back = Operation::Restore("z".into());
-    let book = take(&book, &back);
-    assert!(book.evacuated.is_empty());
-    assert_eq!(rule(&book, &back), CommandOutcome::AlreadyApplied);
-    assert!(matches!(rule(&book, &change), CommandOutcome::Accepted(_)));
-    assert_eq!(status(&book, &Operation::Evacuate("y".into())), 404);
+    let store = take(&store, &back);
+    assert!(store.evacuated.is_empty());
+    assert_eq!(apply(&store, &back), CommandOutcome::AlreadyApplied);
+    assert!(matches!(apply(&store, &change), CommandOutcome::Accepted(_)));
+    assert_eq!(status(&store, &Operation::Evacuate("y".into())), 404);
 }
 
 /// Taken, superseded, sent again with its own base: acknowledged, and of no effect.
@@ -268,16 +268,16 @@
     let second = take(&first, &put(5, 3, "second"));
     let third = take(&second, &patch(6, 5, r#","upsert":{"note":"third"}"#));
     for old in [put(3, 0, ""), put(5, 3, "second")] {
-        assert_eq!(rule(&third, &old), CommandOutcome::AlreadyApplied);
+        assert_eq!(apply(&third, &old), CommandOutcome::AlreadyApplied);
     }
     assert!(third.to_json().is_some_and(|text| text.contains("third")));
 }
 
-/// Each way in which the bench's operator spoils an order: refused with a 4xx, not acknowledged, and leaves no trace.
+/// Each way in which the bench's operator spoils an command: refused with a 4xx, not acknowledged, and leaves no trace.
 /// The faults of the configuration itself stand in `crates/config/tests/configuration.rs`, row by row.
 #[test]
 fn spoiled_orders_are_refused() {
-    let book = take(&take(&ConfigStore::default(), &put(3, 0, "")), &put(7, 3, ""));
+    let store = take(&take(&ConfigStore::default(), &put(3, 0, "")), &put(7, 3, ""));
     let Operation::Put(good) = put(9, 7, "") else { panic!() };
     let text = String::from_utf8(good.clone()).expect("text");
     let with = |from: &str, to: &str| {
@@ -320,10 +320,10 @@
     ];
     for (kind, body, wanted) in cases {
         for _ in 0..2 {
-            assert_eq!(status(&book, &Operation::Put(body.clone())), wanted, "{kind}");
+            assert_eq!(status(&store, &Operation::Put(body.clone())), wanted, "{kind}");
         }
     }
-    assert_eq!(status(&book, &Operation::Put(good)), 200);
+    assert_eq!(status(&store, &Operation::Put(good)), 200);
     // By names, the same faults come in through what is added or taken away.
     for rest in [
         r#","upsert":{"routes":{"columns":["name","host","path-prefix","route-kind","service"],"rows":[["q","h","/","safe","s"]]}}"#,
@@ -333,6 +333,6 @@
         r#","remove":{"routes":"r"}"#,
         r#","upsert":{"limits":{"idle-timeout-s":-1}}"#,
     ] {
-        assert_eq!(status(&book, &patch(9, 7, rest)), 400, "{rest}");
+        assert_eq!(status(&store, &patch(9, 7, rest)), 400, "{rest}");
     }
 }
--- a/crates/control-state/tests/directory.rs
+++ b/crates/control-state/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: which gatekeepers a hut names, whoever of the huts has heard them.
+//! The directory: which proxies a controller names, whoever of the controllers has heard them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
     Time::from_nanos((100_000 + ms) * 1_000_000)
 }
 
-fn edge(number: u8, region: &str, life: u64) -> ProxyInfo {
+fn edge(number: u8, region: &str, instance: u64) -> ProxyInfo {
     ProxyInfo {
         node: format!("e{number}"),
         zone: "z".into(),
         region: region.into(),
         client_address: front(number),
-        incarnation: life,
+        incarnation: instance,
     }
 }
 
@@ -25,25 +25,26 @@
     SocketAddr::from(([10, 0, 0, number], 80))
 }
 
-const HUT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 1, 0, 1)), 83);
+const CONTROLLER: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 1, 0, 1)), 83);
 
-/// A hut that no gatekeeper has found yet answers by what another hut told it, and only while that one is there.
+/// A controller that no proxy has found yet answers by what another controller told it, and only while that one is there.
 #[test]
-fn a_hut_answers_by_what_others_heard() {
+fn a_controller_answers_by_what_others_heard() {
     let (mut old, mut new) = (Directory::default(), Directory::default());
     old.on_heartbeat(at(0), &edge(1, "r", 1), Readiness::Ready);
     old.on_heartbeat(at(0), &edge(2, "s", 1), Readiness::Ready);
     assert!(new.lookup(at(100), "r", false).is_empty() && !new.has_complete_view(at(100)));
-    new.apply_remote(at(100), HUT, old.snapshot(at(100)), true, true);
+    new.apply_remote(at(100), CONTROLLER, old.snapshot(at(100)), true, true);
     assert!(new.has_complete_view(at(100)));
     assert_eq!(new.lookup(at(100), "r", false), [front(1)], "those of the region first");
     assert_eq!(new.lookup(at(100), "elsewhere", false).len(), 2, "all where it has none");
-    new.on_controller_heard(at(2_000), HUT);
+    new.on_controller_heard(at(2_000), CONTROLLER);
     assert_eq!(new.lookup(at(4_000), "r", false), [front(1)]);
-    assert!(new.lookup(at(4_600), "r", false).is_empty(), "that hut fell silent");
-    new.on_controller_heard(at(5_000), HUT);
+    assert!(new.lookup(at(4_600), "r", false).is_empty(), "that controller fell silent");
+    new.on_controller_heard(at(5_000), CONTROLLER);
     assert_eq!(new.lookup(at(5_000), "r", false), [front(1)], "it is heard again");
-    new.apply_remote(at(5_100), HUT, Vec::new(), true, false);
+    new.apply_remote(at(5_100), CONTROLLER, Vec::new(), true, false);
     assert!(new.lookup(at(5_100), "r", false).is_empty(), "it has begun anew");
 }
 
@@ -65,30 +66,30 @@
     assert_eq!(
         readiness(directory.take_changes(at(3_100))),
         [],
-        "the end of an earlier life's line ends no later one"
+        "the end of an earlier instance's line ends no later one"
     );
     directory.on_disconnected("e1", 2);
     assert_eq!(readiness(directory.take_changes(at(3_200))), [Readiness::Disconnected]);
     assert_eq!(readiness(directory.take_changes(at(3_300))), []);
 }
 
-/// Who has said to any hut that it leaves is not named, whatever others have of that life; its next life is.
+/// Who has said to any controller that it leaves is not named, whatever others have of that instance; its next instance is.
 #[test]
 fn who_leaves_is_not_named() {
     let mut directory = Directory::default();
-    let told = |life, readiness| vec![ProxyStatus { proxy: edge(1, "r", life), readiness }];
+    let told = |instance, readiness| vec![ProxyStatus { proxy: edge(1, "r", instance), readiness }];
     directory.on_heartbeat(at(0), &edge(1, "r", 1), Readiness::Ready);
-    directory.apply_remote(at(0), HUT, told(1, Readiness::Ready), true, true);
-    directory.apply_remote(at(500), HUT, told(1, Readiness::ShuttingDown), false, true);
+    directory.apply_remote(at(0), CONTROLLER, told(1, Readiness::Ready), true, true);
+    directory.apply_remote(at(500), CONTROLLER, told(1, Readiness::ShuttingDown), false, true);
     assert!(directory.lookup(at(500), "r", false).is_empty(), "here it is still heard as ready");
     directory.on_disconnected("e1", 1);
-    directory.apply_remote(at(900), HUT, told(1, Readiness::Ready), false, true);
-    assert!(directory.lookup(at(900), "r", false).is_empty(), "an old word about an old life");
-    directory.apply_remote(at(1_000), HUT, told(2, Readiness::Ready), false, true);
+    directory.apply_remote(at(900), CONTROLLER, told(1, Readiness::Ready), false, true);
+    assert!(directory.lookup(at(900), "r", false).is_empty(), "an old word about an old instance");
+    directory.apply_remote(at(1_000), CONTROLLER, told(2, Readiness::Ready), false, true);
     assert_eq!(directory.lookup(at(1_000), "r", false), [front(1)]);
 }
 
-/// While the core can't be sure of its book no gatekeeper is: those that serve on are named all the same.
+/// While the core can't be sure of its store no proxy is: those that serve on are named all the same.
 #[test]
 fn stale_ones_are_named_where_none_is_ready() {
     let mut directory = Directory::default();
@@ -100,7 +101,7 @@
     assert_eq!(directory.lookup(at(100), "r", false), [front(3)]);
 }
 
-/// All gatekeepers are cut off from the huts: those that were there last are named, by a hut that is in touch, for a
+/// All proxies are cut off from the controllers: those that were there last are named, by a controller that is in touch, for a
 /// while; not those that left.
 #[test]
 fn the_last_ones_are_named_where_none_is_heard() {
@@ -116,7 +117,7 @@
     assert!(directory.lookup(at(31_000), "r", true).is_empty());
     directory.apply_remote(
         at(32_000),
-        HUT,
+        CONTROLLER,
         vec![ProxyStatus { proxy: edge(3, "r", 1), readiness: Readiness::Ready }],
         true,
         true,
--- a/crates/control-state/tests/failure_detector.rs
+++ b/crates/control-state/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Who speaks for the workers while a hut is cut off: three huts and a road on a virtual clock, the cuts by hand.
+//! Who speaks for the workers while a controller is cut off: three controllers and a proxy on a virtual clock, the cuts by hand.
 
 use std::collections::HashMap;
 
@@ -7,15 +7,15 @@
 use lynxstair_control_state::instance_registry::InstanceRegistry;
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-const BEAT: Span = Span::from_millis(1_500);
+const HEARTBEAT: Span = Span::from_millis(1_500);
 const WORKERS: u64 = 9;
-const HUTS: usize = 3;
+const CONTROLLERS: usize = 3;
 
 fn at(ms: u64) -> Time {
     Time::from_nanos((100_000 + ms) * 1_000_000)
 }
 
-fn life(worker: u64, seq: u64, standing: InstanceState) -> Instance {
+fn instance(worker: u64, seq: u64, standing: InstanceState) -> Instance {
     Instance {
         id: format!("i-{worker}"),
         service: "s".into(),
@@ -29,14 +29,14 @@
     }
 }
 
-/// Huts, the road that hears all of them, and workers that each keep to the hut that acknowledged them last.
+/// Controllers, the proxies that hears all of them, and workers that each keep to the controller that acknowledged them last.
 struct Story {
     now: u64,
-    huts: Vec<FailureDetector>,
+    controllers: Vec<FailureDetector>,
     /// How each stands, and which of them hear each other.
-    contacts: [QuorumRole; HUTS],
-    sides: [u8; HUTS],
-    road: InstanceRegistry,
+    contacts: [QuorumRole; CONTROLLERS],
+    sides: [u8; CONTROLLERS],
+    proxy: InstanceRegistry,
     homes: HashMap<u64, usize>,
     seqs: HashMap<u64, u64>,
     dead: Vec<u64>,
@@ -45,52 +45,53 @@
 impl Story {
     fn new() -> Story {
         let contacts = [QuorumRole::Leader, QuorumRole::Follower, QuorumRole::Follower];
-        let huts =
-            (0..HUTS).map(|_| FailureDetector::new(at(0), InstanceRegistry::default(), BEAT)).collect();
+        let controllers = (0..CONTROLLERS)
+            .map(|_| FailureDetector::new(at(0), InstanceRegistry::default(), HEARTBEAT))
+            .collect();
         Story {
             now: 0,
-            huts,
+            controllers,
             contacts,
-            sides: [0; HUTS],
-            road: InstanceRegistry::default(),
-            homes: (0..WORKERS).map(|w| (w, w as usize % HUTS)).collect(),
+            sides: [0; CONTROLLERS],
+            proxy: InstanceRegistry::default(),
+            homes: (0..WORKERS).map(|w| (w, w as usize % CONTROLLERS)).collect(),
             seqs: HashMap::new(),
             dead: Vec::new(),
         }
     }
 
-    fn told(&mut self, lives: &[Instance]) {
-        for life in lives {
-            self.road.update(at(self.now), life);
+    fn told(&mut self, instances: &[Instance]) {
+        for instance in instances {
+            self.proxy.update(at(self.now), instance);
         }
     }
 
-    fn tell(&mut self, from: usize, lives: &[Instance], is_news: bool) {
-        for to in (0..HUTS).filter(|to| *to != from) {
+    fn tell(&mut self, from: usize, instances: &[Instance], is_news: bool) {
+        for to in (0..CONTROLLERS).filter(|to| *to != from) {
             if self.sides[to] == self.sides[from] {
-                let news = self.huts[to].apply_updates(at(self.now), lives);
+                let news = self.controllers[to].apply_updates(at(self.now), instances);
                 if self.contacts[to] == QuorumRole::Leader {
                     self.told(&news);
                 }
             }
         }
         if is_news {
-            self.told(lives);
+            self.told(instances);
         }
     }
 
-    /// A worker calls one hut after the other until one acknowledges it.
-    fn beat(&mut self, worker: u64, standing: InstanceState) -> usize {
-        for tried in 0..HUTS {
-            let hut = (self.homes[&worker] + tried) % HUTS;
+    /// A worker calls one controller after the other until one acknowledges it.
+    fn heartbeat(&mut self, worker: u64, standing: InstanceState) -> usize {
+        for tried in 0..CONTROLLERS {
+            let controller = (self.homes[&worker] + tried) % CONTROLLERS;
             let seq = self.seqs.entry(worker).or_default();
             *seq += 1;
-            let said = life(worker, *seq, standing);
-            let answer = self.huts[hut].record_heartbeat(at(self.now), &said);
-            self.tell(hut, answer.instance.as_slice(), answer.is_news);
+            let said = instance(worker, *seq, standing);
+            let answer = self.controllers[controller].record_heartbeat(at(self.now), &said);
+            self.tell(controller, answer.instance.as_slice(), answer.is_news);
             if answer.is_acknowledged {
-                self.homes.insert(worker, hut);
-                return hut;
+                self.homes.insert(worker, controller);
+                return controller;
             }
         }
         panic!("nobody acknowledges {worker} at {}", self.now);
@@ -99,29 +100,29 @@
     fn play(&mut self, until: u64) {
         while self.now < until {
             self.now += 500;
-            for hut in 0..HUTS {
-                self.huts[hut].set_quorum_role(at(self.now), self.contacts[hut]);
-                let silent = self.huts[hut].detect_unresponsive(at(self.now));
-                self.tell(hut, &silent, true);
+            for controller in 0..CONTROLLERS {
+                self.controllers[controller].set_quorum_role(at(self.now), self.contacts[controller]);
+                let silent = self.controllers[controller].detect_unresponsive(at(self.now));
+                self.tell(controller, &silent, true);
             }
             for worker in 0..WORKERS {
                 if self.now % 1_500 == worker % 3 * 500 && !self.dead.contains(&worker) {
-                    self.beat(worker, InstanceState::Ready);
+                    self.heartbeat(worker, InstanceState::Ready);
                 }
             }
         }
     }
 
     fn on_the_road(&self, standing: InstanceState) -> usize {
-        self.road.instances().values().filter(|k| k.state == standing).count()
+        self.proxy.instances().values().filter(|k| k.state == standing).count()
     }
 }
 
-/// The day of the cut (control.md): one hut is cut off from the others for 20 s, and hears workers as before. Each
-/// side used to declare those of the other silent, and the road dropped them all.
+/// The day of the cut (control.md): one controller is cut off from the others for 20 s, and hears workers as before. Each
+/// side used to declare those of the other silent, and the proxies dropped them all.
 #[test]
-fn a_hut_that_is_cut_off_darkens_nothing() {
-    for cut_off in 0..HUTS {
+fn a_controller_that_is_cut_off_darkens_nothing() {
+    for cut_off in 0..CONTROLLERS {
         let mut story = Story::new();
         story.play(6_000);
         assert_eq!(story.on_the_road(InstanceState::Ready), WORKERS as usize);
@@ -140,7 +141,10 @@
             1,
             "{cut_off}: who is dead is dropped all the same"
         );
-        assert!(story.homes.iter().all(|(w, home)| *w == 4 || *home != cut_off), "the others found a hut");
+        assert!(
+            story.homes.iter().all(|(w, home)| *w == 4 || *home != cut_off),
+            "the others found a controller"
+        );
         story.sides[cut_off] = 0;
         story.contacts[cut_off] = QuorumRole::Follower;
         story.play(40_000);
@@ -148,7 +152,7 @@
     }
 }
 
-/// A drain said to a hut that is cut off: the road hears of it, but it is acknowledged by one in touch.
+/// A drain said to a controller that is cut off: the proxies hears of it, but it is acknowledged by one in touch.
 #[test]
 fn a_drain_is_acknowledged_in_touch() {
     let mut story = Story::new();
@@ -157,20 +161,20 @@
     story.contacts[2] = QuorumRole::Isolated;
     story.play(6_500);
     story.homes.insert(5, 2);
-    assert_ne!(story.beat(5, InstanceState::Draining), 2);
+    assert_ne!(story.heartbeat(5, InstanceState::Draining), 2);
     assert_eq!(story.on_the_road(InstanceState::Draining), 1);
 }
 
-/// An end of a life that a hut has never heard of can't be passed on: it is not acknowledged there.
+/// An end of a instance that a controller has never heard of can't be passed on: it is not acknowledged there.
 #[test]
-fn an_end_is_acknowledged_by_who_knows_the_life() {
-    let mut watch = FailureDetector::new(at(0), InstanceRegistry::default(), BEAT);
-    watch.set_quorum_role(at(0), QuorumRole::Follower);
-    let answer = watch.deregister(at(0), "i-1");
+fn an_end_is_acknowledged_by_who_knows_the_instance() {
+    let mut detector = FailureDetector::new(at(0), InstanceRegistry::default(), HEARTBEAT);
+    detector.set_quorum_role(at(0), QuorumRole::Follower);
+    let answer = detector.deregister(at(0), "i-1");
     assert!(!answer.is_acknowledged && answer.instance.is_none());
-    watch.apply_updates(at(100), &[life(1, 4, InstanceState::Draining)]);
+    detector.apply_updates(at(100), &[instance(1, 4, InstanceState::Draining)]);
     for _ in 0..2 {
-        let answer = watch.deregister(at(200), "i-1");
+        let answer = detector.deregister(at(200), "i-1");
         assert!(
             answer.is_acknowledged && answer.instance.is_some_and(|l| l.state == InstanceState::Deregistered)
         );
@@ -181,23 +185,27 @@
 /// that stood still counts anew.
 #[test]
 fn silence_counts_from_when_one_leads() {
-    let beat_at = |watch: &mut FailureDetector, ms: u64, contact| {
-        watch.set_quorum_role(at(ms), contact);
-        watch.detect_unresponsive(at(ms)).len()
+    let heartbeat_at = |detector: &mut FailureDetector, ms: u64, contact| {
+        detector.set_quorum_role(at(ms), contact);
+        detector.detect_unresponsive(at(ms)).len()
     };
-    let mut watch = FailureDetector::new(at(0), InstanceRegistry::default(), BEAT);
-    watch.record_heartbeat(at(0), &life(1, 1, InstanceState::Ready));
+    let mut detector = FailureDetector::new(at(0), InstanceRegistry::default(), HEARTBEAT);
+    detector.record_heartbeat(at(0), &instance(1, 1, InstanceState::Ready));
     for ms in (500..20_000).step_by(500) {
-        assert_eq!(beat_at(&mut watch, ms, QuorumRole::Follower), 0, "a follower says nobody is silent");
+        assert_eq!(
+            heartbeat_at(&mut detector, ms, QuorumRole::Follower),
+            0,
+            "a follower says nobody is silent"
+        );
     }
     for ms in (20_000..26_600).step_by(500) {
-        assert_eq!(beat_at(&mut watch, ms, QuorumRole::Leader), 0, "{ms}");
+        assert_eq!(heartbeat_at(&mut detector, ms, QuorumRole::Leader), 0, "{ms}");
     }
     // It stands still for 12 s, and wakes as if it still led.
-    assert_eq!(beat_at(&mut watch, 38_500, QuorumRole::Leader), 0);
+    assert_eq!(heartbeat_at(&mut detector, 38_500, QuorumRole::Leader), 0);
     for ms in (39_000..45_000).step_by(500) {
-        assert_eq!(beat_at(&mut watch, ms, QuorumRole::Leader), 0, "{ms}");
+        assert_eq!(heartbeat_at(&mut detector, ms, QuorumRole::Leader), 0, "{ms}");
     }
-    assert_eq!(beat_at(&mut watch, 45_500, QuorumRole::Leader), 1);
-    assert_eq!(beat_at(&mut watch, 46_000, QuorumRole::Leader), 0, "said once");
+    assert_eq!(heartbeat_at(&mut detector, 45_500, QuorumRole::Leader), 1);
+    assert_eq!(heartbeat_at(&mut detector, 46_000, QuorumRole::Leader), 0, "said once");
 }
--- a/crates/control-state/tests/instance_registry.rs
+++ b/crates/control-state/tests/instance_registry.rs
@@ -49,13 +49,13 @@
     }
 }
 
-/// What was known before a start stands for a while, is silent unless it speaks, and never goes before a beat.
+/// What was known before a start stands for a while, is silent unless it speaks, and never goes before a heartbeat.
 #[test]
 fn restored_instances_stand_for_a_while() {
-    let beat = Span::from_millis(1500);
+    let heartbeat = Span::from_millis(1500);
     let mut registry = InstanceRegistry::default();
     registry.update(at(0), &instance(9, InstanceState::Draining, 0));
-    registry.restore(at(0), &[instance(7, InstanceState::Ready, 0)], beat);
+    registry.restore(at(0), &[instance(7, InstanceState::Ready, 0)], heartbeat);
     assert_eq!(registry.instances()["i-1"].state, InstanceState::Draining);
     let mut registry = InstanceRegistry::default();
     registry.restore(
@@ -64,23 +64,23 @@
             instance(7, InstanceState::Ready, 0),
             Instance { id: "i-2".into(), ..instance(3, InstanceState::Deregistered, 0) },
         ],
-        beat,
+        heartbeat,
     );
-    assert_eq!((registry.instances().len(), registry.sweep(at(3000), beat).len()), (1, 0));
-    assert_eq!(registry.sweep(at(4000), beat), ["i-1"]);
+    assert_eq!((registry.instances().len(), registry.sweep(at(3000), heartbeat).len()), (1, 0));
+    assert_eq!(registry.sweep(at(4000), heartbeat), ["i-1"]);
     assert!(registry.update(at(4100), &instance(8, InstanceState::Ready, 0)));
 }
 
 #[test]
 fn unresponsive_instances_are_reported_once_and_ended_ones_forgotten() {
     let mut registry = InstanceRegistry::default();
-    let beat = Span::from_millis(1500);
+    let heartbeat = Span::from_millis(1500);
     registry.update(at(0), &instance(1, InstanceState::Ready, 0));
-    assert!(registry.sweep(at(6000), beat).is_empty());
-    assert_eq!(registry.sweep(at(7000), beat), ["i-1"]);
-    assert!(registry.sweep(at(7100), beat).is_empty());
+    assert!(registry.sweep(at(6000), heartbeat).is_empty());
+    assert_eq!(registry.sweep(at(7000), heartbeat), ["i-1"]);
+    assert!(registry.sweep(at(7100), heartbeat).is_empty());
     assert!(registry.update(at(8000), &instance(2, InstanceState::Ready, 0)));
     registry.deregister(at(9000), "i-1");
-    registry.sweep(at(100_000), beat);
+    registry.sweep(at(100_000), heartbeat);
     assert!(registry.instances().is_empty());
 }
--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -1,4 +1,4 @@
-//! The purse, when a gatekeeper comes back that was out of reach.
+//! The allocator, when a proxy comes back that was out of reach.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
@@ -6,7 +6,7 @@
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
 const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5_000), slack: 20.0, overshoot: 0.1 };
-const GATEKEEPERS: u32 = 11;
+const PROXIES: u32 = 11;
 /// So many of them let one through in each second.
 const BUSY: u32 = 7;
 
@@ -18,22 +18,22 @@
     TenantUsage { tenant: "t".into(), admitted: passed, rejected: 0, age_ms: ago_ms }
 }
 
-/// Seven in a second of eight that are granted: what gatekeepers say of the time when they were out of reach closes
+/// Seven in a second of eight that are granted: what proxies say of the time when they were out of reach closes
 /// nobody, as it lies in the past. Said as if it were of now, it closed the tenant everywhere for seconds.
 #[test]
 fn counts_from_out_of_reach_lie_in_the_past() {
     let tenants = vec![Tenant { name: "t".into(), priority: None, rate: 8.0, burst: 8.0, homes: vec![] }];
     let play = |counts: &dyn Fn() -> Vec<TenantUsage>| -> Vec<QuotaShare> {
-        let mut purse = QuotaAllocator::new(GRANT);
+        let mut allocator = QuotaAllocator::new(GRANT);
         let mut closed = Vec::new();
         for second in 0..30 {
             let (now, cut) = (at(second * 1_000), (10..20).contains(&second));
-            for n in (0..GATEKEEPERS).filter(|_| !cut) {
+            for n in (0..PROXIES).filter(|_| !cut) {
                 let node = n.to_string();
-                purse.on_proxy_seen(now, &node, "z", true);
+                allocator.on_proxy_seen(now, &node, "z", true);
                 let said = if second == 20 { counts() } else { vec![count(1, 0)] };
                 let said = if n < BUSY { said } else { Vec::new() };
-                closed.extend(purse.report_usage(now, &node, "z", (&said, 0), &tenants));
+                closed.extend(allocator.report_usage(now, &node, "z", (&said, 0), &tenants));
             }
         }
         closed
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// `load`: requests a second at each gatekeeper.
+    /// `load`: requests a second at each proxy.
     fn step(&mut self, ms: u64, load: &dyn Fn(usize) -> f64) {
         let now = at(ms);
         for n in 0..self.proxies.len() {
--- a/crates/control-state/tests/stack.rs
+++ b/crates/control-state/tests/stack.rs
@@ -1,4 +1,4 @@
-//! Orders are read and ruled on, and books read, in coroutines: on a stack of 128 kB, whatever their size.
+//! Orders are read and ruled on, and stores read, in coroutines: on a stack of 128 kB, whatever their size.
 
 use std::thread;
 
@@ -22,22 +22,22 @@
     let patch = body.replace("00000000", "00000005").replacen("00000005", "00000006", 1);
     let patch = patch.replacen("\"routes\"", "\"upsert\":{\"routes\"", 1) + "}";
     let all = move || {
-        let (mut book, mut steps, mut mirror) =
+        let (mut store, mut deltas, mut replica) =
             (ConfigStore::default(), DeltaLog::default(), ConfigReplica::default());
         for change in [Operation::Put(body.into_bytes()), Operation::Patch(patch.into_bytes())] {
-            let mut order = Command::new(change);
-            order.parse();
-            let CommandOutcome::Accepted(new) = book.apply(&order, &[]) else {
-                panic!("{:?}", book.apply(&order, &[]))
+            let mut command = Command::new(change);
+            command.parse();
+            let CommandOutcome::Accepted(new) = store.apply(&command, &[]) else {
+                panic!("{:?}", store.apply(&command, &[]))
             };
-            let new = book.decode_next(&new.encode()).expect("read");
+            let new = store.decode_next(&new.encode()).expect("read");
             assert!(new.configuration().is_some() && new.to_json().is_some());
-            steps.record(&book, &new);
-            book = new;
-            assert!(mirror.apply_update(
+            deltas.record(&store, &new);
+            store = new;
+            assert!(replica.apply_update(
                 Time::from_nanos(1),
-                book.revision,
-                &steps.encode_update(&book, mirror.delta_base())
+                store.revision,
+                &deltas.encode_update(&store, replica.delta_base())
             ));
         }
     };
--- a/crates/controller/examples/state.rs
+++ b/crates/controller/examples/state.rs
@@ -1,4 +1,4 @@
-//! What one change of the book costs, by the size of its state: time, bytes, disk, memory. One size a run, so that the
+//! What one change of the configuration costs, by the size of its state: time, bytes, disk, memory. One size a run, so that the
 //! peak of memory is its own:
 //!
 //!     cargo run --profile system -p lynxstair-controller --example state -- KILOBYTES [CHANGES]
@@ -54,9 +54,9 @@
     )
 }
 
-fn taken(book: &ConfigStore, order: &Command) -> ConfigStore {
-    match book.apply(order, &[]) {
-        CommandOutcome::Accepted(book) => *book,
+fn taken(store: &ConfigStore, order: &Command) -> ConfigStore {
+    match store.apply(order, &[]) {
+        CommandOutcome::Accepted(store) => *store,
         other => panic!("{other:?}"),
     }
 }
@@ -102,24 +102,24 @@
     println!("configuration {} bytes, {routes} routes; {changes} changes", text.len());
     let mut order = Command::new(Operation::Put(text.into_bytes()));
     times.of("PUT: read, before the lock", || order.parse());
-    let mut book = times.of("PUT: rule", || taken(&ConfigStore::default(), &order));
+    let mut store = times.of("PUT: rule", || taken(&ConfigStore::default(), &order));
     println!("peak memory of a PUT {} kB", peak_kb());
-    let state = book.encode();
-    let mut agreed =
-        times.of("a hut: read a PUT that was agreed on", || ConfigStore::decode(&state).expect("read"));
+    let state = store.encode();
+    let mut agreed = times
+        .of("a controller: read a PUT that was agreed on", || ConfigStore::decode(&state).expect("read"));
     times.of("a new leader: read what it says", || assert!(agreed.configuration().is_some()));
-    let (mut mirror, mut steps) = (ConfigReplica::default(), DeltaLog::default());
+    let (mut replica, mut steps) = (ConfigReplica::default(), DeltaLog::default());
     let first = agreed.clone();
-    let page = times.of("a hut: write the whole for the road", || steps.encode_update(&agreed, 0));
+    let page = times.of("a controller: write the whole for the proxies", || steps.encode_update(&agreed, 0));
     let whole = page.len();
-    times.of("a gatekeeper: take the whole", || {
-        assert!(mirror.apply_update(Time::from_nanos(1), agreed.revision, &page));
+    times.of("a proxy: take the whole", || {
+        assert!(replica.apply_update(Time::from_nanos(1), agreed.revision, &page));
     });
-    let mut road = 0;
+    let mut proxy = 0;
     for generation in 2..2 + changes {
         let mut order = Command::new(patch(generation, routes));
         times.of("PATCH of one route: read, before the lock", || order.parse());
-        let new = times.of("PATCH of one route: rule", || taken(&book, &order));
+        let new = times.of("PATCH of one route: rule", || taken(&store, &order));
         let state = times.of("serialise the state", || new.encode());
         let record = PersistentState {
             state: ReplicatedState {
@@ -129,28 +129,28 @@
             ..PersistentState::default()
         };
         times.of("save, synced", || sqlite.save(&record).expect("saved"));
-        let newer = times.of("a hut: read what was agreed on", || {
+        let newer = times.of("a controller: read what was agreed on", || {
             agreed.decode_next(&record.state.config.0).expect("read")
         });
-        let page = times.of("a hut: write what changed for the road", || {
+        let page = times.of("a controller: write what changed for the proxies", || {
             steps.record(&agreed, &newer);
-            steps.encode_update(&newer, mirror.delta_base())
+            steps.encode_update(&newer, replica.delta_base())
         });
-        (book, agreed) = (new, newer);
-        road += page.len();
-        times.of("a gatekeeper: take what changed", || {
-            assert!(mirror.apply_update(Time::from_nanos(2), agreed.revision, &page));
+        (store, agreed) = (new, newer);
+        proxy += page.len();
+        times.of("a proxy: take what changed", || {
+            assert!(replica.apply_update(Time::from_nanos(2), agreed.revision, &page));
         });
     }
     // A member that was away through all of them, and one with an empty disk: one state brings either up.
-    let state = book.encode();
+    let state = store.encode();
     let stale = first;
     times.of("catch up: read, after all changes", || assert!(stale.decode_next(&state).is_some()));
     times.of("catch up: read, on an empty disk", || assert!(ConfigStore::decode(&state).is_some()));
-    let page =
-        times.of("catch up: write the whole for the road", || DeltaLog::default().encode_update(&agreed, 0));
+    let page = times
+        .of("catch up: write the whole for the proxies", || DeltaLog::default().encode_update(&agreed, 0));
     let mut late = ConfigReplica::default();
-    times.of("catch up: a new gatekeeper takes it", || {
+    times.of("catch up: a new proxy takes it", || {
         assert!(late.apply_update(Time::from_nanos(3), agreed.revision, &page));
     });
     times.print();
@@ -162,12 +162,12 @@
     let mut sqlite = SqliteStore::open(folder.path(), |_| false).expect("open");
     let mut times = Times::default();
     times.of("load after a start", || assert!(sqlite.load().expect("loads").is_some()));
-    times.of("GET: write the configuration", || book.to_json().map(|t| t.len()));
+    times.of("GET: write the configuration", || store.to_json().map(|t| t.len()));
     times.print();
     println!(
-        "state {} bytes; to a gatekeeper {whole} bytes, then {} a change; on disk {on_disk} bytes; peak memory {} kB",
-        book.encode().len(),
-        road / changes as usize,
+        "state {} bytes; to a proxy {whole} bytes, then {} a change; on disk {on_disk} bytes; peak memory {} kB",
+        store.encode().len(),
+        proxy / changes as usize,
         peak_kb()
     );
 }
--- a/crates/controller/tests/core.rs
+++ b/crates/controller/tests/core.rs
@@ -1,4 +1,4 @@
-//! A core of huts as programs on loopback, workers, an operator and gatekeepers played here. Nothing waits for a time:
+//! A core of controllers as programs on loopback, workers, an operator and proxies played here. Nothing waits for a time:
 //! what is to come is asked for until it is there.
 
 use std::collections::HashMap;
@@ -43,22 +43,22 @@
     )
 }
 
-fn beat(seq: u32) -> String {
+fn heartbeat(seq: u32) -> String {
     format!(
         r#"{{"service":"s","address":"10.0.0.1:80","zone":"z1","capacity":6,"state":"ready","cold-left-s":0,"call-seq":{seq}}}"#
     )
 }
 
-/// Huts by their number, each at an address of its own.
+/// Controllers by their number, each at an address of its own.
 struct Core {
     folder: TempDir,
     net: String,
-    huts: HashMap<usize, Child>,
+    controllers: HashMap<usize, Child>,
 }
 
 impl Drop for Core {
     fn drop(&mut self) {
-        for child in self.huts.values_mut() {
+        for child in self.controllers.values_mut() {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -69,18 +69,18 @@
     /// `test`: another number for each, as tests of one process run at once.
     fn new(test: u32) -> Core {
         let net = format!("127.{}.{}", 160 + test, std::process::id() % 250);
-        Core { folder: tempfile::tempdir().expect("a folder"), net, huts: HashMap::new() }
+        Core { folder: tempfile::tempdir().expect("a folder"), net, controllers: HashMap::new() }
     }
 
     fn at(&self, n: usize) -> SocketAddr {
         format!("{}.{n}:8383", self.net).parse().expect("an address")
     }
 
-    fn board(&self, n: usize) -> SocketAddr {
+    fn directory(&self, n: usize) -> SocketAddr {
         SocketAddr::new(self.at(n).ip(), 8385)
     }
 
-    /// Puts a hut's settings in place, whole.
+    /// Puts a controller's settings in place, whole.
     fn settle(&self, n: usize, seeds: &[usize], bootstrap: bool) -> std::path::PathBuf {
         let own = self.at(n);
         let seeds: String = seeds.iter().map(|s| format!("  - \"{}\"\n", self.at(*s))).collect();
@@ -91,7 +91,7 @@
              bootstrap: {bootstrap}\nlimits:\n  memory-mb: 64\n  max-fds: 900\nfault-budget:\n  machines: 1\n\
              data-dir: \"{}\"\nbeat-period-s: 0.3\n",
             own.ip(),
-            self.board(n),
+            self.directory(n),
             data.display()
         );
         let (new, file) =
@@ -108,10 +108,10 @@
             .stderr(self.log(n))
             .spawn()
             .expect("started");
-        self.huts.insert(n, child);
+        self.controllers.insert(n, child);
     }
 
-    /// The first hut's log is on a disk that is full: what can't be logged ends nothing.
+    /// The first controller's log is on a disk that is full: what can't be logged ends nothing.
     fn log(&self, n: usize) -> Stdio {
         match std::fs::File::options().write(true).open("/dev/full") {
             Ok(full) if n == 1 => full.into(),
@@ -120,10 +120,10 @@
     }
 
     fn signal(&self, n: usize, signal: Signal) {
-        kill(Pid::from_raw(self.huts[&n].id() as i32), signal).expect("signalled");
+        kill(Pid::from_raw(self.controllers[&n].id() as i32), signal).expect("signalled");
     }
 
-    /// What a hut says of itself.
+    /// What a controller says of itself.
     fn status(&self, n: usize) -> Option<Object> {
         let message = call(self.at(n), "GET /status", "")?;
         match json::parse(&message.body) {
@@ -138,13 +138,13 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        self.huts.keys().copied().find(|n| self.says(*n, "role") == "\"leader\"")
+        self.controllers.keys().copied().find(|n| self.says(*n, "role") == "\"leader\"")
     }
 
-    /// The operator's order, to any hut, where it is sent on and again until it is clear.
+    /// The operator's order, to any controller, where it is sent on and again until it is clear.
     fn order(&self, head: &str, body: &str) -> u16 {
         until(head, || {
-            self.huts.keys().find_map(|n| {
+            self.controllers.keys().find_map(|n| {
                 let status = call(self.at(*n), head, body)?.status();
                 (status != 307 && status != 503).then_some(status)
             })
@@ -152,12 +152,12 @@
     }
 }
 
-/// A gatekeeper's line to a hut.
+/// A proxy's line to a controller.
 struct Line(TcpStream, Vec<u8>);
 
 impl Line {
-    fn open(hut: SocketAddr) -> Line {
-        let stream = TcpStream::connect(SocketAddr::new(hut.ip(), 7460)).expect("connected");
+    fn open(controller: SocketAddr) -> Line {
+        let stream = TcpStream::connect(SocketAddr::new(controller.ip(), 7460)).expect("connected");
         stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
         Line(stream, Vec::new())
     }
@@ -187,33 +187,33 @@
             }
             let mut piece = [0; 4096];
             let n = self.0.read(&mut piece).expect("read");
-            assert!(n > 0, "the hut has ended the line");
+            assert!(n > 0, "the controller has ended the line");
             self.1.extend(&piece[..n]);
         }
     }
 }
 
-/// Out of touch with a majority a hut promises workers nothing, sends nobody to a leader and reads nothing out; what it
+/// Out of touch with a majority a controller promises workers nothing, sends nobody to a leader and reads nothing out; what it
 /// heard meanwhile the others know as soon as they are there.
 #[test]
-fn a_hut_out_of_touch_promises_nothing() {
+fn a_controller_out_of_touch_promises_nothing() {
     let mut core = Core::new(1);
     core.start(1, &[1, 2, 3], true);
-    until("the first hut", || core.status(1));
+    until("the first controller", || core.status(1));
     let at = core.at(1);
-    assert_eq!(call(at, "PUT /instances/i-1", &beat(1)).expect("answered").status(), 503);
+    assert_eq!(call(at, "PUT /instances/i-1", &heartbeat(1)).expect("answered").status(), 503);
     assert_eq!(call(at, "PUT /instances/i-1", "{}").expect("answered").status(), 400);
     for order in ["GET /config", "POST /evacuation/z1", "DELETE /instances/i-1"] {
         assert_eq!(call(at, order, "").expect("answered").status(), 503, "{order}");
     }
-    assert_eq!(call(at, "PUT /instances/i-2", &beat(1)).expect("answered").status(), 503);
+    assert_eq!(call(at, "PUT /instances/i-2", &heartbeat(1)).expect("answered").status(), 503);
     core.start(2, &[1, 2, 3], true);
     core.start(3, &[1, 2, 3], true);
     until("a leader", || core.leader());
-    until("the life is known", || (core.says(2, "workers") == "1").then_some(()));
+    until("the instance is known", || (core.says(2, "workers") == "1").then_some(()));
     for n in 1..=3 {
         until("a promise", || {
-            (call(core.at(n), "PUT /instances/i-2", &beat(2))?.status() == 200).then_some(())
+            (call(core.at(n), "PUT /instances/i-2", &heartbeat(2))?.status() == 200).then_some(())
         });
     }
 }
@@ -227,15 +227,19 @@
     let old = until("a leader", || core.leader());
     let told_at = Instant::now();
     core.signal(old, Signal::SIGTERM);
-    let mut child = core.huts.remove(&old).expect("runs");
+    let mut child = core.controllers.remove(&old).expect("runs");
     let ended = child.wait().expect("ended");
     assert!(ended.success() && told_at.elapsed() < GRACE, "{ended} after {:?}", told_at.elapsed());
     assert_eq!(core.order("POST /evacuation/z1", ""), 200);
     assert_eq!(core.order("GET /config", ""), 200);
-    assert_eq!(core.order("PUT /config", &configuration(6, 0)), 412, "by the book that was acknowledged");
+    assert_eq!(
+        core.order("PUT /config", &configuration(6, 0)),
+        412,
+        "by the configuration that was acknowledged"
+    );
 }
 
-/// An order that lay unread while the hut stood still is not taken once its caller has gone: it may have been taken
+/// An order that lay unread while the controller stood still is not taken once its caller has gone: it may have been taken
 /// elsewhere, and taken back.
 #[test]
 fn an_order_whose_caller_has_gone_is_not_taken() {
@@ -252,8 +256,8 @@
     assert_eq!(core.says(1, "number"), (before + 1).to_string());
 }
 
-/// A hut whose seeds are all gone reads its settings again without a signal; it is taken in as a learner, knows the book,
-/// and answers look-ups by what the others know of gatekeepers.
+/// A controller whose seeds are all gone reads its settings again without a signal; it is taken in as a learner, knows the configuration,
+/// and answers look-ups by what the others know of proxies.
 #[test]
 fn a_newcomer_finds_the_core_and_the_road() {
     let mut core = Core::new(4);
@@ -268,17 +272,17 @@
     };
     let mut line = Line::open(core.at(1));
     line.say(&ToController::Subscribe { proxy: edge, wants_instances: true });
-    let ToProxy::Controllers { controllers: huts, is_complete: whole } = line.hear() else {
-        panic!("the huts come first")
+    let ToProxy::Controllers { controllers, is_complete: whole } = line.hear() else {
+        panic!("the controllers come first")
     };
-    assert_eq!((huts, whole), (vec![core.at(1)], true), "as the leader says");
+    assert_eq!((controllers, whole), (vec![core.at(1)], true), "as the leader says");
     line.ping(Readiness::Ready);
     core.start(2, &[7, 8, 9], false);
     until("the newcomer", || core.status(2));
-    let look_up = || call(core.board(2), "GET /resolve?name=h&region=r1&zone=z1", "").map(|m| m.status());
+    let look_up = || call(core.directory(2), "GET /resolve?name=h&region=r1&zone=z1", "").map(|m| m.status());
     assert_eq!(look_up(), Some(503), "it knows nobody");
     core.settle(2, &[1], false);
-    until("the book", || {
+    until("the configuration", || {
         (core.says(2, "in-touch") == "true" && core.says(2, "generation") == "\"00000005\"").then_some(())
     });
     until("an answer", || {
@@ -287,8 +291,8 @@
     });
     assert_eq!(call(core.at(2), "GET /config", "").expect("answered").status(), 307);
     until("news of the newcomer", || match line.hear() {
-        ToProxy::Controllers { controllers: huts, is_complete: true } => {
-            huts.contains(&core.at(2)).then_some(())
+        ToProxy::Controllers { controllers, is_complete: true } => {
+            controllers.contains(&core.at(2)).then_some(())
         }
         _ => None,
     });
@@ -296,7 +300,7 @@
     until("who leaves is not named", || (look_up() == Some(503)).then_some(()));
 }
 
-/// A configuration that is read aside (over 64 KiB) is ruled on as any other, and given back whole; a hut whose disk can't
+/// A configuration that is read aside (over 64 KiB) is ruled on as any other, and given back whole; a controller whose disk can't
 /// be read any more starts all the same, counts as emptied though its settings say that all begins, and is caught up.
 #[test]
 fn a_large_configuration_and_an_unreadable_disk() {
@@ -316,15 +320,15 @@
 
     let leader = until("a leader", || core.leader());
     let lost = (1..=3).find(|n| *n != leader).expect("one");
-    let mut child = core.huts.remove(&lost).expect("runs");
+    let mut child = core.controllers.remove(&lost).expect("runs");
     child.kill().expect("killed");
     child.wait().expect("ended");
     let disk = core.folder.path().join(format!("controller{lost}"));
-    std::fs::write(disk.join("book.sqlite"), "no database at all".repeat(500)).expect("spoiled");
-    std::fs::remove_file(disk.join("book.sqlite-wal")).expect("its log, which holds all by itself");
+    std::fs::write(disk.join("store.sqlite"), "no database at all".repeat(500)).expect("spoiled");
+    std::fs::remove_file(disk.join("store.sqlite-wal")).expect("its log, which holds all by itself");
     core.start(lost, &[1, 2, 3], true);
     until("it is caught up", || (core.says(lost, "generation") == "\"00000005\"").then_some(()));
-    assert!(disk.join("book.sqlite.unreadable").exists());
+    assert!(disk.join("store.sqlite.unreadable").exists());
     let patch = r#"{"generation":"00000007","base-version":"00000005","remove":{"routes":["r1"]}}"#;
     assert_eq!(core.order("PATCH /config", patch), 200);
     until("the change", || (core.says(lost, "generation") == "\"00000007\"").then_some(()));
@@ -337,12 +341,12 @@
     assert!(text.contains("\"r1199\"") && !text.contains("\"r1\"") && text.contains("00000007"));
 }
 
-/// A line that was cut may stand at this end and bring nothing to the other: a hut that is told that it is not heard opens
-/// its line anew. Before, such a hut stayed unheard for as long as the line stood, and the next loss left no majority.
+/// A line that was cut may stand at this end and bring nothing to the other: a controller that is told that it is not heard opens
+/// its line anew. Before, such a controller stayed unheard for as long as the line stood, and the next loss left no majority.
 #[test]
 fn a_line_that_brings_nothing_is_opened_anew() {
     let mut core = Core::new(5);
-    let other = TcpListener::bind(SocketAddr::new(core.at(2).ip(), 7460)).expect("a hut, played here");
+    let other = TcpListener::bind(SocketAddr::new(core.at(2).ip(), 7460)).expect("a controller, played here");
     core.start(1, &[1, 2], true);
     let (first, _) = other.accept().expect("its line");
     first.set_read_timeout(Some(PATIENCE)).expect("a limit");
@@ -379,7 +383,7 @@
     assert!(matches!((&again).read(&mut piece), Ok(n) if n > 0), "it speaks on the new one");
 }
 
-/// A newcomer that was told of one hut only, and not of the one that leads, finds the others by it, and becomes a learner
+/// A newcomer that was told of one controller only, and not of the one that leads, finds the others by it, and becomes a learner
 /// at least: before, the leader never spoke to it.
 #[test]
 fn a_newcomer_that_knows_one_finds_all() {
--- a/crates/emulator/src/core.rs
+++ b/crates/emulator/src/core.rs
@@ -1,14 +1,14 @@
-//! The core of the system on a virtual clock: agreement, book, watch over the workers, feed and the edges' freshness
+//! The core of the system on a virtual clock: agreement, store, detector over the workers, feed and the edges' freshness
 //! together, with operators that send again, machines that come, leave and are replaced, disks, clocks and lines that
 //! fail, and judges that know only what callers saw.
 //!
 //! One seed gives one story, the same each time. docs/design/model.md says what the world has and what it lacks.
 
+mod controller;
 mod deliberate;
 mod disk;
 mod edge;
 pub mod histories;
-mod hut;
 mod judges;
 mod lines;
 mod operators;
@@ -44,7 +44,7 @@
     /// What happened in the world, and how long that took there.
     pub events: u64,
     pub long: Span,
-    /// What befell whom, and how each hut stands at the end: for whoever looks for a cause.
+    /// What befell whom, and how each controller stands at the end: for whoever looks for a cause.
     pub told: Vec<String>,
 }
 
@@ -57,9 +57,9 @@
 /// Plays one story.
 pub fn play(story: Story, seed: u64, fault: Option<Deliberate>) -> Verdict {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x636f_7265);
-    let (huts, tolerated) = story.size(&mut chance);
+    let (controllers, tolerated) = story.size(&mut chance);
     let (troubles, calm) = story.plan(&mut chance);
-    let mut world = World::new(chance.random(), huts, tolerated, fault);
+    let mut world = World::new(chance.random(), controllers, tolerated, fault);
     world.beyond_budget = story == Story::VoteThenPower;
     for (at, trouble) in troubles {
         world.trouble_at(ms(at), trouble);
@@ -68,7 +68,7 @@
     world.run(ms(calm) + CONTACT);
     let last = forward(&mut world);
     world.run(AFTER);
-    let read = world.judges.book.iter().rev().find_map(|c| match c.told {
+    let read = world.judges.store.iter().rev().find_map(|c| match c.told {
         histories::Told::Holds(version) if c.sent_at >= last => Some(version),
         _ => None,
     });
@@ -79,14 +79,14 @@
     Verdict {
         broken: world.judges.broken,
         acked,
-        calls: world.judges.book.len(),
+        calls: world.judges.store.len(),
         events: world.events,
         long: now - world.began_at,
         told: world.told,
     }
 }
 
-/// It has been calm for the contact time: what callers ask for has to come through. From when on the book is read
+/// It has been calm for the contact time: what callers ask for has to come through. From when on the configuration is read
 /// back for the last time.
 fn forward(world: &mut World) -> Time {
     world.closing = true;
--- a/crates/emulator/src/core/hut.rs
+++ b/crates/emulator/src/core/controller.rs
@@ -1,4 +1,4 @@
-//! A hut's process: the rooms that the real one holds (agreement, book, watch over the workers) tied together as
+//! A controller's process: the state machines that the real one holds (agreement, store, detector over the workers) tied together as
 //! `crates/controller` ties them, without its sockets. What it wants done comes out as values.
 
 use std::collections::BTreeMap;
@@ -24,12 +24,12 @@
 /// A lease, where a deliberate fault answers by one.
 const LEASE: Span = Span::from_millis(2_500);
 
-/// What a caller asks of a hut.
+/// What a caller asks of a controller.
 #[derive(Clone, Debug)]
 pub(crate) enum Ask {
     Operation(Operation),
     Read,
-    Beat(Instance),
+    Heartbeat(Instance),
     Delete(String),
 }
 
@@ -45,7 +45,7 @@
 pub(crate) enum Out {
     Save(u64, PersistentState),
     Say(SocketAddr, Message),
-    /// To each other hut.
+    /// To each other controller.
     Pass(Vec<Instance>),
     /// To each edge that follows, or to one.
     Tell(Option<usize>, ToProxy),
@@ -56,27 +56,27 @@
 enum Step {
     /// Waits for its turn.
     Waits,
-    /// Waits for word that this hut still leads.
+    /// Waits for word that this controller still leads.
     Reads(u64),
     Proposed(u64),
 }
 
 struct Order {
     call: u64,
-    /// None: the book is read.
+    /// None: the configuration is read.
     change: Option<Read>,
     until: Time,
     step: Step,
-    /// A majority has said that this hut still led after the order came.
+    /// A majority has said that this controller still led after the order came.
     is_confirmed: bool,
 }
 
-pub(crate) struct Hut {
+pub(crate) struct Controller {
     me: SocketAddr,
-    pub cairn: Consensus,
-    pub book: ConfigStore,
-    steps: DeltaLog,
-    pub watch: FailureDetector,
+    pub consensus: Consensus,
+    pub store: ConfigStore,
+    deltas: DeltaLog,
+    pub detector: FailureDetector,
     orders: Vec<Order>,
     /// The edges that follow here.
     followers: BTreeMap<usize, Subscription>,
@@ -85,37 +85,37 @@
     out: Vec<Out>,
 }
 
-impl Hut {
+impl Controller {
     pub fn start(
         now: Time,
         boot: ConsensusConfig,
-        lives: &[Instance],
-        beat: Span,
+        instances: &[Instance],
+        heartbeat: Span,
         fault: Option<Deliberate>,
-    ) -> Hut {
+    ) -> Controller {
         let mut register = InstanceRegistry::default();
-        register.restore(now, lives, beat);
+        register.restore(now, instances, heartbeat);
         let me = boot.me;
         #[cfg_attr(not(feature = "deliberate-faults"), expect(unused_mut))]
-        let mut cairn = Consensus::new(now, boot);
+        let mut consensus = Consensus::new(now, boot);
         #[cfg(feature = "deliberate-faults")]
         {
-            cairn.fault = fault.and_then(Deliberate::in_room);
+            consensus.fault = fault.and_then(Deliberate::in_room);
         }
-        let mut hut = Hut {
+        let mut controller = Controller {
             me,
-            cairn,
-            book: ConfigStore::default(),
-            steps: DeltaLog::default(),
-            watch: FailureDetector::new(now, register, beat),
+            consensus,
+            store: ConfigStore::default(),
+            deltas: DeltaLog::default(),
+            detector: FailureDetector::new(now, register, heartbeat),
             orders: Vec::new(),
             followers: BTreeMap::new(),
             zones: super::ZONES.iter().map(|z| (z.to_string(), "r".to_string())).collect(),
             fault,
             out: Vec::new(),
         };
-        hut.act(now);
-        hut
+        controller.act(now);
+        controller
     }
 
     pub fn take(&mut self) -> Vec<Out> {
@@ -129,59 +129,59 @@
     // ---- what it is told ----
 
     pub fn tick(&mut self, now: Time) {
-        self.cairn.tick(now);
+        self.consensus.tick(now);
         self.act(now);
     }
 
     pub fn saved(&mut self, now: Time, number: u64) {
-        self.cairn.on_persisted(now, number);
+        self.consensus.on_persisted(now, number);
         self.act(now);
     }
 
     pub fn hear(&mut self, now: Time, from: SocketAddr, message: Message) {
-        self.cairn.handle_message(now, from, message);
-        self.cairn.on_peer_seen(now, from);
+        self.consensus.handle_message(now, from, message);
+        self.consensus.on_peer_seen(now, from);
         self.act(now);
     }
 
-    /// Another hut says that it is there.
+    /// Another controller says that it is there.
     pub fn here(&mut self, now: Time, from: SocketAddr) {
-        self.cairn.on_peer_seen(now, from);
+        self.consensus.on_peer_seen(now, from);
         self.act(now);
     }
 
-    /// What another hut heard of workers.
-    pub fn hear_lives(&mut self, now: Time, from: SocketAddr, lives: &[Instance]) {
-        let news = self.watch.apply_updates(now, lives);
-        if !news.is_empty() && self.cairn.is_established_leader() {
+    /// What another controller heard of workers.
+    pub fn hear_instances(&mut self, now: Time, from: SocketAddr, instances: &[Instance]) {
+        let news = self.detector.apply_updates(now, instances);
+        if !news.is_empty() && self.consensus.is_established_leader() {
             self.out.push(Out::Tell(None, ToProxy::Instances { instances: news, is_snapshot: false }));
         }
-        self.cairn.on_peer_seen(now, from);
+        self.consensus.on_peer_seen(now, from);
         self.act(now);
     }
 
     pub fn sweep(&mut self, now: Time) {
         self.stand(now);
-        let lives = self.watch.detect_unresponsive(now);
-        if !lives.is_empty() {
-            self.out.push(Out::Pass(lives.clone()));
-            self.out.push(Out::Tell(None, ToProxy::Instances { instances: lives, is_snapshot: false }));
+        let instances = self.detector.detect_unresponsive(now);
+        if !instances.is_empty() {
+            self.out.push(Out::Pass(instances.clone()));
+            self.out.push(Out::Tell(None, ToProxy::Instances { instances, is_snapshot: false }));
         }
     }
 
     fn stand(&mut self, now: Time) {
-        let contact = match (self.cairn.has_quorum_contact(now), self.cairn.is_established_leader()) {
+        let contact = match (self.consensus.has_quorum_contact(now), self.consensus.is_established_leader()) {
             (false, _) => QuorumRole::Isolated,
             (true, false) => QuorumRole::Follower,
             (true, true) => QuorumRole::Leader,
         };
-        self.watch.set_quorum_role(now, contact);
+        self.detector.set_quorum_role(now, contact);
     }
 
-    pub fn follow(&mut self, now: Time, edge: usize, lives: bool) {
+    pub fn follow(&mut self, now: Time, edge: usize, instances: bool) {
         self.followers.insert(edge, Subscription::default());
-        if lives {
-            let all = self.watch.registry().snapshot(now);
+        if instances {
+            let all = self.detector.registry().snapshot(now);
             self.out.push(Out::Tell(Some(edge), ToProxy::Instances { instances: all, is_snapshot: true }));
         }
     }
@@ -192,16 +192,16 @@
 
     pub fn ping(&mut self, now: Time, edge: usize, clock: u64, have: u64) {
         let Some(sent) = self.followers.get_mut(&edge) else { return };
-        let leads = self.cairn.is_established_leader() && self.cairn.has_quorum_contact(now);
-        let index = self.book.revision;
+        let leads = self.consensus.is_established_leader() && self.consensus.has_quorum_contact(now);
+        let index = self.store.revision;
         sent.on_heartbeat(now, have);
-        if let Some(over) = sent.due_update(now, index, leads, self.book.encoded_len()) {
-            let page = self.steps.encode_update(&self.book, over);
+        if let Some(over) = sent.due_update(now, index, leads, self.store.encoded_len()) {
+            let page = self.deltas.encode_update(&self.store, over);
             sent.on_update_sent(now, page.len());
             self.out
                 .push(Out::Tell(Some(edge), ToProxy::Config { revision: index, update: Bytes(page.into()) }));
         }
-        let fresh = self.cairn.confirmed_at().map(|at| (now - at).nanos().div_ceil(1_000_000));
+        let fresh = self.consensus.confirmed_at().map(|at| (now - at).nanos().div_ceil(1_000_000));
         self.out.push(Out::Tell(
             Some(edge),
             ToProxy::HeartbeatAck { clock, revision: index, confirmed_ms_ago: fresh, is_leader: leads },
@@ -212,13 +212,13 @@
 
     pub fn call(&mut self, now: Time, call: u64, ask: Ask) {
         let answer = match &ask {
-            Ask::Beat(life) => {
+            Ask::Heartbeat(instance) => {
                 self.stand(now);
-                Some(self.watch.record_heartbeat(now, life))
+                Some(self.detector.record_heartbeat(now, instance))
             }
             Ask::Delete(id) => {
                 self.stand(now);
-                Some(self.watch.deregister(now, id))
+                Some(self.detector.deregister(now, id))
             }
             Ask::Operation(_) | Ask::Read => None,
         };
@@ -235,11 +235,13 @@
             self.orders.push(order);
             return self.work(now);
         };
-        if let Some(life) = answer.instance {
-            self.out.push(Out::Pass(vec![life.clone()]));
+        if let Some(instance) = answer.instance {
+            self.out.push(Out::Pass(vec![instance.clone()]));
             if answer.is_news {
-                self.out
-                    .push(Out::Tell(None, ToProxy::Instances { instances: vec![life], is_snapshot: false }));
+                self.out.push(Out::Tell(
+                    None,
+                    ToProxy::Instances { instances: vec![instance], is_snapshot: false },
+                ));
             }
         }
         let is_promised = answer.is_acknowledged || self.fault == Some(Deliberate::CutOffBeats);
@@ -268,28 +270,28 @@
     }
 
     fn turn(&mut self, now: Time, order: &mut Order) -> Option<Answer> {
-        let leads = self.cairn.is_established_leader();
-        if !leads && self.cairn.leader() != Some(self.me) {
-            let leader = self.cairn.leader().filter(|_| self.cairn.has_quorum_contact(now));
+        let leads = self.consensus.is_established_leader();
+        if !leads && self.consensus.leader() != Some(self.me) {
+            let leader = self.consensus.leader().filter(|_| self.consensus.has_quorum_contact(now));
             return Some(leader.map_or(Answer::Status(503), Answer::Elsewhere));
         }
-        if leads && !self.cairn.has_quorum_contact(now) && self.fault != Some(Deliberate::LeaseRead) {
+        if leads && !self.consensus.has_quorum_contact(now) && self.fault != Some(Deliberate::LeaseRead) {
             return Some(Answer::Status(503));
         }
-        if !leads || self.cairn.has_uncommitted() {
+        if !leads || self.consensus.has_uncommitted() {
             return None;
         }
         let is_confirmed = order.is_confirmed || self.may_by_lease(now);
         let Some(change) = &order.change else {
             return if is_confirmed {
-                Some(Answer::Holds(version(&self.book)))
+                Some(Answer::Holds(version(&self.store)))
             } else {
                 self.confirm(now, order)
             };
         };
-        match self.book.apply(change, &self.zones) {
-            CommandOutcome::Accepted(book) => {
-                let number = self.cairn.propose(now, book.encode())?;
+        match self.store.apply(change, &self.zones) {
+            CommandOutcome::Accepted(store) => {
+                let number = self.consensus.propose(now, store.encode())?;
                 if self.fault == Some(Deliberate::EarlyAnswer) {
                     return Some(Answer::Status(200));
                 }
@@ -304,7 +306,7 @@
     }
 
     fn confirm(&mut self, now: Time, order: &mut Order) -> Option<Answer> {
-        match self.cairn.request_read(now) {
+        match self.consensus.request_read(now) {
             Some(number) => order.step = Step::Reads(number),
             None => return Some(Answer::Status(503)),
         }
@@ -313,14 +315,14 @@
 
     fn may_by_lease(&self, now: Time) -> bool {
         self.fault == Some(Deliberate::LeaseRead)
-            && self.cairn.confirmed_at().is_some_and(|at| now - at < LEASE)
+            && self.consensus.confirmed_at().is_some_and(|at| now - at < LEASE)
     }
 
     // ---- what the agreement wants ----
 
     fn act(&mut self, now: Time) {
         loop {
-            let todo = self.cairn.take_actions();
+            let todo = self.consensus.take_actions();
             if todo.is_empty() {
                 return;
             }
@@ -337,19 +339,19 @@
     }
 
     fn committed(&mut self, now: Time, state: &Bytes) {
-        let Some(book) = self.book.decode_next(&state.0) else { return };
-        if book.revision <= self.book.revision {
+        let Some(store) = self.store.decode_next(&state.0) else { return };
+        if store.revision <= self.store.revision {
             return;
         }
-        self.steps.record(&self.book, &book);
-        self.book = book;
-        if !self.cairn.is_established_leader() {
+        self.deltas.record(&self.store, &store);
+        self.store = store;
+        if !self.consensus.is_established_leader() {
             return;
         }
-        let index = self.book.revision;
+        let index = self.store.revision;
         for (edge, sent) in &mut self.followers {
-            if let Some(over) = sent.due_update(now, index, true, self.book.encoded_len()) {
-                let page = self.steps.encode_update(&self.book, over);
+            if let Some(over) = sent.due_update(now, index, true, self.store.encoded_len()) {
+                let page = self.deltas.encode_update(&self.store, over);
                 sent.on_update_sent(now, page.len());
                 self.out.push(Out::Tell(
                     Some(*edge),
@@ -372,8 +374,8 @@
         (order.step, order.is_confirmed) = (Step::Waits, true);
         let answer = match &order.change {
             _ if !may => Some(Answer::Status(503)),
-            None => Some(Answer::Holds(version(&self.book))),
-            // Ruled on again by the book as it is now.
+            None => Some(Answer::Holds(version(&self.store))),
+            // Ruled on again by the configuration as it is now.
             Some(_) => self.turn(now, &mut order),
         };
         match answer {
@@ -383,10 +385,10 @@
     }
 }
 
-/// What a reader of the book sees: its number, and which change made it.
-pub(crate) fn version(book: &ConfigStore) -> Option<Version> {
-    let value = json::parse(book.to_json()?.as_bytes()).ok()?;
-    let all = json::as_object(&value, "book").ok()?;
+/// What a reader of the configuration sees: its number, and which change made it.
+pub(crate) fn version(store: &ConfigStore) -> Option<Version> {
+    let value = json::parse(store.to_json()?.as_bytes()).ok()?;
+    let all = json::as_object(&value, "store").ok()?;
     let mark = json::get(all, "mark").and_then(|v| json::as_number(v, "mark").ok())?;
-    Some((book.generation, mark as u32))
+    Some((store.generation, mark as u32))
 }
--- a/crates/emulator/src/core/deliberate.rs
+++ b/crates/emulator/src/core/deliberate.rs
@@ -8,7 +8,7 @@
 pub enum Deliberate {
     /// A disk says that a vote is synced, and has not kept it.
     UnsyncedVote,
-    /// A hut whose disk was emptied starts as a founder, and votes.
+    /// A controller whose disk was emptied starts as a founder, and votes.
     EmptiedVotes,
     /// 200 to a change as soon as it is proposed.
     EarlyAnswer,
@@ -20,9 +20,9 @@
     TwoAtOnce,
     /// The vote of a member that was removed, or whose disk was emptied, counts.
     RemovedVotes,
-    /// A state on its way to another hut loses the marks of the changes that were taken.
+    /// A state on its way to another controller loses the marks of the changes that were taken.
     MarkLost,
-    /// A hut out of touch says 200 to beats.
+    /// A controller out of touch says 200 to heartbeats.
     CutOffBeats,
 }
 
@@ -49,11 +49,11 @@
             Deliberate::TwoAtOnce => "two-at-once",
             Deliberate::RemovedVotes => "removed-votes",
             Deliberate::MarkLost => "mark-lost",
-            Deliberate::CutOffBeats => "cut-off-beats",
+            Deliberate::CutOffBeats => "cut-off-heartbeats",
         }
     }
 
-    /// Those that sit inside the room of agreement; the others are put in by the world round it.
+    /// Those that sit inside the state machine of agreement; the others are put in by the world round it.
     #[cfg(feature = "deliberate-faults")]
     pub(crate) fn in_room(self) -> Option<Fault> {
         match self {
--- a/crates/emulator/src/core/disk.rs
+++ b/crates/emulator/src/core/disk.rs
@@ -1,4 +1,4 @@
-//! A hut's disk, and the thread of its process that writes to it: of what piled up only the newest is written, and
+//! A controller's disk, and the thread of its process that writes to it: of what piled up only the newest is written, and
 //! only what was synced outlives a loss of power for sure.
 
 use lynxstair::types::{Span, Time};
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct Disk {
     kept: Option<PersistentState>,
-    pub lives: Vec<Instance>,
+    pub instances: Vec<Instance>,
     queued: Option<(u64, PersistentState)>,
     writing: Option<(u64, PersistentState)>,
     /// How long a write takes.
@@ -26,7 +26,7 @@
     pub fn empty() -> Disk {
         Disk {
             kept: None,
-            lives: Vec::new(),
+            instances: Vec::new(),
             queued: None,
             writing: None,
             sync: Span::from_millis(1),
@@ -80,6 +80,6 @@
 
     pub fn wipe(&mut self) {
         (self.kept, self.queued, self.writing) = (None, None, None);
-        self.lives.clear();
+        self.instances.clear();
     }
 }
--- a/crates/emulator/src/core/edge.rs
+++ b/crates/emulator/src/core/edge.rs
@@ -1,4 +1,4 @@
-//! An edge, as far as it depends on the core: the rooms by which it decides which configuration is in force, whether
+//! An edge, as far as it depends on the core: the state machines by which it decides which configuration is in force, whether
 //! it may serve tenants by it, and which workers there are.
 
 use std::collections::BTreeSet;
@@ -19,22 +19,22 @@
     mirror: ConfigReplica,
     trust: ConfigLease,
     pub register: InstanceRegistry,
-    pub has_lives: bool,
+    pub has_instances: bool,
 }
 
 impl Edge {
-    /// Whether the hut is to hear at once what is here now.
+    /// Whether the controller is to hear at once what is here now.
     pub fn hear(&mut self, now: Time, word: ToProxy) -> bool {
         match word {
             ToProxy::Config { revision: index, update: state } => {
                 self.mirror.apply_update(now, index, &state.0);
-                // So that the hut knows what is here, whether it fitted or not.
+                // So that the controller knows what is here, whether it fitted or not.
                 return true;
             }
-            ToProxy::Instances { instances: lives, is_snapshot: whole } => {
-                self.has_lives |= whole;
-                lives.iter().for_each(|life| {
-                    self.register.update(now, life);
+            ToProxy::Instances { instances, is_snapshot: whole } => {
+                self.has_instances |= whole;
+                instances.iter().for_each(|instance| {
+                    self.register.update(now, instance);
                 });
             }
             ToProxy::HeartbeatAck { clock, revision: index, confirmed_ms_ago: Some(fresh), .. } => {
@@ -46,7 +46,7 @@
         false
     }
 
-    /// Which book the huts may build on.
+    /// Which store the controllers may build on.
     pub fn have(&self) -> u64 {
         self.mirror.delta_base()
     }
@@ -67,7 +67,7 @@
         self.trust.is_fresh(now, FRESH)
     }
 
-    /// Whether requests go to this life of a worker.
+    /// Whether requests go to this instance of a worker.
     pub fn sends_to(&self, id: &str) -> bool {
         self.register.instances().get(id).is_some_and(|k| k.state == InstanceState::Ready)
     }
--- a/crates/emulator/src/core/histories.rs
+++ b/crates/emulator/src/core/histories.rs
@@ -1,4 +1,4 @@
-//! Whether the book's callers could tell it from one book that takes each call at one moment between its sending and
+//! Whether the configuration's callers could tell it from one store that takes each call at one moment between its sending and
 //! its answer: the search of Wing and Gong, exact, with what was tried remembered.
 //!
 //! What keeps it small: a call that changes nothing and fits what stands is best placed at once, so only changes are
--- a/crates/emulator/src/core/judges.rs
+++ b/crates/emulator/src/core/judges.rs
@@ -1,4 +1,4 @@
-//! Judges that know only what callers saw: answers to orders, reads and beats, and what requests through an edge
+//! Judges that know only what callers saw: answers to orders, reads and heartbeats, and what requests through an edge
 //! showed to be in force there. They know nothing of leaders, terms or disks.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,11 +21,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Judge {
-    /// Orders and reads of the book can be told from those of one book at one place.
+    /// Orders and reads of the configuration can be told from those of one store at one place.
     Linearizable,
-    /// What was acknowledged is in the book that is read back at the end, or was built upon.
+    /// What was acknowledged is in the configuration that is read back at the end, or was built upon.
     Lasting,
-    /// An edge goes back to an older version within its life.
+    /// An edge goes back to an older version within its instance.
     Backwards,
     /// Something is in force that was refused, that nobody sent, or next to another under its number.
     InForce,
@@ -33,7 +33,7 @@
     Revoked,
     /// In calm times an edge acts on an older version than what was acknowledged a while ago.
     Converges,
-    /// A worker whose beats are acknowledged is not sent to, in calm times.
+    /// A worker whose heartbeats are acknowledged is not sent to, in calm times.
     Promised,
     /// A worker that was told that it leaves is still sent to, in calm times; or one that is dead.
     Drained,
@@ -41,7 +41,7 @@
     Evacuated,
     /// An order waits too long for a clear answer in a calm time.
     Acknowledged,
-    /// Once all is calm there is a way forward within `contact-s`: orders, reads, beats, edges.
+    /// Once all is calm there is a way forward within `contact-s`: orders, reads, heartbeats, edges.
     WayForward,
 }
 
@@ -65,7 +65,7 @@
 
 pub(crate) struct Judges {
     began_at: Time,
-    pub book: Vec<Call>,
+    pub store: Vec<Call>,
     pub zones: Vec<ZoneCall>,
     refused: BTreeSet<u32>,
     sent: BTreeSet<u32>,
@@ -73,7 +73,7 @@
     pub acked: Vec<(Time, Version)>,
     /// Versions that an edge or a read showed.
     shown: BTreeMap<u64, u32>,
-    /// The last version that each life of an edge showed.
+    /// The last version that each instance of an edge showed.
     edges: BTreeMap<(usize, u64), u64>,
     pub broken: Vec<Broken>,
 }
@@ -82,7 +82,7 @@
     pub fn new(began_at: Time) -> Judges {
         Judges {
             began_at,
-            book: Vec::new(),
+            store: Vec::new(),
             zones: Vec::new(),
             refused: BTreeSet::new(),
             sent: BTreeSet::new(),
@@ -104,12 +104,12 @@
         if let Asked::Change { mark, .. } = asked {
             self.sent.insert(mark);
         }
-        self.book.push(Call { sent_at: now, told_at: now, asked, told: Told::Nothing });
-        self.book.len() - 1
+        self.store.push(Call { sent_at: now, told_at: now, asked, told: Told::Nothing });
+        self.store.len() - 1
     }
 
     pub fn told(&mut self, now: Time, call: usize, told: Told) {
-        let call = &mut self.book[call];
+        let call = &mut self.store[call];
         (call.told_at, call.told) = (now, told);
         match (call.asked, told) {
             (Asked::Change { number, mark, .. }, Told::Taken) => self.acked.push((now, (number, mark))),
@@ -177,7 +177,7 @@
         certain.then_some(last.empties)
     }
 
-    /// At the end: the book as it was read back, where it could be, and the history as a whole.
+    /// At the end: the configuration as it was read back, where it could be, and the history as a whole.
     pub fn end(&mut self, now: Time, read: Option<Option<Version>>) {
         let newest = self.acked.iter().map(|(_, v)| *v).max();
         if let (Some(newest), Some(read)) = (newest, read)
@@ -193,7 +193,7 @@
                 format!("{mark} is in force under {number}, and was refused")
             });
         }
-        if let Err(call) = linearizable(&self.book) {
+        if let Err(call) = linearizable(&self.store) {
             let at = call.sent_at - self.began_at;
             self.breaks(now, Judge::Linearizable, || {
                 format!("{:?}, sent at {:.3} s, was told {:?}", call.asked, at.secs(), call.told)
--- a/crates/emulator/src/core/lines.rs
+++ b/crates/emulator/src/core/lines.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 struct Line<W> {
     /// Which line between these two it is.
-    life: u64,
+    instance: u64,
     is_open: bool,
     /// When the last word of each direction arrives: from the opener, to it.
     last: [Time; 2],
@@ -48,8 +48,8 @@
         self.all.get(&ends).is_some_and(|l| l.is_open)
     }
 
-    pub fn life(&self, ends: Ends) -> u64 {
-        self.all.get(&ends).map_or(0, |l| l.life)
+    pub fn instance(&self, ends: Ends) -> u64 {
+        self.all.get(&ends).map_or(0, |l| l.instance)
     }
 
     /// Whether the line is open from now on, and was not before.
@@ -57,9 +57,9 @@
         if self.is_open(ends) || !self.joined(ends.0, ends.1) {
             return false;
         }
-        let life = self.life(ends) + 1;
+        let instance = self.instance(ends) + 1;
         let held = [Vec::new(), Vec::new()];
-        self.all.insert(ends, Line { life, is_open: true, last: [Time::default(); 2], held });
+        self.all.insert(ends, Line { instance, is_open: true, last: [Time::default(); 2], held });
         true
     }
 
--- a/crates/emulator/src/core/operators.rs
+++ b/crates/emulator/src/core/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: eight at once, some under one number, each sends one order until its answer is clear, to any hut, and
+//! Operators: eight at once, some under one number, each sends one order until its answer is clear, to any controller, and
 //! now and then once more after that.
 
 use lynxstair::types::{Span, Time};
@@ -6,8 +6,8 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
+use super::controller::Ask;
 use super::histories::{Asked, Version};
-use super::hut::Ask;
 
 #[derive(Clone, Debug)]
 pub(crate) enum Wants {
@@ -62,7 +62,7 @@
         *self = Operator { wants, since: now, ..Operator::new() };
     }
 
-    /// The call that its order is, and what the history of the book knows it as.
+    /// The call that its order is, and what the history of the configuration knows it as.
     pub fn ask(&self) -> Option<(Ask, Option<Asked>)> {
         match &self.wants {
             Wants::Rest => None,
--- a/crates/emulator/src/core/troubles.rs
+++ b/crates/emulator/src/core/troubles.rs
@@ -39,7 +39,7 @@
         whom: Whom,
         long: u64,
     },
-    /// Nothing that it says reaches the other huts, or it hears nothing of them.
+    /// Nothing that it says reaches the other controllers, or it hears nothing of them.
     OneWay {
         whom: Whom,
         hears: bool,
@@ -89,7 +89,7 @@
     EdgeFrozen {
         long: u64,
     },
-    /// At the next change that a hut has committed or acknowledged.
+    /// At the next change that a controller has committed or acknowledged.
     AfterAck(Box<Trouble>),
     /// Whoever votes next loses power right after, and whom it voted for is cut off.
     AfterVote {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// How many huts there are at the start, and how many disks may be lost at once.
+    /// How many controllers there are at the start, and how many disks may be lost at once.
     pub(crate) fn size(self, chance: &mut Pcg64Mcg) -> (usize, usize) {
         let five = matches!(self, Story::FiveByThree)
             || matches!(self, Story::Mixed | Story::WipedAfterAck | Story::AllAtOnce)
--- a/crates/emulator/src/core/workers.rs
+++ b/crates/emulator/src/core/workers.rs
@@ -1,10 +1,10 @@
-//! Workers: each says to one hut how it is, goes to the next where it gets no 2xx, and now and then leaves in order,
-//! or dies without a word; another life follows.
+//! Workers: each says to one controller how it is, goes to the next where it gets no 2xx, and now and then leaves in order,
+//! or dies without a word; another instance follows.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-use super::hut::Ask;
+use super::controller::Ask;
 
 pub(crate) const BEAT: Span = Span::from_millis(1_500);
 
@@ -12,7 +12,7 @@
 pub(crate) enum Goes {
     Ready,
     Draining,
-    /// It says that its life ends.
+    /// It says that its instance ends.
     Ending,
     /// Dead without a word, or ended.
     Over,
@@ -21,16 +21,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub number: usize,
-    pub life: u32,
+    pub instance: u32,
     pub goes: Goes,
     pub seq: u64,
-    /// Where its last beat was acknowledged.
-    pub hut: Option<usize>,
+    /// Where its last heartbeat was acknowledged.
+    pub controller: Option<usize>,
     /// Who did not acknowledge the last one.
     pub refused_by: Option<usize>,
     pub call: Option<u64>,
     pub began_at: Time,
-    /// When each of its last beats as a ready one was acknowledged.
+    /// When each of its last heartbeats as a ready one was acknowledged.
     pub acked: Vec<Time>,
     /// When a word was acknowledged that it drains or ends.
     pub out_acked_at: Option<Time>,
@@ -38,13 +38,13 @@
 }
 
 impl Worker {
-    pub fn new(now: Time, number: usize, life: u32) -> Worker {
+    pub fn new(now: Time, number: usize, instance: u32) -> Worker {
         Worker {
             number,
-            life,
+            instance,
             goes: Goes::Ready,
             seq: 0,
-            hut: None,
+            controller: None,
             refused_by: None,
             call: None,
             began_at: now,
@@ -55,7 +55,7 @@
     }
 
     pub fn id(&self) -> String {
-        format!("i-{}-{}", self.number, self.life)
+        format!("i-{}-{}", self.number, self.instance)
     }
 
     pub fn ask(&mut self) -> Option<Ask> {
@@ -66,7 +66,7 @@
             Goes::Draining => InstanceState::Draining,
             Goes::Ready => InstanceState::Ready,
         };
-        Some(Ask::Beat(Instance {
+        Some(Ask::Heartbeat(Instance {
             id: self.id(),
             service: "s".to_string(),
             address: format!("10.1.0.{}:80", self.number + 1).parse().expect("an address"),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether it has been told without a gap, for so long up to now, that its beats are heard.
+    /// Whether it has been told without a gap, for so long up to now, that its heartbeats are heard.
     pub fn is_promised(&self, now: Time, long: Span) -> bool {
         let gap = BEAT.times(1.7);
         let since = now.saturating_sub(long);
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -1,4 +1,4 @@
-//! The world of the core: huts and edges as processes on machines with disks, clocks and lines, the operators and
+//! The world of the core: controllers and edges as processes on machines with disks, clocks and lines, the operators and
 //! workers that call them, and what befalls all of these, on one virtual clock.
 
 mod befalls;
@@ -18,11 +18,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::controller::{Answer, Ask, Controller, Out};
 use super::deliberate::Deliberate;
 use super::disk::Disk;
 use super::edge::Edge;
 use super::histories::Told;
-use super::hut::{Answer, Ask, Hut, Out};
 use super::judges::{CONTACT, Judge, Judges, ZoneCall};
 use super::lines::{Ends, Lines};
 use super::operators::{Operator, Wants, change};
@@ -61,10 +61,10 @@
     Heard(Vec<Instance>),
     /// Says that it is there, and whom it knows.
     Here {
-        huts: Vec<usize>,
+        controllers: Vec<usize>,
     },
     Hello {
-        lives: bool,
+        instances: bool,
     },
     Ping {
         clock: u64,
@@ -90,7 +90,7 @@
 enum Next {
     At {
         machine: usize,
-        life: u64,
+        instance: u64,
         event: Event,
     },
     Answered {
@@ -103,17 +103,17 @@
     Turn {
         operator: usize,
     },
-    Beat {
+    Heartbeat {
         worker: usize,
-        life: u32,
+        instance: u32,
     },
     Back {
         machine: usize,
-        life: u64,
+        instance: u64,
     },
     Thaw {
         machine: usize,
-        life: u64,
+        instance: u64,
     },
     Mend {
         cut: u64,
@@ -129,24 +129,24 @@
 }
 
 pub(crate) enum Process {
-    Hut(Box<Hut>),
+    Controller(Box<Controller>),
     Edge(Box<Edge>),
 }
 
 pub(crate) struct Machine {
     pub process: Option<Process>,
     /// Which of its processes it is.
-    pub life: u64,
+    pub instance: u64,
     is_edge: bool,
     pub frozen: bool,
     waiting: Vec<Event>,
-    /// Its steady clock is ahead of the world's by so much: another at each start, as a clock that steps makes it.
+    /// Its steady clock is ahead of the world's by so much: another at each start, as a clock that deltas makes it.
     ahead: Span,
     /// Whether it is among the operator's machines.
     pub present: bool,
     pub disk: Disk,
     seeds: Vec<SocketAddr>,
-    /// The huts that it keeps a line to.
+    /// The controllers that it keeps a line to.
     known: Vec<usize>,
     wakes_at: Option<Time>,
     works: bool,
@@ -163,9 +163,9 @@
 
 struct Calling {
     by: Caller,
-    hut: usize,
-    /// Its place in the history of the book, or of the zones.
-    book: Option<usize>,
+    controller: usize,
+    /// Its place in the history of the configuration, or of the zones.
+    store: Option<usize>,
     zone: Option<usize>,
 }
 
@@ -183,7 +183,7 @@
     last_call: u64,
     pub operators: Vec<Operator>,
     pub workers: Vec<Worker>,
-    /// The huts as the callers' list has them.
+    /// The controllers as the callers' list has them.
     listed: Vec<usize>,
     last_mark: u32,
     pub judges: Judges,
@@ -204,7 +204,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, huts: usize, tolerated: usize, fault: Option<Deliberate>) -> World {
+    pub fn new(seed: u64, controllers: usize, tolerated: usize, fault: Option<Deliberate>) -> World {
         let now = Time::from_nanos(0) + ms(1_000_000);
         let mut world = World {
             now,
@@ -219,7 +219,7 @@
             last_call: 0,
             operators: vec![Operator::new(); OPERATORS],
             workers: (0..WORKERS).map(|n| Worker::new(now, n, 1)).collect(),
-            listed: (EDGES..EDGES + huts).collect(),
+            listed: (EDGES..EDGES + controllers).collect(),
             last_mark: 0,
             judges: Judges::new(now),
             troubled_at: now,
@@ -235,10 +235,10 @@
             told: Vec::new(),
         };
         let seeds: Vec<SocketAddr> = (EDGES..EDGES + 3).map(address).collect();
-        for n in 0..EDGES + huts {
+        for n in 0..EDGES + controllers {
             world.add(n < EDGES, seeds.clone());
             let later = ms(world.chance.random_range(0..300));
-            world.plan(later, Next::Back { machine: n, life: 0 });
+            world.plan(later, Next::Back { machine: n, instance: 0 });
         }
         for operator in 0..OPERATORS {
             let later = ms(300 + world.chance.random_range(0..1_500));
@@ -246,7 +246,7 @@
         }
         for worker in 0..WORKERS {
             let later = ms(500 + world.chance.random_range(0..1_000));
-            world.plan(later, Next::Beat { worker, life: 1 });
+            world.plan(later, Next::Heartbeat { worker, instance: 1 });
         }
         world.plan(ms(3_000), Next::Listed);
         world.plan(ms(250), Next::Probe);
@@ -256,7 +256,7 @@
     fn add(&mut self, is_edge: bool, seeds: Vec<SocketAddr>) -> usize {
         self.machines.push(Machine {
             process: None,
-            life: 0,
+            instance: 0,
             is_edge,
             frozen: false,
             waiting: Vec::new(),
@@ -278,8 +278,8 @@
     }
 
     fn plan_at(&mut self, machine: usize, at: Time, event: Event) {
-        let life = self.machines[machine].life;
-        self.agenda.plan(at.max(self.now), Next::At { machine, life, event });
+        let instance = self.machines[machine].instance;
+        self.agenda.plan(at.max(self.now), Next::At { machine, instance, event });
     }
 
     pub fn trouble_at(&mut self, later: Span, trouble: Trouble) {
@@ -304,13 +304,13 @@
         self.now + self.machines[machine].ahead
     }
 
-    pub fn huts(&self) -> impl Iterator<Item = usize> {
+    pub fn controllers(&self) -> impl Iterator<Item = usize> {
         (EDGES..self.machines.len()).filter(|m| self.machines[*m].present)
     }
 
-    pub fn hut(&self, machine: usize) -> Option<&Hut> {
+    pub fn controller(&self, machine: usize) -> Option<&Controller> {
         match &self.machines[machine].process {
-            Some(Process::Hut(hut)) => Some(hut),
+            Some(Process::Controller(controller)) => Some(controller),
             _ => None,
         }
     }
@@ -323,17 +323,17 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |m: &usize| self.hut(*m).is_some_and(|h| h.cairn.is_established_leader());
-        self.huts().filter(leads).max_by_key(|m| self.hut(*m).map(|h| h.cairn.term()))
+        let leads = |m: &usize| self.controller(*m).is_some_and(|h| h.consensus.is_established_leader());
+        self.controllers().filter(leads).max_by_key(|m| self.controller(*m).map(|h| h.consensus.term()))
     }
 
     // ---- what happens ----
 
     fn happen(&mut self, next: Next) {
         match next {
-            Next::At { machine, life, event } => {
+            Next::At { machine, instance, event } => {
                 let m = &mut self.machines[machine];
-                if m.life != life || m.process.is_none() {
+                if m.instance != instance || m.process.is_none() {
                     return;
                 }
                 if m.frozen {
@@ -344,14 +344,14 @@
             Next::Answered { call, answer } => self.answered(call, answer),
             Next::GivenUp { call } => self.answered(call, None),
             Next::Turn { operator } => self.turn(operator),
-            Next::Beat { worker, life } => self.beat(worker, life),
-            Next::Back { machine, life } => {
-                if self.machines[machine].life == life && self.machines[machine].process.is_none() {
+            Next::Heartbeat { worker, instance } => self.heartbeat(worker, instance),
+            Next::Back { machine, instance } => {
+                if self.machines[machine].instance == instance && self.machines[machine].process.is_none() {
                     self.start(machine);
                 }
             }
-            Next::Thaw { machine, life } => {
-                if self.machines[machine].life == life {
+            Next::Thaw { machine, instance } => {
+                if self.machines[machine].instance == instance {
                     self.thaw(machine);
                 }
             }
@@ -368,7 +368,7 @@
             Next::Trouble(trouble) => self.trouble(trouble),
             Next::Calm => self.calm(),
             Next::Listed => {
-                self.listed = self.huts().collect();
+                self.listed = self.controllers().collect();
                 self.plan(ms(3_000), Next::Listed);
             }
             Next::Probe => {
@@ -384,33 +384,33 @@
             return self.opens(machine);
         }
         if let Event::Hears { ends, line, from, word } = event {
-            if self.lines.life(ends) == line {
+            if self.lines.instance(ends) == line {
                 self.hears(machine, from, word);
             }
             return;
         }
         let m = &mut self.machines[machine];
         match (&mut m.process, event) {
-            (Some(Process::Hut(hut)), event) => match event {
+            (Some(Process::Controller(controller)), event) => match event {
                 Event::Tick => {
                     m.wakes_at = None;
-                    hut.tick(now);
+                    controller.tick(now);
                 }
                 Event::Sweep => {
-                    hut.sweep(now);
-                    m.disk.lives = hut.watch.registry().snapshot(now);
+                    controller.sweep(now);
+                    m.disk.instances = controller.detector.registry().snapshot(now);
                     self.plan_at(machine, self.now + ms(500), Event::Sweep);
                     self.says_here(machine);
                 }
                 Event::Work => {
                     m.works = false;
-                    hut.work(now);
+                    controller.work(now);
                 }
                 Event::Written => {
                     let keeps = self.fault != Some(Deliberate::UnsyncedVote);
                     let written = m.disk.end(self.now, keeps);
                     if let Some(number) = written {
-                        hut.saved(now, number);
+                        controller.saved(now, number);
                     }
                     if let Some(at) = m.disk.begin(self.now) {
                         self.plan_at(machine, at, Event::Written);
@@ -418,9 +418,9 @@
                 }
                 // Whoever has hung up meanwhile asks for nothing any more.
                 Event::Called { call, .. } if !self.calls.contains_key(&call) => {}
-                Event::Called { call, ask } => hut.call(now, call, ask),
+                Event::Called { call, ask } => controller.call(now, call, ask),
                 Event::MayEnd => {
-                    if hut.cairn.may_shut_down(now) {
+                    if controller.consensus.may_shut_down(now) {
                         return self.ends(machine);
                     }
                     self.plan_at(machine, self.now + ms(50), Event::MayEnd);
@@ -436,11 +436,11 @@
         self.after(machine);
     }
 
-    /// Carries out what a hut wants done, and plans its next tick.
+    /// Carries out what a controller wants done, and plans its next tick.
     fn after(&mut self, machine: usize) {
         loop {
-            let Some(Process::Hut(hut)) = &mut self.machines[machine].process else { return };
-            let out = hut.take();
+            let Some(Process::Controller(controller)) = &mut self.machines[machine].process else { return };
+            let out = controller.take();
             if out.is_empty() {
                 break;
             }
@@ -453,15 +453,16 @@
         }
         let now = self.now;
         let m = &mut self.machines[machine];
-        let Some(Process::Hut(hut)) = &m.process else { return };
-        let due = now + (hut.cairn.next_due() - (now + m.ahead));
+        let Some(Process::Controller(controller)) = &m.process else { return };
+        let due = now + (controller.consensus.next_due() - (now + m.ahead));
         let at = due.max(now + ms(1));
-        let (ticks, works) = (m.wakes_at.is_none_or(|w| at < w), hut.waits() && !m.works);
+        let (ticks, works) = (m.wakes_at.is_none_or(|w| at < w), controller.waits() && !m.works);
         if ticks {
             m.wakes_at = Some(at);
         }
         m.works |= works;
-        let voters: Vec<usize> = hut.cairn.voters().iter().map(|v| self::machine(v.node)).collect();
+        let voters: Vec<usize> =
+            controller.consensus.voters().iter().map(|v| self::machine(v.node)).collect();
         for voter in voters {
             self.knows(machine, voter);
         }
@@ -501,9 +502,9 @@
                     if self.fault == Some(Deliberate::MarkLost) { unmarked(message) } else { message };
                 self.send((machine, to), machine, Word::Agreement(Box::new(message)));
             }
-            Out::Pass(lives) => {
+            Out::Pass(instances) => {
                 for to in self.machines[machine].known.clone() {
-                    self.send((machine, to), machine, Word::Heard(lives.clone()));
+                    self.send((machine, to), machine, Word::Heard(instances.clone()));
                 }
             }
             Out::Tell(one, word) => {
@@ -548,10 +549,10 @@
     else {
         return message;
     };
-    if let Ok(ciborium::Value::Map(mut book)) = ciborium::from_reader(&state.config.0[..]) {
-        book.retain(|(key, _)| key.as_text() != Some("marks"));
+    if let Ok(ciborium::Value::Map(mut store)) = ciborium::from_reader(&state.config.0[..]) {
+        store.retain(|(key, _)| key.as_text() != Some("marks"));
         let mut out = Vec::new();
-        if ciborium::into_writer(&ciborium::Value::Map(book), &mut out).is_ok() {
+        if ciborium::into_writer(&ciborium::Value::Map(store), &mut out).is_ok() {
             state.config = Bytes(out.into());
         }
     }
--- a/crates/emulator/src/core/world/befalls.rs
+++ b/crates/emulator/src/core/world/befalls.rs
@@ -13,8 +13,8 @@
         for m in EDGES..self.machines.len() {
             let machine = &self.machines[m];
             let found = machine.disk.found().map(|r| (r.disk, r.term, r.last));
-            let stands = self.hut(m).map(|h| {
-                let c = &h.cairn;
+            let stands = self.controller(m).map(|h| {
+                let c = &h.consensus;
                 let voters: Vec<String> = c
                     .voters()
                     .iter()
@@ -29,14 +29,16 @@
                 )
             });
             let frozen = machine.frozen;
-            let what =
-                format!("hut {m}: present {}, frozen {frozen}, {stands:?}, disk {found:?}", machine.present);
+            let what = format!(
+                "controller {m}: present {}, frozen {frozen}, {stands:?}, disk {found:?}",
+                machine.present
+            );
             self.tells(what);
         }
     }
 
     pub(super) fn whom(&mut self, whom: Whom) -> Option<usize> {
-        let runs: Vec<usize> = self.huts().filter(|m| self.machines[*m].process.is_some()).collect();
+        let runs: Vec<usize> = self.controllers().filter(|m| self.machines[*m].process.is_some()).collect();
         let leader = self.leader();
         match whom {
             Whom::Leader => leader,
@@ -52,13 +54,13 @@
     /// Whether one more may be lost now, inside the fault budget.
     pub(super) fn may_lose(&self, machine: usize) -> bool {
         let lost = |m: &usize| *m != machine && self.machines[*m].lost_until > self.now;
-        let missing = (2 * self.tolerated + 1).saturating_sub(self.huts().count());
-        self.huts().filter(lost).count() + missing < self.tolerated
+        let missing = (2 * self.tolerated + 1).saturating_sub(self.controllers().count());
+        self.controllers().filter(lost).count() + missing < self.tolerated
     }
 
     pub(super) fn all_well(&self) -> bool {
-        let missing = (2 * self.tolerated + 1).saturating_sub(self.huts().count());
-        missing == 0 && self.huts().all(|m| self.machines[m].lost_until <= self.now)
+        let missing = (2 * self.tolerated + 1).saturating_sub(self.controllers().count());
+        missing == 0 && self.controllers().all(|m| self.machines[m].lost_until <= self.now)
     }
 
     pub(super) fn cut(&mut self, pairs: Vec<(usize, usize)>, long: Span) {
@@ -88,14 +90,14 @@
                 self.stop(machine, power, Some(ms(down)));
             }
             Trouble::All { power, down } => {
-                for machine in self.huts().collect::<Vec<_>>() {
+                for machine in self.controllers().collect::<Vec<_>>() {
                     let later = down + self.chance.random_range(0..200);
                     self.stop(machine, power, Some(ms(later)));
                 }
             }
             Trouble::Wipe { whom, others, down } => {
                 let Some(machine) = self.whom(whom).filter(|_| self.all_well()) else { return };
-                for other in self.huts().collect::<Vec<_>>() {
+                for other in self.controllers().collect::<Vec<_>>() {
                     if other == machine || others {
                         let later = down + self.chance.random_range(0..300);
                         self.stop(other, true, Some(ms(later)));
@@ -107,12 +109,12 @@
                 let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m)) else { return };
                 self.machines[machine].frozen = true;
                 self.loses(machine, long);
-                let life = self.machines[machine].life;
-                self.plan(ms(long), Next::Thaw { machine, life });
+                let instance = self.machines[machine].instance;
+                self.plan(ms(long), Next::Thaw { machine, instance });
             }
             Trouble::OneWay { whom, hears, long } => {
                 let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m)) else { return };
-                let others: Vec<usize> = self.huts().filter(|m| *m != machine).collect();
+                let others: Vec<usize> = self.controllers().filter(|m| *m != machine).collect();
                 let way = |o: usize| if hears { (machine, o) } else { (o, machine) };
                 self.cut(others.into_iter().map(way).collect(), ms(long));
                 self.loses(machine, long);
@@ -122,22 +124,22 @@
                 else {
                     return;
                 };
-                let others: Vec<usize> = self.huts().filter(|m| *m != machine).collect();
+                let others: Vec<usize> = self.controllers().filter(|m| *m != machine).collect();
                 let pairs = others.into_iter().flat_map(|o| [(machine, o), (o, machine)]).collect();
                 self.cut(pairs, ms(long));
                 self.loses(machine, long);
             }
             Trouble::Split { long } => {
                 let Some(leader) = self.leader() else { return };
-                let newest = self.huts().max();
+                let newest = self.controllers().max();
                 let is_here = |m: &usize| *m == leader || Some(*m) == newest;
-                let (here, there): (Vec<usize>, Vec<usize>) = self.huts().partition(is_here);
+                let (here, there): (Vec<usize>, Vec<usize>) = self.controllers().partition(is_here);
                 let mut pairs = Vec::new();
                 for a in &here {
                     pairs.extend(there.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
                 }
                 self.cut(pairs, ms(long));
-                for machine in self.huts().collect::<Vec<_>>() {
+                for machine in self.controllers().collect::<Vec<_>>() {
                     self.loses(machine, long);
                 }
             }
@@ -166,14 +168,16 @@
                 if self.machines[machine].frozen {
                     return;
                 }
-                let Some(Process::Hut(hut)) = &mut self.machines[machine].process else { return };
-                hut.cairn.begin_shutdown(now);
-                let life = self.machines[machine].life;
+                let Some(Process::Controller(controller)) = &mut self.machines[machine].process else {
+                    return;
+                };
+                controller.consensus.begin_shutdown(now);
+                let instance = self.machines[machine].instance;
                 self.harmed(machine);
                 self.plan_at(machine, self.now + ms(50), Event::MayEnd);
                 match back {
                     // It ends by itself within its grace, and comes back.
-                    Some(down) => self.plan(GRACE + ms(down), Next::Back { machine, life: life + 1 }),
+                    Some(down) => self.plan(GRACE + ms(down), Next::Back { machine, instance: instance + 1 }),
                     None => self.machines[machine].present = false,
                 }
                 self.after(machine);
@@ -197,7 +201,7 @@
             }
             Trouble::New { stale } => {
                 // Stale: as the operator's list, which lags, has them.
-                let of: Vec<usize> = if stale { self.listed.clone() } else { self.huts().collect() };
+                let of: Vec<usize> = if stale { self.listed.clone() } else { self.controllers().collect() };
                 let mut seeds: Vec<SocketAddr> = of.into_iter().map(address).collect();
                 while seeds.len() > 3 {
                     let which = self.chance.random_range(0..seeds.len());
@@ -208,11 +212,11 @@
             }
             Trouble::EdgeCut { long } => {
                 let edge = self.chance.random_range(0..EDGES);
-                let huts: Vec<usize> = self.huts().collect();
-                let Some(hut) = huts.choose(&mut self.chance).copied() else { return };
+                let controllers: Vec<usize> = self.controllers().collect();
+                let Some(controller) = controllers.choose(&mut self.chance).copied() else { return };
                 let all = self.chance.random_bool(0.5);
                 let one_way = self.chance.random_bool(0.4);
-                let of = huts.into_iter().filter(|h| all || *h == hut);
+                let of = controllers.into_iter().filter(|h| all || *h == controller);
                 let pairs =
                     of.flat_map(|h| [(edge, h), if one_way { (edge, h) } else { (h, edge) }]).collect();
                 self.cut(pairs, ms(long));
@@ -222,8 +226,8 @@
                 let edge = self.chance.random_range(0..EDGES);
                 self.machines[edge].frozen = true;
                 self.loses(edge, long);
-                let life = self.machines[edge].life;
-                self.plan(ms(long), Next::Thaw { machine: edge, life });
+                let instance = self.machines[edge].instance;
+                self.plan(ms(long), Next::Thaw { machine: edge, instance });
             }
             Trouble::AfterAck(trouble) => self.armed = Some(*trouble),
             Trouble::AfterVote { long } => self.votes_armed = Some(ms(long)),
--- a/crates/emulator/src/core/world/callers.rs
+++ b/crates/emulator/src/core/world/callers.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl World {
-    pub(super) fn calls(&mut self, by: Caller, hut: usize, ask: Ask) -> u64 {
+    pub(super) fn calls(&mut self, by: Caller, controller: usize, ask: Ask) -> u64 {
         self.last_call += 1;
         let call = self.last_call;
-        let (mut book, mut zone) = (None, None);
+        let (mut store, mut zone) = (None, None);
         if let Caller::Operator(operator) = by {
             let order = &self.operators[operator];
             match (&order.wants, order.ask()) {
@@ -16,16 +16,16 @@
                     self.judges.zones.push(sent);
                     zone = Some(self.judges.zones.len() - 1);
                 }
-                (_, Some((_, Some(asked)))) => book = Some(self.judges.sends(self.now, asked)),
+                (_, Some((_, Some(asked)))) => store = Some(self.judges.sends(self.now, asked)),
                 _ => {}
             }
         }
-        self.calls.insert(call, Calling { by, hut, book, zone });
+        self.calls.insert(call, Calling { by, controller, store, zone });
         let way = self.way();
-        if self.machines[hut].process.is_none() {
+        if self.machines[controller].process.is_none() {
             self.plan(way, Next::Answered { call, answer: None });
         } else {
-            self.plan_at(hut, self.now + way, Event::Called { call, ask });
+            self.plan_at(controller, self.now + way, Event::Called { call, ask });
             self.plan(CALL, Next::GivenUp { call });
         }
         call
@@ -36,9 +36,9 @@
         let Some(calling) = self.calls.remove(&call) else { return };
         let now = self.now;
         if answer.is_none()
-            && let Some(Process::Hut(hut)) = &mut self.machines[calling.hut].process
+            && let Some(Process::Controller(controller)) = &mut self.machines[calling.controller].process
         {
-            hut.hangs_up(call);
+            controller.hangs_up(call);
         }
         let told = match &answer {
             Some(Answer::Status(200)) => Told::Taken,
@@ -46,22 +46,24 @@
             Some(Answer::Holds(version)) => Told::Holds(*version),
             _ => Told::Nothing,
         };
-        if let Some(book) = calling.book.filter(|_| told != Told::Nothing) {
-            self.judges.told(now, book, told);
+        if let Some(store) = calling.store.filter(|_| told != Told::Nothing) {
+            self.judges.told(now, store, told);
         }
         if let Some(zone) = calling.zone.filter(|_| told == Told::Taken) {
             self.judges.zones[zone].acked_at = Some(now);
         }
         match calling.by {
-            Caller::Operator(operator) => self.operator_told(operator, call, calling.hut, told, answer),
-            Caller::Worker(worker, life) => self.worker_told(worker, life, calling.hut, told),
+            Caller::Operator(operator) => {
+                self.operator_told(operator, call, calling.controller, told, answer)
+            }
+            Caller::Worker(worker, instance) => self.worker_told(worker, instance, calling.controller, told),
         }
     }
 
     /// Another than the one that gave no answer.
-    pub(super) fn any_hut(&mut self, but: Option<usize>) -> usize {
+    pub(super) fn any_controller(&mut self, but: Option<usize>) -> usize {
         let others: Vec<usize> = self.listed.iter().copied().filter(|h| Some(*h) != but).collect();
-        others.choose(&mut self.chance).copied().or(but).expect("some hut is listed")
+        others.choose(&mut self.chance).copied().or(but).expect("some controller is listed")
     }
 
     pub(super) fn turn(&mut self, operator: usize) {
@@ -83,13 +85,13 @@
             };
             self.operators[operator].begins(now, wants);
         }
-        let hut = self.any_hut(self.operators[operator].last);
-        self.sends_order(operator, hut);
+        let controller = self.any_controller(self.operators[operator].last);
+        self.sends_order(operator, controller);
     }
 
-    pub fn sends_order(&mut self, operator: usize, hut: usize) {
+    pub fn sends_order(&mut self, operator: usize, controller: usize) {
         if let Some((ask, _)) = self.operators[operator].ask() {
-            let call = self.calls(Caller::Operator(operator), hut, ask);
+            let call = self.calls(Caller::Operator(operator), controller, ask);
             self.operators[operator].call = Some(call);
         }
     }
@@ -98,7 +100,7 @@
         &mut self,
         who: usize,
         call: u64,
-        hut: usize,
+        controller: usize,
         told: Told,
         answer: Option<Answer>,
     ) {
@@ -119,7 +121,7 @@
                     return self.sends_order(who, to);
                 }
                 operator.redirects = 0;
-                operator.last = Some(hut);
+                operator.last = Some(controller);
                 operator.pause = operator.pause.times(1.7).max(ms(30)).min(ms(500));
                 let pause = operator.pause;
                 self.plan(pause, Next::Turn { operator: who });
@@ -146,8 +148,8 @@
         }
     }
 
-    pub(super) fn beat(&mut self, who: usize, life: u32) {
-        if self.workers[who].life != life || self.workers[who].call.is_some() {
+    pub(super) fn heartbeat(&mut self, who: usize, instance: u32) {
+        if self.workers[who].instance != instance || self.workers[who].call.is_some() {
             return;
         }
         let now = self.now;
@@ -166,12 +168,12 @@
         if self.workers[who].goes == Goes::Over {
             return self.worker_over(who);
         }
-        let hut = match self.workers[who].hut {
-            Some(hut) => hut,
-            None => self.any_hut(self.workers[who].refused_by),
+        let controller = match self.workers[who].controller {
+            Some(controller) => controller,
+            None => self.any_controller(self.workers[who].refused_by),
         };
         if let Some(ask) = self.workers[who].ask() {
-            self.workers[who].call = Some(self.calls(Caller::Worker(who, life), hut, ask));
+            self.workers[who].call = Some(self.calls(Caller::Worker(who, instance), controller, ask));
         }
     }
 
@@ -182,30 +184,30 @@
         worker.over_at = Some(now);
         let old = worker.clone();
         self.workers.push(old);
-        let life = self.workers[who].life + 1;
-        self.workers[who] = Worker::new(now, who, life);
+        let instance = self.workers[who].instance + 1;
+        self.workers[who] = Worker::new(now, who, instance);
         let later = ms(self.chance.random_range(500..3_000));
-        self.plan(later, Next::Beat { worker: who, life });
+        self.plan(later, Next::Heartbeat { worker: who, instance });
     }
 
-    pub(super) fn worker_told(&mut self, who: usize, life: u32, hut: usize, told: Told) {
-        if self.workers[who].life != life {
+    pub(super) fn worker_told(&mut self, who: usize, instance: u32, controller: usize, told: Told) {
+        if self.workers[who].instance != instance {
             return;
         }
         let now = self.now;
         let worker = &mut self.workers[who];
         worker.call = None;
         let next = if told == Told::Taken {
-            worker.hut = Some(hut);
+            worker.controller = Some(controller);
             worker.acked(now);
             if worker.goes == Goes::Ending {
                 return self.worker_over(who);
             }
             BEAT.times(0.95 + 0.1 * self.chance.random::<f64>())
         } else {
-            (worker.hut, worker.refused_by) = (None, Some(hut));
+            (worker.controller, worker.refused_by) = (None, Some(controller));
             ms(20)
         };
-        self.plan(next, Next::Beat { worker: who, life });
+        self.plan(next, Next::Heartbeat { worker: who, instance });
     }
 }
--- a/crates/emulator/src/core/world/lines_of.rs
+++ b/crates/emulator/src/core/world/lines_of.rs
@@ -12,21 +12,21 @@
 
     pub(super) fn arrives(&mut self, at: Time, from: usize, ends: Ends, word: Word) {
         let to = if from == ends.0 { ends.1 } else { ends.0 };
-        let line = self.lines.life(ends);
+        let line = self.lines.instance(ends);
         self.plan_at(to, at, Event::Hears { ends, line, from, word });
     }
 
-    /// Keeps a line to another hut from now on.
-    pub(super) fn knows(&mut self, machine: usize, hut: usize) {
-        if machine != hut && !self.machines[machine].known.contains(&hut) {
-            self.machines[machine].known.push(hut);
+    /// Keeps a line to another controller from now on.
+    pub(super) fn knows(&mut self, machine: usize, controller: usize) {
+        if machine != controller && !self.machines[machine].known.contains(&controller) {
+            self.machines[machine].known.push(controller);
             if machine >= EDGES {
-                let huts = ToProxy::Controllers {
+                let controllers = ToProxy::Controllers {
                     controllers: self.machines[machine].known.iter().map(|h| address(*h)).collect(),
                     is_complete: false,
                 };
                 for edge in 0..EDGES {
-                    self.send((edge, machine), machine, Word::ToProxy(Box::new(huts.clone())));
+                    self.send((edge, machine), machine, Word::ToProxy(Box::new(controllers.clone())));
                 }
             }
         }
@@ -39,16 +39,16 @@
             }
             let now = self.clock(machine);
             match &mut self.machines[machine].process {
-                Some(Process::Hut(hut)) => {
-                    let lives = hut.watch.registry().snapshot(now);
-                    hut.cairn.on_peer_connected(address(to));
-                    self.send((machine, to), machine, Word::Heard(lives));
+                Some(Process::Controller(controller)) => {
+                    let instances = controller.detector.registry().snapshot(now);
+                    controller.consensus.on_peer_connected(address(to));
+                    self.send((machine, to), machine, Word::Heard(instances));
                     self.says_here(machine);
                 }
                 Some(Process::Edge(edge)) => {
                     // What it missed while it had no line, it is told.
-                    let lives = !edge.has_lives || self.lines.life((machine, to)) > 1;
-                    self.send((machine, to), machine, Word::Hello { lives });
+                    let instances = !edge.has_instances || self.lines.instance((machine, to)) > 1;
+                    self.send((machine, to), machine, Word::Hello { instances });
                     self.pings(machine, Some(to));
                 }
                 None => {}
@@ -58,20 +58,23 @@
         self.plan_at(machine, self.now + again, Event::Lines);
     }
 
-    /// A hut says to those it has lines to that it is there, and which others it has a line to.
+    /// A controller says to those it has lines to that it is there, and which others it has a line to.
     pub(super) fn says_here(&mut self, machine: usize) {
         let known = self.machines[machine].known.clone();
-        let huts: Vec<usize> = known.iter().copied().filter(|h| self.lines.is_open((machine, *h))).collect();
+        let controllers: Vec<usize> =
+            known.iter().copied().filter(|h| self.lines.is_open((machine, *h))).collect();
         for to in known {
-            self.send((machine, to), machine, Word::Here { huts: huts.clone() });
+            self.send((machine, to), machine, Word::Here { controllers: controllers.clone() });
         }
     }
 
     pub(super) fn pings(&mut self, edge: usize, only: Option<usize>) {
         let clock = self.clock(edge).nanos();
         let Some(have) = self.edge(edge).map(Edge::have) else { return };
-        for hut in self.machines[edge].known.clone().into_iter().filter(|h| only.is_none_or(|o| o == *h)) {
-            self.send((edge, hut), edge, Word::Ping { clock, have });
+        for controller in
+            self.machines[edge].known.clone().into_iter().filter(|h| only.is_none_or(|o| o == *h))
+        {
+            self.send((edge, controller), edge, Word::Ping { clock, have });
         }
     }
 
@@ -79,36 +82,36 @@
         let now = self.clock(machine);
         let mut pings = None;
         match (&mut self.machines[machine].process, word) {
-            (Some(Process::Hut(hut)), word) => match word {
+            (Some(Process::Controller(controller)), word) => match word {
                 Word::Agreement(message) => {
-                    hut.hear(now, address(from), *message);
+                    controller.hear(now, address(from), *message);
                     self.knows(machine, from);
                 }
-                Word::Heard(lives) => {
-                    hut.hear_lives(now, address(from), &lives);
+                Word::Heard(instances) => {
+                    controller.hear_instances(now, address(from), &instances);
                     self.knows(machine, from);
                 }
-                Word::Here { huts } => {
-                    hut.here(now, address(from));
+                Word::Here { controllers } => {
+                    controller.here(now, address(from));
                     self.knows(machine, from);
-                    huts.into_iter().for_each(|hut| self.knows(machine, hut));
+                    controllers.into_iter().for_each(|controller| self.knows(machine, controller));
                 }
-                Word::Hello { lives } => {
-                    hut.follow(now, from, lives);
-                    let huts = self.machines[machine].known.iter().chain([&machine]);
-                    let huts = ToProxy::Controllers {
-                        controllers: huts.map(|h| address(*h)).collect(),
+                Word::Hello { instances } => {
+                    controller.follow(now, from, instances);
+                    let controllers = self.machines[machine].known.iter().chain([&machine]);
+                    let controllers = ToProxy::Controllers {
+                        controllers: controllers.map(|h| address(*h)).collect(),
                         is_complete: false,
                     };
-                    self.send((from, machine), machine, Word::ToProxy(Box::new(huts)));
+                    self.send((from, machine), machine, Word::ToProxy(Box::new(controllers)));
                 }
-                Word::Ping { clock, have } => hut.ping(now, from, clock, have),
+                Word::Ping { clock, have } => controller.ping(now, from, clock, have),
                 Word::ToProxy(_) => {}
             },
             (Some(Process::Edge(edge)), Word::ToProxy(word)) => {
-                if let ToProxy::Controllers { controllers: huts, .. } = &*word {
-                    for hut in huts.clone() {
-                        self.knows(machine, self::machine(hut));
+                if let ToProxy::Controllers { controllers, .. } = &*word {
+                    for controller in controllers.clone() {
+                        self.knows(machine, self::machine(controller));
                     }
                 } else if edge.hear(now, *word) {
                     pings = Some(from);
--- a/crates/emulator/src/core/world/machines.rs
+++ b/crates/emulator/src/core/world/machines.rs
@@ -7,8 +7,8 @@
         let ahead = ms(self.chance.random_range(1..7_200_000));
         let seed = self.chance.random();
         let m = &mut self.machines[machine];
-        let is_first = m.life == 0 && m.began_at == self.began_at;
-        m.life += 1;
+        let is_first = m.instance == 0 && m.began_at == self.began_at;
+        m.instance += 1;
         (m.ahead, m.frozen, m.began_at, m.wakes_at, m.works) = (ahead, false, self.now, None, false);
         m.known.clear();
         m.waiting.clear();
@@ -30,8 +30,8 @@
                 tolerated: self.tolerated,
                 catch_up: CATCH_UP,
             };
-            let hut = Hut::start(now, boot, &m.disk.lives, BEAT, self.fault);
-            m.process = Some(Process::Hut(Box::new(hut)));
+            let controller = Controller::start(now, boot, &m.disk.instances, BEAT, self.fault);
+            m.process = Some(Process::Controller(Box::new(controller)));
             self.plan_at(machine, self.now + ms(500), Event::Sweep);
         }
         for seed in self.machines[machine].seeds.clone() {
@@ -61,26 +61,26 @@
         m.process = None;
         m.frozen = false;
         m.waiting.clear();
-        m.life += 1;
+        m.instance += 1;
         m.disk.cut_short(reached);
-        let life = m.life;
+        let instance = m.instance;
         self.lines.close_all(machine);
         for other in EDGES..self.machines.len() {
             if machine < EDGES
-                && let Some(Process::Hut(hut)) = &mut self.machines[other].process
+                && let Some(Process::Controller(controller)) = &mut self.machines[other].process
             {
-                hut.unfollow(machine);
+                controller.unfollow(machine);
             }
         }
         if !power {
             let open: Vec<u64> =
-                self.calls.iter().filter(|(_, c)| c.hut == machine).map(|(n, _)| *n).collect();
+                self.calls.iter().filter(|(_, c)| c.controller == machine).map(|(n, _)| *n).collect();
             open.into_iter().for_each(|call| self.plan(ms(2), Next::Answered { call, answer: None }));
         }
         self.harmed(machine);
         if let Some(down) = down {
             self.machines[machine].lost_until = self.now + down + CATCH_UP;
-            self.plan(down, Next::Back { machine, life });
+            self.plan(down, Next::Back { machine, instance });
         }
     }
 
@@ -102,9 +102,9 @@
         } else {
             waiting.sort_by_key(|e| !matches!(e, Event::Hears { .. } | Event::Called { .. }));
         }
-        let life = self.machines[machine].life;
+        let instance = self.machines[machine].instance;
         for event in waiting {
-            if self.machines[machine].life == life {
+            if self.machines[machine].instance == instance {
                 self.does(machine, event);
             }
         }
@@ -137,7 +137,7 @@
                 self.start(machine);
             }
         }
-        let missing = (2 * self.tolerated + 1).saturating_sub(self.huts().count());
+        let missing = (2 * self.tolerated + 1).saturating_sub(self.controllers().count());
         (0..missing).for_each(|_| self.trouble(Trouble::New { stale: false }));
         self.slow_until = self.now;
         self.troubled_at = self.now;
--- a/crates/emulator/src/core/world/probes.rs
+++ b/crates/emulator/src/core/world/probes.rs
@@ -12,7 +12,7 @@
     /// A change on top of what was read last.
     pub fn closing_change(&mut self, operator: usize) {
         let now = self.now;
-        let last = self.judges.book.iter().rev().find_map(|c| match c.told {
+        let last = self.judges.store.iter().rev().find_map(|c| match c.told {
             Told::Holds(version) => Some(version),
             _ => None,
         });
@@ -23,7 +23,7 @@
     }
 
     pub fn read_since(&self, since: Time) -> bool {
-        self.judges.book.iter().any(|c| matches!(c.told, Told::Holds(_)) && c.sent_at >= since)
+        self.judges.store.iter().any(|c| matches!(c.told, Told::Holds(_)) && c.sent_at >= since)
     }
 
     /// Whether an edge is fresh, and what it shows.
@@ -32,20 +32,20 @@
         self.edge(edge).map_or((false, None), |e| (e.is_fresh(clock), e.in_force().map(|(v, _)| v)))
     }
 
-    /// Workers that beat, and were not acknowledged for a beat and a half.
+    /// Workers that heartbeat, and were not acknowledged for a heartbeat and a half.
     pub fn unheard_workers(&self) -> usize {
         let heard = |w: &Worker| w.acked.last().is_some_and(|at| self.now - *at < BEAT.times(1.7));
         let old = |w: &Worker| self.now - w.began_at > ms(5_000);
         self.workers.iter().filter(|w| w.goes == Goes::Ready && old(w) && !heard(w)).count()
     }
 
-    /// The huts that more than half of the core runs and is connected with, where it has been calm for the contact time.
+    /// The controllers that more than half of the core runs and is connected with, where it has been calm for the contact time.
     pub fn settled(&self) -> Option<Vec<usize>> {
         if self.now - self.troubled_at < CONTACT || self.slow_until > self.now {
             return None;
         }
         let runs = |m: &usize| self.machines[*m].process.is_some() && !self.machines[*m].frozen;
-        let all: Vec<usize> = self.huts().collect();
+        let all: Vec<usize> = self.controllers().collect();
         let best = all.iter().copied().filter(runs).map(|a| {
             let with = all.iter().copied().filter(runs).filter(|b| a == *b || self.lines.joined(a, *b));
             with.collect::<Vec<usize>>()
@@ -61,13 +61,13 @@
                 continue;
             }
             let clock = self.clock(edge);
-            let in_touch = settled.as_ref().is_some_and(|huts| {
+            let in_touch = settled.as_ref().is_some_and(|controllers| {
                 let m = &self.machines[edge];
                 m.lost_until <= now
                     && now - m.began_at > CONTACT
-                    && huts.iter().all(|h| self.lines.joined(edge, *h))
+                    && controllers.iter().all(|h| self.lines.joined(edge, *h))
             });
-            let life = self.machines[edge].life;
+            let instance = self.machines[edge].instance;
             let Some(of) = self.edge(edge) else { continue };
             let (shown, serves) = (of.in_force(), of.serves_tenants(clock, crate::core::judges::REVOKE));
             let mut broken = Vec::new();
@@ -76,7 +76,7 @@
                     let sends = of.sends_to(&worker.id());
                     let what = |what: &str| format!("edge {edge}: {} {what}", worker.id());
                     if !sends && worker.is_promised(now, crate::core::judges::CONVERGE) {
-                        broken.push((Judge::Promised, what("beats and is heard, and gets nothing")));
+                        broken.push((Judge::Promised, what("heartbeats and is heard, and gets nothing")));
                     }
                     let told = worker.out_acked_at.is_some_and(|at| {
                         now - at > crate::core::judges::DRAIN && self.troubled_at + CONTACT < at
@@ -88,8 +88,8 @@
                         broken.push((Judge::Drained, what("was told that it leaves, and is sent to")));
                     }
                     if sends && dead {
-                        let known = self.leader().and_then(|l| self.hut(l)).map(|h| {
-                            h.watch.registry().instances().get(&worker.id()).map(|known| known.state)
+                        let known = self.leader().and_then(|l| self.controller(l)).map(|h| {
+                            h.detector.registry().instances().get(&worker.id()).map(|known| known.state)
                         });
                         let of = format!("is dead for long, and is sent to; the leader knows {known:?}");
                         broken.push((Judge::Drained, what(&of)));
@@ -108,7 +108,7 @@
                         .push((Judge::Evacuated, format!("edge {edge}: zone {name} is emptied: {is_empty}")));
                 }
             }
-            self.judges.edge(now, (edge, life), shown.map(|(v, _)| v), serves, in_touch);
+            self.judges.edge(now, (edge, instance), shown.map(|(v, _)| v), serves, in_touch);
             for (judge, what) in broken {
                 self.judges.breaks(now, judge, || what);
             }
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -382,7 +382,7 @@
     }
 }
 
-/// The gatekeeper stands still, the time goes by, the answer comes before or after that, the gatekeeper goes on: what
+/// The proxy stands still, the time goes by, the answer comes before or after that, the proxy goes on: what
 /// the kernel holds by then stands, in whichever order it hears of the two.
 #[test]
 fn who_stood_still_reads_what_came() {
--- a/crates/proxy/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -1,5 +1,5 @@
 //! SIGTERM at every moment of a request, with the programs on loopback: `docs/design/tries.md` has the rows. Nothing
-//! sleeps: that the gatekeeper closes is told by the end of a connection that rests.
+//! sleeps: that the proxy closes is told by the end of a connection that rests.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 
 struct System {
     _folder: TempDir,
-    huts: Vec<SocketAddr>,
+    controllers: Vec<SocketAddr>,
     front: SocketAddr,
     children: Vec<Child>,
 }
@@ -30,16 +30,16 @@
 }
 
 impl System {
-    /// Three huts and one pass, the last child.
+    /// Three controllers and one proxy, the last child.
     fn start() -> System {
         let net = format!("127.{}.{}", 160 + std::process::id() % 90, std::process::id() / 90 % 250);
         let at =
             |n: usize, port: u16| -> SocketAddr { format!("{net}.{n}:{port}").parse().expect("an address") };
-        let huts: Vec<SocketAddr> = (1..=3).map(|n| at(n, 8383)).collect();
+        let controllers: Vec<SocketAddr> = (1..=3).map(|n| at(n, 8383)).collect();
         let folder = tempfile::tempdir().expect("a folder");
-        let mut system = System { _folder: folder, huts, front: at(11, 8389), children: Vec::new() };
+        let mut system = System { _folder: folder, controllers, front: at(11, 8389), children: Vec::new() };
         for (name, own) in [("controller1", 0), ("controller2", 1), ("controller3", 2), ("proxy1", 3)] {
-            let own = system.huts.get(own).copied().unwrap_or(system.front);
+            let own = system.controllers.get(own).copied().unwrap_or(system.front);
             system.start_one(name, own);
         }
         system
@@ -52,7 +52,7 @@
             "controller" => format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n"),
             _ => format!("  front: \"{own}\"\n  readiness: \"{ip}:8384\"\n"),
         };
-        let seeds: String = self.huts.iter().map(|h| format!("  - \"{h}\"\n")).collect();
+        let seeds: String = self.controllers.iter().map(|h| format!("  - \"{h}\"\n")).collect();
         let folder = self._folder.path();
         let text = format!(
             "node-name: \"{name}\"\nip: \"{ip}\"\nzone: \"z1\"\nregion: \"r1\"\nzones:\n  z1: \"r1\"\nbind:\n{bind}\
@@ -69,7 +69,7 @@
         self.children.push(child.expect("started"));
     }
 
-    /// A client's connection to the pass.
+    /// A client's connection to the proxy.
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.front).expect("connected");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
@@ -99,7 +99,7 @@
 type Held = Arc<Mutex<Vec<Sender<()>>>>;
 
 /// A worker: answers at once, but for ids that begin with "held", which it says it has and answers when told.
-fn worker(at: SocketAddr, huts: Vec<SocketAddr>, has: Sender<String>, held: Held) -> Sender<()> {
+fn worker(at: SocketAddr, controllers: Vec<SocketAddr>, has: Sender<String>, held: Held) -> Sender<()> {
     let listener = TcpListener::bind(at).expect("bound");
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -129,10 +129,10 @@
             let body = format!(
                 r#"{{"service":"s","address":"{at}","zone":"z1","capacity":6,"state":"ready","cold-left-s":0,"call-seq":{seq}}}"#
             );
-            let taken = |hut: &&SocketAddr| {
-                call(**hut, "PUT /instances/i-1 HTTP/1.1", &body).is_some_and(|m| m.status() == 200)
+            let taken = |controller: &&SocketAddr| {
+                call(**controller, "PUT /instances/i-1 HTTP/1.1", &body).is_some_and(|m| m.status() == 200)
             };
-            huts.iter().cycle().skip(seq % 3).take(3).find(taken);
+            controllers.iter().cycle().skip(seq % 3).take(3).find(taken);
             if stopped.recv_timeout(Duration::from_millis(300)) != Err(RecvTimeoutError::Timeout) {
                 return;
             }
@@ -156,10 +156,10 @@
         9000,
     );
     let held = Held::default();
-    let stop = worker(at, system.huts.clone(), has, held.clone());
+    let stop = worker(at, system.controllers.clone(), has, held.clone());
     until("a configuration", || {
         system
-            .huts
+            .controllers
             .iter()
             .find_map(|h| call(*h, "PUT /config HTTP/1.1", CONFIGURATION).filter(|m| m.status() == 200))
     });
