--- a/crates/proxy/tests/whole_path.rs
+++ b/crates/proxy/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path on loopback: three huts and three passes as programs, workers and an operator played here.
+//! The whole path on loopback: three controllers and three proxies as programs, workers and an operator played here.
 //! Nothing waits for a time: what is to come is asked for until it is there.
 
 use std::collections::HashMap;
@@ -34,11 +34,11 @@
     ["cut", "late", "500", "full"].into_iter().find(|d| path.contains(d)).unwrap_or("serve")
 }
 
-/// A worker: serves, beats to the huts in turn, and notes what it ran.
+/// A worker: serves, heartbeats to the controllers in turn, and notes what it ran.
 fn worker(
     id: &str,
     at: SocketAddr,
-    huts: Vec<SocketAddr>,
+    controllers: Vec<SocketAddr>,
     ran: Arc<Mutex<Vec<(String, String)>>>,
 ) -> Sender<()> {
     let listener = TcpListener::bind(at).expect("bound");
@@ -101,11 +101,11 @@
             let body = format!(
                 r#"{{"service":"s","address":"{at}","zone":"z1","capacity":6,"state":"ready","cold-left-s":0,"call-seq":{seq}}}"#
             );
-            let taken = |hut: &&SocketAddr| {
-                call(**hut, &format!("PUT /instances/{id} HTTP/1.1"), &body)
+            let taken = |controller: &&SocketAddr| {
+                call(**controller, &format!("PUT /instances/{id} HTTP/1.1"), &body)
                     .is_some_and(|m| m.status() == 200)
             };
-            huts.iter().cycle().skip(seq % 3).take(3).find(taken);
+            controllers.iter().cycle().skip(seq % 3).take(3).find(taken);
             if !matches!(
                 stopped.recv_timeout(Duration::from_millis(300)),
                 Err(std::sync::mpsc::RecvTimeoutError::Timeout)
@@ -120,7 +120,7 @@
 struct System {
     folder: TempDir,
     children: HashMap<String, Child>,
-    huts: Vec<SocketAddr>,
+    controllers: Vec<SocketAddr>,
     fronts: Vec<SocketAddr>,
 }
 
@@ -138,10 +138,10 @@
         let net = format!("127.{}.{}", 60 + std::process::id() % 100, std::process::id() / 100 % 250);
         let at =
             |n: usize, port: u16| -> SocketAddr { format!("{net}.{n}:{port}").parse().expect("an address") };
-        let huts: Vec<SocketAddr> = (1..=3).map(|n| at(n, 8383)).collect();
+        let controllers: Vec<SocketAddr> = (1..=3).map(|n| at(n, 8383)).collect();
         let fronts: Vec<SocketAddr> = (11..=13).map(|n| at(n, 8389)).collect();
         let folder = tempfile::tempdir().expect("a folder");
-        let mut system = System { folder, children: HashMap::new(), huts, fronts };
+        let mut system = System { folder, children: HashMap::new(), controllers, fronts };
         for n in 1..=3 {
             system.start_one(&format!("controller{n}"), true);
             system.start_one(&format!("proxy{n}"), true);
@@ -152,14 +152,14 @@
     fn start_one(&mut self, name: &str, bootstrap: bool) {
         let (kind, n) = name.split_at(name.len() - 1);
         let n: usize = n.parse().expect("a number");
-        let own = if kind == "controller" { self.huts[n - 1] } else { self.fronts[n - 1] };
+        let own = if kind == "controller" { self.controllers[n - 1] } else { self.fronts[n - 1] };
         let ip = own.ip();
         let bind = if kind == "controller" {
             format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n")
         } else {
             format!("  front: \"{own}\"\n  readiness: \"{ip}:8384\"\n")
         };
-        let seeds: String = self.huts.iter().map(|h| format!("  - \"{h}\"\n")).collect();
+        let seeds: String = self.controllers.iter().map(|h| format!("  - \"{h}\"\n")).collect();
         let data = self.folder.path().join(name);
         let text = format!(
             "node-name: \"{name}\"\nip: \"{ip}\"\nzone: \"z1\"\nregion: \"r1\"\nzones:\n  z1: \"r1\"\nbind:\n{bind}\
@@ -186,11 +186,11 @@
         child.wait().expect("ended");
     }
 
-    /// The operator's call, to any hut, where it is sent on and again until it is clear.
+    /// The operator's call, to any controller, where it is sent on and again until it is clear.
     fn order(&self, head: &str, body: &str) -> Message {
         until(head, || {
-            self.huts.iter().find_map(|hut| {
-                let mut answer = call(*hut, head, body)?;
+            self.controllers.iter().find_map(|controller| {
+                let mut answer = call(*controller, head, body)?;
                 if answer.status() == 307 {
                     let to = answer.header("location").split('/').nth(2)?.parse().ok()?;
                     answer = call(to, head, body)?;
@@ -200,19 +200,22 @@
         })
     }
 
-    fn ask(&self, pass: usize, method: &str, path: &str, id: &str, key: &str) -> Option<Message> {
+    fn ask(&self, proxy: usize, method: &str, path: &str, id: &str, key: &str) -> Option<Message> {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nAttempt-Id: {id}\r\nTime-Left-Ms: 2000\r\nAuthorization: Bearer {key}"
         );
-        call(self.fronts[pass], &head, "")
+        call(self.fronts[proxy], &head, "")
     }
 
     fn leader(&self) -> usize {
         until("a leader", || {
-            let says =
-                |hut: &SocketAddr| call(*hut, "GET /status HTTP/1.1", "").map(|m| text(&m).to_string());
+            let says = |controller: &SocketAddr| {
+                call(*controller, "GET /status HTTP/1.1", "").map(|m| text(&m).to_string())
+            };
             let me = |n: usize| {
-                says(&self.huts[n])?.contains(&format!("\"leader\":\"{}\"", self.huts[n])).then_some(n)
+                says(&self.controllers[n])?
+                    .contains(&format!("\"leader\":\"{}\"", self.controllers[n]))
+                    .then_some(n)
             };
             (0..3).find_map(me)
         })
@@ -235,13 +238,13 @@
 fn the_whole_path() {
     let mut system = System::start();
     let ran = Arc::new(Mutex::new(Vec::new()));
-    let ip = system.huts[0].ip().to_string();
+    let ip = system.controllers[0].ip().to_string();
     let net = ip.rsplit_once('.').expect("an address").0.to_string();
     let at = |n: usize| -> SocketAddr { format!("{net}.{}:9000", 20 + n).parse().expect("an address") };
     let stops: Vec<_> =
-        (1..=3).map(|n| worker(&format!("i-{n}"), at(n), system.huts.clone(), ran.clone())).collect();
+        (1..=3).map(|n| worker(&format!("i-{n}"), at(n), system.controllers.clone(), ran.clone())).collect();
 
-    // A configuration is taken, from any hut; what is wrong is named; one of two wins; the same again is known.
+    // A configuration is taken, from any controller; what is wrong is named; one of two wins; the same again is known.
     let first = configuration(5, 0, r#"["k1","k2"]"#, 1);
     assert_eq!(system.order("PUT /config HTTP/1.1", &first).status(), 200);
     let bad = system.order("PUT /config HTTP/1.1", &configuration(7, 5, r#"["ks"]"#, 1));
@@ -251,20 +254,20 @@
     assert_eq!(system.order("PUT /config HTTP/1.1", &configuration(9, 5, r#"["k3"]"#, 1)).status(), 412);
     assert_eq!(system.order("PUT /config HTTP/1.1", &second).status(), 200);
 
-    // Clients find the passes, and are served at each by a worker that gets the tenant and not the key.
-    let board: SocketAddr = format!("{}:8385", system.huts[1].ip()).parse().expect("an address");
-    until("the board names all three", || {
-        let m = call(board, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "")?;
+    // Clients find the proxies, and are served at each by a worker that gets the tenant and not the key.
+    let directory: SocketAddr = format!("{}:8385", system.controllers[1].ip()).parse().expect("an address");
+    until("the directory names all three", || {
+        let m = call(directory, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "")?;
         (m.status() == 200 && system.fronts.iter().all(|f| text(&m).contains(&f.to_string()))).then_some(())
     });
-    for pass in 0..3 {
+    for proxy in 0..3 {
         until("served", || {
-            let m = system.ask(pass, "GET", "/safe/x", &format!("a{pass}"), "k1")?;
+            let m = system.ask(proxy, "GET", "/safe/x", &format!("a{proxy}"), "k1")?;
             (m.status() == 200 && text(&m) == "GET " && !m.header("server-seal").is_empty()).then_some(())
         });
-        let seen = ran.lock().expect("ran").iter().any(|(a, t)| *a == format!("a{pass}") && t == "t1");
+        let seen = ran.lock().expect("ran").iter().any(|(a, t)| *a == format!("a{proxy}") && t == "t1");
         assert!(seen, "the worker was told the tenant");
-        let status = |path, key| system.ask(pass, "GET", path, "b", key).map(|m| m.status());
+        let status = |path, key| system.ask(proxy, "GET", path, "b", key).map(|m| m.status());
         assert_eq!((status("/safe/x", "k2"), status("/none/", "k1")), (Some(401), Some(404)));
     }
 
@@ -315,18 +318,18 @@
     // It comes back with its disk emptied, and is let in: with it, and without another, a change is taken.
     std::fs::remove_dir_all(system.folder.path().join(format!("controller{}", leader + 1))).expect("removed");
     system.start_one(&format!("controller{}", leader + 1), false);
-    until("the emptied hut follows", || {
-        let m = call(system.huts[leader], "GET /status HTTP/1.1", "")?;
+    until("the emptied controller follows", || {
+        let m = call(system.controllers[leader], "GET /status HTTP/1.1", "")?;
         text(&m).contains("\"generation\":\"0000000c\"").then_some(())
     });
     let fourth = configuration(13, 12, r#"["k5"]"#, 1);
     assert_eq!(system.order("PUT /config HTTP/1.1", &fourth).status(), 200);
 
-    // A pass that is told to end goes on for a while and ends well.
-    let pass = system.children.get("proxy3").expect("runs").id();
-    assert!(Command::new("kill").arg("-TERM").arg(pass.to_string()).status().is_ok_and(|s| s.success()));
-    until("it leaves the board", || {
-        let m = call(board, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "");
+    // A proxy that is told to end goes on for a while and ends well.
+    let proxy = system.children.get("proxy3").expect("runs").id();
+    assert!(Command::new("kill").arg("-TERM").arg(proxy.to_string()).status().is_ok_and(|s| s.success()));
+    until("it leaves the directory", || {
+        let m = call(directory, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "");
         m.filter(|m| m.status() == 200 && !text(m).contains(&system.fronts[2].to_string()))
     });
     let ended = system.children.remove("proxy3").expect("runs").wait().expect("ended");
