--- a/crates/controller/tests/core.rs
+++ b/crates/controller/tests/core.rs
@@ -324,11 +324,11 @@
     child.kill().expect("killed");
     child.wait().expect("ended");
     let disk = core.folder.path().join(format!("controller{lost}"));
-    std::fs::write(disk.join("store.sqlite"), "no database at all".repeat(500)).expect("spoiled");
-    std::fs::remove_file(disk.join("store.sqlite-wal")).expect("its log, which holds all by itself");
+    std::fs::write(disk.join("book.sqlite"), "no database at all".repeat(500)).expect("spoiled");
+    std::fs::remove_file(disk.join("book.sqlite-wal")).expect("its log, which holds all by itself");
     core.start(lost, &[1, 2, 3], true);
     until("it is caught up", || (core.says(lost, "generation") == "\"00000005\"").then_some(()));
-    assert!(disk.join("store.sqlite.unreadable").exists());
+    assert!(disk.join("book.sqlite.unreadable").exists());
     let patch = r#"{"generation":"00000007","base-version":"00000005","remove":{"routes":["r1"]}}"#;
     assert_eq!(core.order("PATCH /config", patch), 200);
     until("the change", || (core.says(lost, "generation") == "\"00000007\"").then_some(()));
--- a/crates/emulator/src/core/deliberate.rs
+++ b/crates/emulator/src/core/deliberate.rs
@@ -49,7 +49,7 @@
             Deliberate::TwoAtOnce => "two-at-once",
             Deliberate::RemovedVotes => "removed-votes",
             Deliberate::MarkLost => "mark-lost",
-            Deliberate::CutOffBeats => "cut-off-heartbeats",
+            Deliberate::CutOffBeats => "cut-off-beats",
         }
     }
 
