--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,12 +1,10 @@
-//! What a process is configured with: the boot settings file, the operator's configuration, the command line. Reading and
+//! What a process is configured with: the boot settings file, the operator's configuration. Reading and
 //! checking only: no socket, no clock, no thread.
 #![forbid(unsafe_code)]
 
 pub mod bounds;
-pub mod command_line;
 pub mod configuration;
 pub mod json;
-pub mod logging;
 pub mod settings;
 pub mod settings_reload;
 pub mod table;
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -1,10 +1,7 @@
 //! From the settings to a running controller, and to its end.
 
-use std::fmt;
-use std::io;
 use std::path::Path;
 use std::sync::Arc;
-use std::sync::mpsc::channel;
 use std::thread;
 use std::time::Duration;
 
@@ -15,12 +12,11 @@
 use lynxstair_consensus::{Consensus, ConsensusConfig, NodeAddress};
 use lynxstair_control_state::directory::Directory;
 use lynxstair_net::alarms::Alarms;
-use lynxstair_net::calls::{self, Call, ListenError, Most};
+use lynxstair_net::calls::{self, Call, Most};
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::{go, prepare};
 use lynxstair_protocol::messages::Instance;
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-use signal_hook::iterator::Signals;
+use lynxstair_service::{FNV_OFFSET, Signals, StartError, fnv1a};
 
 use crate::blocking_pool::BlockingPool;
 use crate::committed_config::CommittedConfig;
@@ -47,81 +43,30 @@
 const SHUTDOWN_INTERVAL: Span = Span::from_millis(20);
 const DISK_STACK_BYTES: usize = 256 << 10;
 
-/// Why a controller can't serve.
-#[derive(Debug)]
-pub enum StartError {
-    /// The settings lack a key that a controller needs.
-    MissingSetting(&'static str),
-    /// What is stored can't be read.
-    Storage(StorageError),
-    /// An address can't be listened on.
-    Listen(ListenError),
-    /// The system refuses signals, timers or threads.
-    System(&'static str, io::Error),
-}
-
-impl fmt::Display for StartError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            StartError::MissingSetting(key) => write!(f, "settings: {key}: missing"),
-            StartError::Storage(source) => source.fmt(f),
-            StartError::Listen(source) => source.fmt(f),
-            StartError::System(what, source) => write!(f, "{what}: {source}"),
-        }
-    }
-}
-
-impl std::error::Error for StartError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            StartError::MissingSetting(_) => None,
-            StartError::Storage(source) => Some(source),
-            StartError::Listen(source) => Some(source),
-            StartError::System(_, source) => Some(source),
-        }
-    }
-}
-
-impl From<StorageError> for StartError {
-    fn from(source: StorageError) -> StartError {
-        StartError::Storage(source)
-    }
-}
-
-impl From<ListenError> for StartError {
-    fn from(source: ListenError) -> StartError {
-        StartError::Listen(source)
-    }
-}
-
 /// Serves until the process is told to end.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     prepare();
     let clock = Clock::start();
     let me = settings.control.ok_or(StartError::MissingSetting("bind.control"))?;
-    let mut store = open_store(&settings)?;
-    let mut signals =
-        Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| StartError::System("signals", e))?;
+    let mut store = open_store(&settings).map_err(storage_error)?;
+    let signals = Signals::catch()?;
     let alarms = Arc::new(Alarms::new(clock).map_err(|e| StartError::System("timer", e))?);
-    let state = initial_state(alarms.now(), me, &settings, &mut *store)?;
+    let state = initial_state(alarms.now(), me, &settings, &mut *store).map_err(storage_error)?;
     let pool = BlockingPool::spawn().map_err(|e| StartError::System("blocking thread", e))?;
     let controller = Arc::new(Controller::new(settings, alarms, pool, state));
     spawn_disk_writer(&controller, clock, store)?;
     spawn_coroutines(&controller)?;
-    while signals.forever().next() == Some(SIGHUP) {
-        settings_watch::reload(&controller, ReloadTrigger::Signal);
-    }
-    // The main thread only waits; whoever sleeps is a coroutine.
-    let (sender, ended) = channel();
-    go("shutdown", move || {
-        shut_down(&controller);
-        let _ = sender.send(());
-    });
-    let _ = ended.recv();
+    let (reloaded, ended) = (controller.clone(), controller);
+    let reload = || settings_watch::reload(&reloaded, ReloadTrigger::Signal);
+    signals.run_until_shutdown(reload, move || shut_down(&ended));
     info!("controller stopped");
     Ok(())
 }
 
+fn storage_error(source: StorageError) -> StartError {
+    StartError::Storage(Box::new(source))
+}
+
 /// A disk that refuses may come back, and hold the only copy: for as long as that takes. A process before this one may be
 /// about to end: some seconds.
 fn open_store(settings: &Settings) -> Result<Box<dyn Store>, StorageError> {
@@ -150,7 +95,7 @@
     let config = ConsensusConfig {
         me,
         seeds: &settings.seeds,
-        seed: now.nanos() ^ u64::from(me.port()) << 48 ^ fnv1a(&settings.node),
+        seed: now.nanos() ^ u64::from(me.port()) << 48 ^ fnv1a(FNV_OFFSET, &settings.node),
         stored,
         bootstrap,
         tolerated: settings.tolerated,
@@ -234,10 +179,3 @@
         controller.alarms.sleep_until(now + SHUTDOWN_INTERVAL);
     }
 }
-
-/// FNV-1a: the same in every build.
-fn fnv1a(text: &str) -> u64 {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0100_0000_01b3;
-    text.bytes().fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
-}
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,9 +3,8 @@
 
 use std::process::ExitCode;
 
-use lynxstair_config::command_line::{Invocation, Program};
-use lynxstair_config::logging::init_json_logging;
 use lynxstair_proxy::startup;
+use lynxstair_service::{Program, run_program};
 
 const PROGRAM: Program = Program {
     name: "lynxstair-proxy",
@@ -20,16 +19,5 @@
 };
 
 fn main() -> ExitCode {
-    let settings = match PROGRAM.parse_arguments() {
-        Invocation::Serve(settings) => *settings,
-        Invocation::Exit(code) => return code,
-    };
-    init_json_logging();
-    match startup::run(settings) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{}: {error}", PROGRAM.name);
-            ExitCode::FAILURE
-        }
-    }
+    run_program(&PROGRAM, startup::run)
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,23 +1,19 @@
 //! From the settings to a running proxy, and to its end.
 
-use std::fmt;
-use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::mpsc::channel;
 
 use log::info;
 use lynxstair::types::Span;
 use lynxstair_config::settings::Settings;
 use lynxstair_config::settings_reload::ReloadTrigger;
 use lynxstair_net::alarms::Alarms;
-use lynxstair_net::calls::{self, Call, ListenError, Most, Reply};
+use lynxstair_net::calls::{self, Call, Most, Reply};
 use lynxstair_net::clock::Clock;
 use lynxstair_net::conn::bound_buffers;
 use lynxstair_net::coroutine::{go, prepare};
 use lynxstair_protocol::messages::ProxyInfo;
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-use signal_hook::iterator::Signals;
+use lynxstair_service::{Signals, StartError, fnv1a};
 
 use crate::proxy::{Phase, Proxy};
 use crate::{client_reader, control_client};
@@ -42,63 +38,18 @@
 const HEARTBEAT_SPREAD_MS: u64 = 800;
 const READINESS_LIMITS: Most = Most { body: 1024, connections: 64 };
 
-/// Why a proxy can't serve.
-#[derive(Debug)]
-pub enum StartError {
-    /// The settings lack a key that a proxy needs.
-    MissingSetting(&'static str),
-    /// An address can't be listened on.
-    Listen(ListenError),
-    /// The system refuses signals or timers.
-    System(&'static str, io::Error),
-}
-
-impl fmt::Display for StartError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            StartError::MissingSetting(key) => write!(f, "settings: {key}: missing"),
-            StartError::Listen(source) => source.fmt(f),
-            StartError::System(what, source) => write!(f, "{what}: {source}"),
-        }
-    }
-}
-
-impl std::error::Error for StartError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            StartError::MissingSetting(_) => None,
-            StartError::Listen(source) => Some(source),
-            StartError::System(_, source) => Some(source),
-        }
-    }
-}
-
-impl From<ListenError> for StartError {
-    fn from(source: ListenError) -> StartError {
-        StartError::Listen(source)
-    }
-}
-
 /// Serves until the process is told to end.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     prepare();
     let clock = Clock::start();
     let front = settings.front.ok_or(StartError::MissingSetting("bind.front"))?;
-    let mut signals =
-        Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| StartError::System("signals", e))?;
+    let signals = Signals::catch()?;
     let alarms = Arc::new(Alarms::new(clock).map_err(|e| StartError::System("timer", e))?);
     let proxy = Arc::new(new_proxy(settings, front, alarms));
     spawn_coroutines(&proxy, front)?;
-    while signals.forever().next() == Some(SIGHUP) {
-        control_client::reload_settings(&proxy, ReloadTrigger::Signal);
-    }
-    // The main thread only waits; whoever sleeps is a coroutine.
-    let (sender, ended) = channel();
-    go("shutdown", move || {
-        shut_down(&proxy);
-        let _ = sender.send(());
-    });
-    let _ = ended.recv();
+    let (reloaded, ended) = (proxy.clone(), proxy);
+    let reload = || control_client::reload_settings(&reloaded, ReloadTrigger::Signal);
+    signals.run_until_shutdown(reload, move || shut_down(&ended));
     Ok(())
 }
 
@@ -175,9 +126,3 @@
     proxy.enter(Phase::Ended);
     info!(connections = proxy.clients.count(); "proxy stopped");
 }
-
-/// FNV-1a, from another start than usual.
-fn fnv1a(start: u64, text: &str) -> u64 {
-    const PRIME: u64 = 0x0100_0000_01b3;
-    text.bytes().fold(start, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
-}
