--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -17,7 +17,7 @@
 //! - `read_index`: linearizable reads, and contact with a quorum.
 //! - `membership`: learners, voters, who is removed and when.
 //!
-//! `docs/design/agreement.md` says why this is safe and what it assumes.
+//! `docs/design/consensus.md` says why this is safe and what it assumes.
 #![forbid(unsafe_code)]
 
 mod action;
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,6 +1,6 @@
 //! Exhaustive check of small cases: the real consensus, driven by the model checker `stateright` through every order of
 //! deliveries, losses, syncs, campaigns, kills, losses of power, emptied disks, proposals and reads that the budgets of a
-//! case leave open. docs/design/agreement.md, "Exhaustive check", says what is in it and what is not.
+//! case leave open. docs/design/consensus.md, "Exhaustive check", says what is in it and what is not.
 //!
 //! Each state that is visited was reached by calls of the real consensus alone, so what is found is real. What is left out
 //! of a state's hash (see `form`) can only make two states one, whose continuations differ in when something happens.
--- a/crates/control-state/tests/commands.rs
+++ b/crates/control-state/tests/commands.rs
@@ -81,7 +81,7 @@
         assert_eq!((apply(&store, &winner), status(&store, &loser)), (CommandOutcome::AlreadyApplied, 412));
         store = take(&store, &put(later, later - 1, ""));
     }
-    // The same sheet as a change of the other kind is another command.
+    // The same body as a change of the other kind is another command.
     let (Operation::Put(body), Operation::Patch(other)) = (put(7, 3, "a"), patch(7, 3, "")) else { panic!() };
     assert_ne!(command_id(&Operation::Put(body.clone())), command_id(&Operation::Patch(body)));
     assert_eq!(status(&store, &Operation::Patch(other)), 412);
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -26,16 +26,16 @@
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn take(book: &ConfigStore, change: Operation) -> ConfigStore {
+fn take(store: &ConfigStore, change: Operation) -> ConfigStore {
     let zones = [("z".into(), "r".into())];
-    match book.apply(&Command::new(change), &zones) {
-        CommandOutcome::Accepted(book) => *book,
+    match store.apply(&Command::new(change), &zones) {
+        CommandOutcome::Accepted(store) => *store,
         other => panic!("{other:?}"),
     }
 }
 
 /// Three states, one after the other.
-fn books() -> [ConfigStore; 3] {
+fn stores() -> [ConfigStore; 3] {
     let first = take(&ConfigStore::default(), Operation::Put(FIRST.into()));
     let second = take(&first, Operation::Patch(SECOND.into()));
     let third = take(&second, Operation::Evacuate("z".into()));
@@ -44,12 +44,12 @@
 
 #[test]
 fn stored_configurations_keep_their_names() {
-    for (n, book) in books().into_iter().enumerate() {
+    for (n, store) in stores().into_iter().enumerate() {
         let name = format!("configuration-{}", n + 1);
-        let stored = stored(&name, &book.encode());
-        assert_eq!(book.encode(), stored, "{name}: written otherwise than it is stored");
+        let stored = stored(&name, &store.encode());
+        assert_eq!(store.encode(), stored, "{name}: written otherwise than it is stored");
         let read = ConfigStore::decode(&stored).expect("readable");
-        assert_eq!(read, book, "{name}");
+        assert_eq!(read, store, "{name}");
         // What was accepted then is known when it is sent again.
         assert!(read.has_applied(&Command::new(Operation::Put(FIRST.into()))), "{name}");
         assert_eq!(read.has_applied(&Command::new(Operation::Patch(SECOND.into()))), n > 0, "{name}");
@@ -58,7 +58,7 @@
 
 #[test]
 fn configurations_on_their_way_keep_their_names() {
-    let [first, second, third] = books();
+    let [first, second, third] = stores();
     let mut steps = DeltaLog::default();
     steps.record(&first, &second);
     steps.record(&second, &third);
@@ -66,13 +66,13 @@
         ("snapshot", steps.encode_update(&first, 0), first.revision),
         ("delta", steps.encode_update(&third, first.revision), third.revision),
     ];
-    let mut mirror = ConfigReplica::default();
+    let mut replica = ConfigReplica::default();
     for (name, written, number) in pages {
         let stored = stored(&format!("feed-{name}"), &written);
         assert_eq!(written, stored, "{name}: written otherwise than it is stored");
-        assert!(mirror.apply_update(Time::default(), number, &stored), "{name}");
-        assert_eq!(mirror.delta_base(), number, "{name}");
+        assert!(replica.apply_update(Time::default(), number, &stored), "{name}");
+        assert_eq!(replica.delta_base(), number, "{name}");
     }
-    let version = mirror.version().expect("one is in force");
+    let version = replica.version().expect("one is in force");
     assert_eq!((version.configuration.generation, version.evacuated.contains("z")), (5, true));
 }
--- a/crates/controller/tests/command.rs
+++ b/crates/controller/tests/command.rs
@@ -1,4 +1,4 @@
-//! The hut's command line: what is bad is said with its key, and code 2.
+//! The command line: what is bad is said with its key, and code 2.
 
 use std::process::Command;
 
--- a/crates/controller/tests/core.rs
+++ b/crates/controller/tests/core.rs
@@ -300,7 +300,7 @@
     until("who leaves is not named", || (look_up() == Some(503)).then_some(()));
 }
 
-/// A configuration that is read aside (over 64 KiB) is ruled on as any other, and given back whole; a controller whose disk can't
+/// A configuration that is parsed on the blocking pool (over 64 KiB) is decided as any other, and given back whole; a controller whose disk can't
 /// be read any more starts all the same, counts as emptied though its settings say that all begins, and is caught up.
 #[test]
 fn a_large_configuration_and_an_unreadable_disk() {
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -30,7 +30,7 @@
     }
 }
 
-fn lives() -> Vec<Instance> {
+fn instances() -> Vec<Instance> {
     let all = [
         InstanceState::Ready,
         InstanceState::Draining,
@@ -54,7 +54,7 @@
 fn write(folder: &Path) {
     let mut store = SqliteStore::open(folder, |_| false).expect("open");
     let mut held = Vec::new();
-    ciborium::into_writer(&lives(), &mut held).expect("written");
+    ciborium::into_writer(&instances(), &mut held).expect("written");
     store.save(&record()).expect("saved");
     store.save_instances(&held).expect("saved");
 }
@@ -93,5 +93,5 @@
     assert_eq!(store.load().expect("loads"), Some(record()));
     let held = store.load_instances().expect("held");
     let read: Vec<Instance> = ciborium::from_reader(&held[..]).expect("readable");
-    assert_eq!(read, lives());
+    assert_eq!(read, instances());
 }
--- a/crates/controller/tests/storage.rs
+++ b/crates/controller/tests/storage.rs
@@ -14,15 +14,15 @@
     SqliteStore::open(folder, |_| false).expect("open")
 }
 
-/// The record of a term; the book changes with every third.
+/// The record of a term; the configuration changes with every third.
 fn record(term: u64) -> PersistentState {
     let node = "10.0.0.1:80".parse().expect("one");
-    let book = Bytes(Arc::new(vec![(term / 3) as u8; 30_000 + (term / 3) as usize]));
+    let config = Bytes(Arc::new(vec![(term / 3) as u8; 30_000 + (term / 3) as usize]));
     PersistentState {
         term,
         vote: Some(node),
         last: LogId { term, index: 7 },
-        state: ReplicatedState { voters: vec![Member { node, disk: 9 }], outgoing_voter: None, config: book },
+        state: ReplicatedState { voters: vec![Member { node, disk: 9 }], outgoing_voter: None, config },
         disk: 9,
     }
 }
@@ -32,15 +32,15 @@
     assert_eq!(store.load().expect("loads"), None, "a new one holds nothing");
     assert!(!store.is_emptied(), "and never did");
     assert_eq!(store.load_instances().expect("loads"), Vec::<u8>::new());
-    for lives in [&b"one"[..], b"two"] {
-        store.save_instances(lives).expect("saved");
-        assert_eq!(store.load_instances().expect("loads"), lives);
+    for instances in [&b"one"[..], b"two"] {
+        store.save_instances(instances).expect("saved");
+        assert_eq!(store.load_instances().expect("loads"), instances);
     }
     for term in 1..40 {
         store.save(&record(term)).expect("saved");
         assert_eq!(store.load().expect("loads"), Some(record(term)), "the last one whole");
     }
-    // A book that was there before, after another.
+    // A configuration that was there before, after another.
     for term in [4, 39, 4, 39] {
         store.save(&record(term)).expect("saved");
         assert_eq!(store.load().expect("loads"), Some(record(term)));
@@ -72,7 +72,7 @@
     assert_eq!(waits, 3, "it tries again first");
 }
 
-/// A vote does not write the book again.
+/// A vote does not write the configuration again.
 #[test]
 fn a_vote_is_small() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! One try at a worker through real sockets: `docs/design/tries.md` has the same rows. The worker is played here,
+//! One attempt at a worker through real sockets: `docs/design/attempts.md` has the same rows. The worker is played here,
 //! byte by byte. Nothing sleeps: both sides wait in reads that end with what the other does.
 
 use std::collections::HashMap;
@@ -433,7 +433,7 @@
     assert_eq!(in_time, 8);
 }
 
-/// Many tries at once over kept connections, from clients that leave, at a worker that answers too much, too late,
+/// Many attempts at once over kept connections, from clients that leave, at a worker that answers too much, too late,
 /// in pieces, with what belongs to others, or breaks off: each gets its own answer or none, and what is said not to
 /// have run has not.
 #[test]
--- a/crates/proxy/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! SIGTERM at every moment of a request, with the programs on loopback: `docs/design/tries.md` has the rows. Nothing
+//! SIGTERM at every moment of a request, with the programs on loopback: `docs/design/attempts.md` has the rows. Nothing
 //! sleeps: that the proxy closes is told by the end of a connection that rests.
 
 use std::io::{BufReader, Read, Write};
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,5 +1,5 @@
 //! An attempt: one forwarding of a request to one worker, from the connection to the end. What the kernel took of it, what
-//! came back and whose reply that was; and so, at its end, what may be claimed of the request. `docs/design/tries.md` has
+//! came back and whose reply that was; and so, at its end, what may be claimed of the request. `docs/design/attempts.md` has
 //! the same rows. The proxy reports events and does what the steps say.
 
 use lynxstair::types::Outcome;
