--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -27,15 +27,56 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Write and sync; then call `on_persisted` with the number. A later write replaces one that has not begun.
-    Persist(u64, PersistentState),
+    Persist {
+        /// Rises with each write.
+        number: u64,
+        /// What to write.
+        state: PersistentState,
+    },
     /// Send now.
-    Send(NodeAddress, Message),
-    /// This state is committed.
-    Committed(LogId, Bytes),
-    /// The proposal with this number is committed (true), or its fate is unknown (false).
-    ProposalDone(u64, bool),
-    /// The read with this number may be answered by what is committed here now (true), or this node can't tell (false).
-    ReadDone(u64, bool),
+    Send {
+        /// To whom.
+        to: NodeAddress,
+        /// What.
+        message: Message,
+    },
+    /// This configuration is committed.
+    Committed {
+        /// Where it stands in the order of all states.
+        position: LogId,
+        /// The configuration store, encoded.
+        config: Bytes,
+    },
+    /// A proposal is not pending any more.
+    ProposalDone {
+        /// As `propose` returned it.
+        number: u64,
+        /// What became of it.
+        outcome: RequestOutcome,
+    },
+    /// A read is not pending any more.
+    ReadDone {
+        /// As `request_read` returned it.
+        number: u64,
+        /// Whether it may be answered by what is committed here now.
+        outcome: RequestOutcome,
+    },
+}
+
+/// What became of a proposal or a read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestOutcome {
+    /// A quorum has confirmed it: a proposal is committed, a read is linearizable.
+    Confirmed,
+    /// This node can't tell any more: a proposal may be committed later, or never.
+    Unknown,
+}
+
+/// A message and whom it goes to.
+#[derive(Clone, Debug)]
+pub(crate) struct Envelope {
+    pub to: NodeAddress,
+    pub message: Message,
 }
 
 /// A write that is not known to be synced, and the messages that wait for it: a vote or an acknowledgement that left
@@ -45,5 +86,5 @@
     pub number: u64,
     pub last: LogId,
     pub since: Time,
-    pub messages: Vec<(NodeAddress, Message)>,
+    pub messages: Vec<Envelope>,
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -6,7 +6,8 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
 
-use crate::action::{Action, PendingWrite, PersistentState};
+use crate::action::{Action, Envelope, PendingWrite, PersistentState};
+use crate::replication::Appended;
 use crate::role::Role;
 use crate::{NodeAddress, membership, read_index, replication};
 
@@ -32,6 +33,14 @@
     pub catch_up: Span,
 }
 
+/// A graceful shutdown.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Shutdown {
+    pub since: Time,
+    /// When the leader was last asked for a replacement.
+    pub asked_at: Time,
+}
+
 /// One node's part in the consensus.
 #[derive(Clone, Debug)]
 pub struct Consensus {
@@ -59,8 +68,8 @@
     requests: u64,
     /// This node has heard a leader, or led, since its start.
     pub(crate) has_heard_leader: bool,
-    /// Since when this node shuts down, and when it last asked the leader to be replaced.
-    pub(crate) shutdown: Option<(Time, Time)>,
+    /// This node shuts down.
+    pub(crate) shutdown: Option<Shutdown>,
     pub(crate) actions: Vec<Action>,
     /// What tests leave out.
     #[cfg(feature = "deliberate-faults")]
@@ -157,9 +166,8 @@
         match &self.role {
             Role::Follower { heard_at, .. } => {
                 let campaign = *heard_at + self.election_timeout;
-                self.shutdown.map_or(campaign, |(_, asked_at)| {
-                    campaign.min(asked_at + replication::HEARTBEAT_INTERVAL)
-                })
+                let request = |shutdown: Shutdown| shutdown.asked_at + replication::HEARTBEAT_INTERVAL;
+                self.shutdown.map_or(campaign, |shutdown| campaign.min(request(shutdown)))
             }
             Role::PreCandidate { since, .. } | Role::Candidate { since, .. } => {
                 *since + self.election_timeout
@@ -219,7 +227,8 @@
                 self.send(from, reply);
             }
             Message::Append { term, round, last, state, committed, clock_echo, confirmed_ago } => {
-                self.handle_append(now, from, (term, round), last, state, committed);
+                let appended = Appended { term, round, last, state, committed };
+                self.handle_append(now, from, appended);
                 if let Some(ago) = confirmed_ago.filter(|_| clock_echo > 0) {
                     let at = Time::from_nanos(clock_echo.saturating_sub(ago));
                     self.on_leader_confirmed(at, committed);
@@ -244,7 +253,8 @@
     pub fn on_persisted(&mut self, now: Time, number: u64) {
         while let Some(write) = self.pending_writes.pop_front_if(|w| w.number <= number) {
             self.synced = self.synced.max(write.last);
-            self.actions.extend(write.messages.into_iter().map(|(to, message)| Action::Send(to, message)));
+            let messages = write.messages.into_iter();
+            self.actions.extend(messages.map(|Envelope { to, message }| Action::Send { to, message }));
         }
         self.advance_commit(now);
     }
@@ -277,15 +287,15 @@
     }
 
     pub(crate) fn send(&mut self, to: NodeAddress, message: Message) {
-        self.actions.push(Action::Send(to, message));
+        self.actions.push(Action::Send { to, message });
     }
 
     /// Has the persistent state written; the messages leave once it is synced.
-    pub(crate) fn persist(&mut self, now: Time, messages: Vec<(NodeAddress, Message)>) {
+    pub(crate) fn persist(&mut self, now: Time, messages: Vec<Envelope>) {
         self.writes += 1;
         let last = self.persistent.last;
         self.pending_writes.push_back(PendingWrite { number: self.writes, last, since: now, messages });
-        self.actions.push(Action::Persist(self.writes, self.persistent.clone()));
+        self.actions.push(Action::Persist { number: self.writes, state: self.persistent.clone() });
     }
 
     #[cfg(feature = "deliberate-faults")]
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -4,6 +4,7 @@
 use lynxstair::types::Time;
 use lynxstair_protocol::consensus::{LogId, Member, Message};
 
+use crate::action::Envelope;
 use crate::role::{ELECTION_TIMEOUT, LeaderState, Role};
 use crate::{Consensus, NodeAddress};
 
@@ -13,7 +14,7 @@
     pub(crate) fn start_pre_vote(&mut self, now: Time) {
         let requests = self.vote_requests(true);
         self.set_role(Role::PreCandidate { votes: Vec::new(), since: now });
-        for (to, message) in requests {
+        for Envelope { to, message } in requests {
             self.send(to, message);
         }
         self.check_election(now);
@@ -30,10 +31,11 @@
         self.check_election(now);
     }
 
-    fn vote_requests(&self, is_pre_vote: bool) -> Vec<(NodeAddress, Message)> {
+    fn vote_requests(&self, is_pre_vote: bool) -> Vec<Envelope> {
         let message =
             Message::RequestVote { term: self.persistent.term + 1, last: self.persistent.last, is_pre_vote };
-        self.other_voters().into_iter().map(|m| (m.node, message.clone())).collect()
+        let to = self.other_voters().into_iter().map(|m| m.node);
+        to.map(|to| Envelope { to, message: message.clone() }).collect()
     }
 
     /// A node that hears a leader has no use for another. The reply promises nothing.
@@ -71,7 +73,7 @@
             *heard_at = now;
         }
         // A vote leaves once it is synced, also one that is given again: its first write may still be pending.
-        self.persist(now, vec![(from, reply)]);
+        self.persist(now, vec![Envelope { to: from, message: reply }]);
     }
 
     pub(crate) fn handle_vote_reply(
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -33,7 +33,7 @@
 
 use std::net::SocketAddr;
 
-pub use action::{Action, PersistentState};
+pub use action::{Action, PersistentState, RequestOutcome};
 pub use consensus::{Consensus, ConsensusConfig};
 #[cfg(feature = "deliberate-faults")]
 pub use fault::Fault;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -9,6 +9,7 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::{Member, Message, ReplicatedState};
 
+use crate::consensus::Shutdown;
 use crate::progress::{PeerContact, Progress};
 use crate::replication::HEARTBEAT_INTERVAL;
 use crate::role::{LeaderState, Role};
@@ -165,7 +166,8 @@
     /// This process was told to end. A leader transfers leadership; then the node asks to be replaced.
     pub fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown.is_none() {
-            self.shutdown = Some((now, now.saturating_sub(HEARTBEAT_INTERVAL)));
+            let asked_at = now.saturating_sub(HEARTBEAT_INTERVAL);
+            self.shutdown = Some(Shutdown { since: now, asked_at });
             self.transfer_leadership(now);
             self.send_leave_request(now);
         }
@@ -173,7 +175,7 @@
 
     /// Whether the process may end now: it does not lead, and is replaced or has waited long enough for that.
     pub fn may_shut_down(&self, now: Time) -> bool {
-        let Some((since, _)) = self.shutdown else { return false };
+        let Some(Shutdown { since, .. }) = self.shutdown else { return false };
         let leads = matches!(&self.role, Role::Leader(_)) && !self.other_voters().is_empty();
         let is_replaced = self.committed == self.persistent.last && !self.is_voter() && !leads;
         is_replaced && now - since >= LEAVE_MIN_DELAY || now - since >= LEAVE_TIMEOUT
@@ -181,11 +183,11 @@
 
     pub(crate) fn send_leave_request(&mut self, now: Time) {
         let Role::Follower { leader, .. } = &self.role else { return };
-        let (leader, Some((since, asked_at))) = (*leader, self.shutdown) else { return };
-        if now - asked_at < HEARTBEAT_INTERVAL {
+        let (leader, Some(shutdown)) = (*leader, self.shutdown) else { return };
+        if now - shutdown.asked_at < HEARTBEAT_INTERVAL {
             return;
         }
-        self.shutdown = Some((since, now));
+        self.shutdown = Some(Shutdown { asked_at: now, ..shutdown });
         if let Some(leader) = leader {
             self.send(leader, Message::LeaveRequest { disk: self.persistent.disk });
         }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -7,13 +7,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PeerContact {
     /// The last state that was sent to it, and in which round.
-    pub sent: Option<(LogId, u64)>,
-    /// Its clock in its last reply, in nanoseconds, and when that reply came.
-    pub clock: Option<(u64, Time)>,
+    pub sent: Option<SentState>,
+    /// Its clock in its last reply.
+    pub clock: Option<PeerClock>,
     /// When it was last seen, by a reply or by its connection.
     pub seen_at: Time,
 }
 
+/// A state that was sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct SentState {
+    pub position: LogId,
+    pub round: u64,
+}
+
+/// A peer's clock.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct PeerClock {
+    /// The peer's own time, in nanoseconds.
+    pub value: u64,
+    /// When it arrived, by this node's clock.
+    pub received_at: Time,
+}
+
 /// One disk, as far as its replies in this term tell.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Progress {
--- a/crates/consensus/src/read_index.rs
+++ b/crates/consensus/src/read_index.rs
@@ -8,8 +8,8 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::LogId;
 
-use crate::role::Role;
-use crate::{Action, Consensus};
+use crate::role::{PendingRead, Role};
+use crate::{Action, Consensus, RequestOutcome};
 
 /// A node without two-way contact with a majority for so long speaks for nobody.
 pub const QUORUM_CONTACT_TIMEOUT: Span = Span::from_millis(500);
@@ -30,7 +30,7 @@
         if leader.reads.len() >= MAX_OPEN_READS {
             return None;
         }
-        leader.reads.push_back((number, leader.round + 1));
+        leader.reads.push_back(PendingRead { number, round: leader.round + 1 });
         if now - leader.round_began_at >= READ_BATCH_INTERVAL {
             self.start_round(now);
         } else {
@@ -43,8 +43,9 @@
     pub(crate) fn complete_reads(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let confirmed = leader.confirmed_round;
-        while let Some((number, _)) = leader.reads.pop_front_if(|(_, round)| *round <= confirmed) {
-            self.actions.push(Action::ReadDone(number, true));
+        while let Some(read) = leader.reads.pop_front_if(|read| read.round <= confirmed) {
+            let outcome = RequestOutcome::Confirmed;
+            self.actions.push(Action::ReadDone { number: read.number, outcome });
         }
     }
 
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -4,10 +4,11 @@
 use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
 use lynxstair_protocol::messages::Bytes;
 
-use crate::progress::{PeerContact, Progress};
+use crate::action::Envelope;
+use crate::progress::{PeerClock, PeerContact, Progress, SentState};
 use crate::read_index::READ_BATCH_INTERVAL;
-use crate::role::{LeaderState, Role};
-use crate::{Action, Consensus, NodeAddress};
+use crate::role::{LeaderState, Proposal, Role, RoundStart};
+use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
 /// How often a leader begins a round.
 pub(crate) const HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
@@ -22,6 +23,15 @@
 /// So many rounds are remembered by their beginning: some seconds.
 const MAX_ROUND_STARTS: usize = 64;
 
+/// What a follower takes over from a round of the leader.
+pub(crate) struct Appended {
+    pub term: u64,
+    pub round: u64,
+    pub last: LogId,
+    pub state: Option<ReplicatedState>,
+    pub committed: LogId,
+}
+
 impl Consensus {
     /// Proposes the configuration that is to replace the committed one. Returns the number by which
     /// `Action::ProposalDone` tells its fate, or None where this node can't propose now.
@@ -34,7 +44,7 @@
         let state = ReplicatedState { config: Bytes(config.into()), ..self.persistent.state.clone() };
         let last = self.append_state(now, state);
         if let Role::Leader(leader) = &mut self.role {
-            leader.proposal = Some((number, last));
+            leader.proposal = Some(Proposal { number, position: last });
         }
         self.start_round(now);
         Some(number)
@@ -95,7 +105,7 @@
             let (clock_echo, confirmed_ago) = contact.echo(confirmed_at);
             let confirmed_ago = confirmed_ago.filter(|_| committed.term == term);
             let message = Message::Append { term, round, last, state, committed, clock_echo, confirmed_ago };
-            self.actions.push(Action::Send(*to, message));
+            self.actions.push(Action::Send { to: *to, message });
         }
         if is_alone {
             leader.confirmed_at = now;
@@ -109,10 +119,7 @@
         &mut self,
         now: Time,
         from: NodeAddress,
-        (term, round): (u64, u64),
-        last: LogId,
-        state: Option<ReplicatedState>,
-        committed: LogId,
+        Appended { term, round, last, state, committed }: Appended,
     ) {
         if term > self.persistent.term {
             self.enter_term(now, term);
@@ -132,7 +139,7 @@
             self.persistent.state = state;
             let (disk, clock) = (self.persistent.disk, now.nanos());
             let reply = Message::AppendReply { term, round, stored: last, disk, clock };
-            self.persist(now, vec![(from, reply)]);
+            self.persist(now, vec![Envelope { to: from, message: reply }]);
         }
         // The round is answered at once, whatever the disk does; what is stored is acknowledged once it is synced.
         let reply = self.append_reply(now, round);
@@ -160,7 +167,7 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(contact) = leader.contacts.get_mut(&from.node) else { return };
         contact.seen_at = now;
-        contact.clock = Some((clock, now));
+        contact.clock = Some(PeerClock { value: clock, received_at: now });
         if !leader.progress.contains_key(&from) {
             // Another disk than the one that was sent something.
             contact.sent = None;
@@ -192,10 +199,11 @@
             return;
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        let proposal = leader.proposal.take_if(|(_, at)| *at == last);
+        let proposal = leader.proposal.take_if(|proposal| proposal.position == last);
         self.commit(last);
-        if let Some((number, _)) = proposal {
-            self.actions.push(Action::ProposalDone(number, true));
+        if let Some(Proposal { number, .. }) = proposal {
+            let outcome = RequestOutcome::Confirmed;
+            self.actions.push(Action::ProposalDone { number, outcome });
         }
         self.change_voters(now);
         // Followers learn of it at once.
@@ -215,7 +223,8 @@
 
     fn commit(&mut self, at: LogId) {
         self.committed = at;
-        self.actions.push(Action::Committed(at, self.persistent.state.config.clone()));
+        let config = self.persistent.state.config.clone();
+        self.actions.push(Action::Committed { position: at, config });
     }
 }
 
@@ -224,7 +233,7 @@
         self.round += 1;
         self.round_began_at = now;
         self.round_wanted = false;
-        self.round_starts.push_back((self.round, now));
+        self.round_starts.push_back(RoundStart { round: self.round, at: now });
         if self.round_starts.len() > MAX_ROUND_STARTS {
             self.round_starts.pop_front();
         }
@@ -238,8 +247,8 @@
         // The leader itself is one of the majority, and counted from 0 the last of the others is two before it.
         let Some(confirmed) = majority.checked_sub(2).and_then(|n| rounds.get(n)) else { return };
         self.confirmed_round = self.confirmed_round.max(*confirmed);
-        if let Some((_, at)) = self.round_starts.iter().find(|(round, _)| round == confirmed) {
-            self.confirmed_at = self.confirmed_at.max(*at);
+        if let Some(start) = self.round_starts.iter().find(|start| start.round == *confirmed) {
+            self.confirmed_at = self.confirmed_at.max(start.at);
         }
     }
 }
@@ -247,10 +256,11 @@
 impl PeerContact {
     /// Whether the newest state goes with this round: once, and again where no acknowledgement of it came.
     fn needs_state(&mut self, stored: LogId, last: LogId, round: u64) -> bool {
-        let is_unacknowledged = |(sent, at): (LogId, u64)| sent != last || round > at + RESEND_AFTER_ROUNDS;
+        let is_unacknowledged =
+            |sent: SentState| sent.position != last || round > sent.round + RESEND_AFTER_ROUNDS;
         let is_due = stored != last && self.sent.is_none_or(is_unacknowledged);
         if is_due {
-            self.sent = Some((last, round));
+            self.sent = Some(SentState { position: last, round });
         }
         is_due
     }
@@ -259,8 +269,8 @@
     /// between its reply and now is later than its reply, so a confirmation since then counts as one at the reply.
     fn echo(&self, confirmed_at: Time) -> (u64, Option<u64>) {
         match self.clock {
-            Some((clock, came)) if confirmed_at <= came => (clock, Some((came - confirmed_at).nanos())),
-            Some((clock, _)) => (clock, Some(0)),
+            // A span that would be below zero is zero.
+            Some(PeerClock { value, received_at }) => (value, Some((received_at - confirmed_at).nanos())),
             None => (0, None),
         }
     }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -6,7 +6,7 @@
 use lynxstair_protocol::consensus::{LogId, Member};
 
 use crate::progress::{PeerContact, Progress};
-use crate::{Action, Consensus, NodeAddress};
+use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
 /// A follower that heard no leader for so long may campaign.
 pub(crate) const ELECTION_TIMEOUT: Span = Span::from_millis(450);
@@ -41,7 +41,7 @@
     /// A round is to begin before the next heartbeat is due.
     pub round_wanted: bool,
     /// When each of the last rounds began.
-    pub round_starts: VecDeque<(u64, Time)>,
+    pub round_starts: VecDeque<RoundStart>,
     /// Whom it sends to: voters, and learners for as long as they are seen.
     pub contacts: BTreeMap<NodeAddress, PeerContact>,
     /// The progress of each disk that has answered, and of each voter.
@@ -52,10 +52,31 @@
     pub confirmed_round: u64,
     /// Since when a majority is on too few disks to survive the tolerated losses.
     pub under_replicated_since: Option<Time>,
-    /// The open proposal: its number and position.
-    pub proposal: Option<(u64, LogId)>,
-    /// Open reads: their numbers, and the round that a majority has to answer for each.
-    pub reads: VecDeque<(u64, u64)>,
+    /// The open proposal.
+    pub proposal: Option<Proposal>,
+    /// Open reads, in the order of their rounds.
+    pub reads: VecDeque<PendingRead>,
+}
+
+/// When a heartbeat round began.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct RoundStart {
+    pub round: u64,
+    pub at: Time,
+}
+
+/// A proposal that is not committed yet.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct Proposal {
+    pub number: u64,
+    pub position: LogId,
+}
+
+/// A read that waits for a majority to answer a round.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct PendingRead {
+    pub number: u64,
+    pub round: u64,
 }
 
 impl LeaderState {
@@ -98,9 +119,11 @@
     pub(crate) fn set_role(&mut self, role: Role) {
         if let Role::Leader(old) = &mut self.role {
             // Callers that wait for this leader learn that it can't tell any more.
-            let proposal = old.proposal.take().map(|(number, _)| Action::ProposalDone(number, false));
-            let reads = std::mem::take(&mut old.reads);
-            let reads = reads.into_iter().map(|(number, _)| Action::ReadDone(number, false));
+            let outcome = RequestOutcome::Unknown;
+            let proposal = old.proposal.take();
+            let proposal = proposal.map(|p| Action::ProposalDone { number: p.number, outcome });
+            let reads = std::mem::take(&mut old.reads).into_iter();
+            let reads = reads.map(|read| Action::ReadDone { number: read.number, outcome });
             self.actions.extend(proposal.into_iter().chain(reads));
         }
         self.role = role;
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -7,7 +7,7 @@
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
-use lynxstair_consensus::{Action, Consensus, ConsensusConfig, NodeAddress, PersistentState};
+use lynxstair_consensus::{Action, Consensus, ConsensusConfig, NodeAddress, PersistentState, RequestOutcome};
 use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
 
 fn node(n: usize) -> NodeAddress {
@@ -134,25 +134,25 @@
             }
             for item in todo {
                 match item {
-                    Action::Persist(number, record) => {
+                    Action::Persist { number, state: record } => {
                         let at = self.now + self.replicas[replica].sync;
                         self.replicas[replica].writes.push((at, number, record));
                     }
-                    Action::Send(to, message) => self.say(replica, to, message),
-                    Action::Committed(_, state) => self.committed(replica, &state.0),
-                    Action::ProposalDone(number, committed) => {
+                    Action::Send { to, message } => self.say(replica, to, message),
+                    Action::Committed { config: state, .. } => self.committed(replica, &state.0),
+                    Action::ProposalDone { number, outcome } => {
                         let which = self.open.iter().position(|(at, n, _)| (*at, *n) == (replica, number));
                         if let Some(which) = which {
                             let (_, _, change) = self.open.remove(which);
-                            if committed {
+                            if outcome == RequestOutcome::Confirmed {
                                 self.acked.push(change);
                             }
                         }
                     }
-                    Action::ReadDone(number, sure) => {
+                    Action::ReadDone { number, outcome } => {
                         let which = self.reads.iter().position(|(at, n, _)| (*at, *n) == (replica, number));
                         let (_, _, acked) = self.reads.remove(which.expect("one that was asked"));
-                        if sure {
+                        if outcome == RequestOutcome::Confirmed {
                             self.answered += 1;
                             let read = &self.replicas[replica].committed;
                             let missing = self.acked[..acked].iter().find(|a| !read.contains(a));
@@ -573,10 +573,10 @@
     for _ in 0..2 {
         consensus.handle_message(now, node(1), ask.clone());
         assert!(
-            consensus.take_actions().iter().all(|d| matches!(d, Action::Persist(..))),
+            consensus.take_actions().iter().all(|d| matches!(d, Action::Persist { .. })),
             "said before it was synced"
         );
     }
     consensus.on_persisted(now, 2);
-    assert!(consensus.take_actions().iter().any(|d| matches!(d, Action::Send(..))));
+    assert!(consensus.take_actions().iter().any(|d| matches!(d, Action::Send { .. })));
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -15,7 +15,9 @@
 use std::time::Duration;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_consensus::{Action, Consensus, ConsensusConfig, Fault, NodeAddress, PersistentState};
+use lynxstair_consensus::{
+    Action, Consensus, ConsensusConfig, Fault, NodeAddress, PersistentState, RequestOutcome,
+};
 use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -464,28 +466,28 @@
         }
         for order in h.consensus.take_actions() {
             match order {
-                Action::Persist(number, record) => {
+                Action::Persist { number, state: record } => {
                     seen.written(h.last, record.last, &record.state);
                     h.last = record.last;
                     h.writes.push((number, record));
                 }
-                Action::Send(to, message) if case.budget.reads == 0 && h.says_nothing(to, &message) => {}
-                Action::Send(to, message) => send(way, case.lane, replica, replica_at(to), message),
-                Action::Committed(at, config) => {
+                Action::Send { to, message } if case.budget.reads == 0 && h.says_nothing(to, &message) => {}
+                Action::Send { to, message } => send(way, case.lane, replica, replica_at(to), message),
+                Action::Committed { position: at, config } => {
                     h.committed = config.0.to_vec();
                     seen.committed(at, &config.0, h.consensus.leader() == Some(node(replica)));
                 }
-                Action::ProposalDone(number, is_committed) => {
+                Action::ProposalDone { number, outcome } => {
                     if let Some((_, change)) = h.proposed.take_if(|(n, _)| *n == number)
-                        && is_committed
+                        && outcome == RequestOutcome::Confirmed
                     {
                         seen.acked.push(change);
                     }
                 }
-                Action::ReadDone(number, is_sure) => {
+                Action::ReadDone { number, outcome } => {
                     let Some(at) = h.reads.iter().position(|(n, _)| *n == number) else { continue };
                     let (_, acked) = h.reads.remove(at);
-                    if is_sure {
+                    if outcome == RequestOutcome::Confirmed {
                         seen.read(&h.committed, &acked);
                     }
                 }
--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -52,6 +52,15 @@
     pub overshoot: f64,
 }
 
+/// What a proxy reports in a heartbeat.
+#[derive(Clone, Copy, Debug)]
+pub struct UsageReport<'a> {
+    /// Its usage since the last report.
+    pub usage: &'a [TenantUsage],
+    /// The number of the newest shares that it received.
+    pub received_shares: u64,
+}
+
 /// One proxy.
 #[derive(Debug, Default)]
 struct QuotaConsumer {
@@ -166,24 +175,24 @@
         }
     }
 
-    /// A proxy reports its usage, and the number of the newest shares that it received. Returns the tenants that are to be
-    /// blocked everywhere at once.
+    /// A proxy reports its usage. Returns the tenants that are to be blocked everywhere at once.
     pub fn report_usage(
         &mut self,
         now: Time,
         node: &str,
         zone: &str,
-        (usage, received): (&[TenantUsage], u64),
+        report: &UsageReport,
         tenants: &[Tenant],
     ) -> Vec<QuotaShare> {
         let consumer = self.consumers.entry(node.to_string()).or_default();
+        let usage = report.usage;
         // A proxy that was out of reach reports what it counted in each second since.
         let has_backlog = usage.iter().any(|usage| usage.age_ms > 0);
         let max_gap = if has_backlog { MAX_BACKLOG_GAP_S } else { MAX_REPORT_GAP_S };
         let gap_s = (now - consumer.heard_at).secs().clamp(MIN_REPORT_GAP_S, max_gap);
         consumer.zone = zone.to_string();
         consumer.heard_at = now;
-        if received >= consumer.sent_number {
+        if report.received_shares >= consumer.sent_number {
             consumer.held.extend(consumer.sent.drain());
         }
         consumer.update_demand(usage, gap_s);
--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -2,7 +2,7 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
 const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5_000), slack: 20.0, overshoot: 0.1 };
@@ -33,7 +33,13 @@
                 allocator.on_proxy_seen(now, &node, "z", true);
                 let said = if second == 20 { counts() } else { vec![count(1, 0)] };
                 let said = if n < BUSY { said } else { Vec::new() };
-                closed.extend(allocator.report_usage(now, &node, "z", (&said, 0), &tenants));
+                closed.extend(allocator.report_usage(
+                    now,
+                    &node,
+                    "z",
+                    &UsageReport { usage: &said, received_shares: 0 },
+                    &tenants,
+                ));
             }
         }
         closed
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -6,7 +6,7 @@
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
 use lynxstair_protocol::messages::QuotaShare;
 use lynxstair_routing::token_buckets::TokenBuckets;
 
@@ -72,8 +72,13 @@
                 if ms < 2000 {
                     self.allocator.set_held_shares(&n.to_string(), &self.proxies[n].held_shares(now));
                 }
-                let blocked =
-                    self.allocator.report_usage(now, &n.to_string(), "z", (&counts, received), tenants);
+                let blocked = self.allocator.report_usage(
+                    now,
+                    &n.to_string(),
+                    "z",
+                    &UsageReport { usage: &counts, received_shares: received },
+                    tenants,
+                );
                 if !blocked.is_empty() {
                     (0..self.proxies.len())
                         .for_each(|to| self.in_flight.push((ms + 60, to, 0, ms, blocked.clone())));
--- a/crates/controller/src/consensus_driver.rs
+++ b/crates/controller/src/consensus_driver.rs
@@ -41,11 +41,11 @@
 
 fn perform(controller: &Arc<Controller>, now: Time, state: &mut ControllerState, action: Action) {
     match action {
-        Action::Persist(number, persistent) => controller.disk.write_state(number, persistent),
-        Action::Send(to, message) => state.peers.send(to, &ToController::Consensus(message)),
-        Action::Committed(position, config) => on_committed(controller, now, state, position, &config),
-        Action::ProposalDone(number, is_confirmed) | Action::ReadDone(number, is_confirmed) => {
-            state.pending.complete(number, is_confirmed);
+        Action::Persist { number, state } => controller.disk.write_state(number, state),
+        Action::Send { to, message } => state.peers.send(to, &ToController::Consensus(message)),
+        Action::Committed { position, config } => on_committed(controller, now, state, position, &config),
+        Action::ProposalDone { number, outcome } | Action::ReadDone { number, outcome } => {
+            state.pending.complete(number, outcome);
         }
     }
 }
--- a/crates/controller/src/operator_api.rs
+++ b/crates/controller/src/operator_api.rs
@@ -6,6 +6,7 @@
 
 use log::info;
 use lynxstair::types::{Span, Time};
+use lynxstair_consensus::RequestOutcome;
 use lynxstair_control_state::command::{Command, Operation};
 use lynxstair_control_state::config_store::CommandOutcome;
 use lynxstair_net::calls::{Call, Reply};
@@ -64,12 +65,12 @@
         Ok(number) => number,
         Err(reply) => return reply,
     };
-    let is_committed = waiter.wait(&controller.alarms, deadline);
+    let outcome = waiter.wait(&controller.alarms, deadline);
     controller.state().pending.remove(number);
-    match is_committed {
-        Some(true) => Reply::json(200, "{}"),
+    match outcome {
+        RequestOutcome::Confirmed => Reply::json(200, "{}"),
         // It may still come into force, or not: the same bytes sent again find out.
-        _ => unavailable(),
+        RequestOutcome::Unknown => unavailable(),
     }
 }
 
@@ -154,9 +155,12 @@
         perform_actions(controller, now, &mut state);
         number
     };
-    let is_confirmed = waiter.wait(&controller.alarms, deadline);
+    let outcome = waiter.wait(&controller.alarms, deadline);
     controller.state().pending.remove(number);
-    if is_confirmed == Some(true) { Ok(()) } else { Err(unavailable()) }
+    match outcome {
+        RequestOutcome::Confirmed => Ok(()),
+        RequestOutcome::Unknown => Err(unavailable()),
+    }
 }
 
 /// To the leader, as far as this controller is in touch with it; else nobody knows who leads.
--- a/crates/controller/src/pending_requests.rs
+++ b/crates/controller/src/pending_requests.rs
@@ -4,13 +4,14 @@
 use std::sync::{Arc, Mutex};
 
 use lynxstair::types::Time;
+use lynxstair_consensus::RequestOutcome;
 use lynxstair_net::alarms::Alarms;
 use may::sync::Blocker;
 
 /// One waiting call.
 pub struct QuorumWaiter {
     blocker: Arc<Blocker>,
-    answer: Mutex<Option<bool>>,
+    answer: Mutex<Option<RequestOutcome>>,
 }
 
 impl QuorumWaiter {
@@ -19,19 +20,19 @@
         Arc::new(QuorumWaiter { blocker: Blocker::current(), answer: Mutex::new(None) })
     }
 
-    fn complete(&self, is_confirmed: bool) {
-        *self.answer.lock().unwrap_or_else(|e| e.into_inner()) = Some(is_confirmed);
+    fn complete(&self, outcome: RequestOutcome) {
+        *self.answer.lock().unwrap_or_else(|e| e.into_inner()) = Some(outcome);
         self.blocker.unpark();
     }
 
-    /// What the quorum answers; None where it answers nothing until the deadline.
-    pub fn wait(&self, alarms: &Alarms, deadline: Time) -> Option<bool> {
+    /// Waits for the answer of the quorum; unknown where there is none until the deadline.
+    pub fn wait(&self, alarms: &Alarms, deadline: Time) -> RequestOutcome {
         alarms.wake(deadline, &self.blocker);
         let answer = || *self.answer.lock().unwrap_or_else(|e| e.into_inner());
         while answer().is_none() && alarms.now() < deadline {
             let _ = self.blocker.park(None);
         }
-        answer()
+        answer().unwrap_or(RequestOutcome::Unknown)
     }
 }
 
@@ -51,9 +52,9 @@
     }
 
     /// The consensus has answered.
-    pub fn complete(&mut self, number: u64, is_confirmed: bool) {
+    pub fn complete(&mut self, number: u64, outcome: RequestOutcome) {
         if let Some(waiter) = self.0.remove(&number) {
-            waiter.complete(is_confirmed);
+            waiter.complete(outcome);
         }
     }
 }
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -8,7 +8,7 @@
 use lynxstair_config::bounds::Bounds;
 use lynxstair_config::configuration::Tenant;
 use lynxstair_consensus::NodeAddress;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
 use lynxstair_control_state::subscription::Subscription;
 use lynxstair_net::conn::Conn;
 use lynxstair_protocol::messages::{Bytes, Instance, ProxyHeartbeat, ProxyInfo, ToProxy};
@@ -200,8 +200,8 @@
         if let Some(held) = &heartbeat.held_shares {
             quotas.set_held_shares(&proxy.node, held);
         }
-        let report = (&heartbeat.usage[..], heartbeat.received_shares);
-        let blocked = quotas.report_usage(now, &proxy.node, &proxy.zone, report, tenants);
+        let report = UsageReport { usage: &heartbeat.usage, received_shares: heartbeat.received_shares };
+        let blocked = quotas.report_usage(now, &proxy.node, &proxy.zone, &report, tenants);
         // A leader that has just begun has not been found by all proxies, and each would take too large a part.
         let counts = quotas.proxy_counts();
         if counts != subscriber.proxy_counts && knows_all_proxies {
--- a/crates/emulator/src/core/controller.rs
+++ b/crates/emulator/src/core/controller.rs
@@ -6,7 +6,7 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_config::json;
-use lynxstair_consensus::{Action, Consensus, ConsensusConfig, PersistentState};
+use lynxstair_consensus::{Action, Consensus, ConsensusConfig, PersistentState, RequestOutcome};
 use lynxstair_control_state::command::{Command as Read, Operation};
 use lynxstair_control_state::config_store::{CommandOutcome, ConfigStore};
 use lynxstair_control_state::delta_log::DeltaLog;
@@ -328,11 +328,15 @@
             }
             for item in todo {
                 match item {
-                    Action::Persist(number, record) => self.out.push(Out::Save(number, record)),
-                    Action::Send(to, message) => self.out.push(Out::Say(to, message)),
-                    Action::Committed(_, state) => self.committed(now, &state),
-                    Action::ProposalDone(number, is_committed) => self.settled(number, is_committed),
-                    Action::ReadDone(number, may) => self.may_read(now, number, may),
+                    Action::Persist { number, state: record } => self.out.push(Out::Save(number, record)),
+                    Action::Send { to, message } => self.out.push(Out::Say(to, message)),
+                    Action::Committed { config: state, .. } => self.committed(now, &state),
+                    Action::ProposalDone { number, outcome } => {
+                        self.settled(number, outcome == RequestOutcome::Confirmed)
+                    }
+                    Action::ReadDone { number, outcome } => {
+                        self.may_read(now, number, outcome == RequestOutcome::Confirmed)
+                    }
                 }
             }
         }
