--- a/crates/emulator/src/core/controller.rs
+++ b/crates/emulator/src/core/controller.rs
@@ -1,4 +1,4 @@
-//! A controller's process: the state machines that the real one holds (agreement, store, detector over the workers) tied together as
+//! A controller's process: the state machines that the real one holds (consensus, configuration store, failure detector) tied together as
 //! `crates/controller` ties them, without its sockets. What it wants done comes out as values.
 
 use std::collections::BTreeMap;
--- a/crates/emulator/src/core/deliberate.rs
+++ b/crates/emulator/src/core/deliberate.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Those that sit inside the state machine of agreement; the others are put in by the world round it.
+    /// Those that sit inside the consensus; the others are put in by the world round it.
     #[cfg(feature = "deliberate-faults")]
     pub(crate) fn in_room(self) -> Option<Fault> {
         match self {
--- a/crates/emulator/tests/core.rs
+++ b/crates/emulator/tests/core.rs
@@ -231,7 +231,7 @@
 }
 
 /// How often a request that can't be repeated has run, where a worker that runs it has a late answer to another request
-/// on the same connection go first: the proxies sends it on where the state machine of tries says that it never ran.
+/// on the same connection go first: the proxy forwards it where the state machine of attempts says that it never ran.
 fn runs(surplus: u16, has_id: bool, is_first: bool, is_matched: bool) -> usize {
     let whose = if has_id { ReplyOwner::Other } else { ReplyOwner::Unidentified };
     let late = ReplyHead {
