--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -122,7 +122,6 @@
     store: Box<dyn Store>,
 ) -> Result<(), StartError> {
     let (controller, queue) = (controller.clone(), controller.disk.clone());
-    // The thread has a lock of its own on the store, which nobody else uses.
     let run = move || disk_writer::run(&queue, store, clock, |number| on_persisted(&controller, number));
     let thread = thread::Builder::new().name("disk".to_string()).stack_size(DISK_STACK_BYTES);
     thread.spawn(run).map(|_| ()).map_err(|e| StartError::System("disk thread", e))
