--- /dev/null
+++ b/crates/fault-injection/src/judge/tests.rs
@@ -0,0 +1,239 @@
+use lynxstair_export::{Batch, Stream, Sum};
+
+use super::*;
+
+const SECOND: u64 = 1_000_000_000;
+
+fn member(at: f64, run: u64, name: &str, change: (&str, u64), to: (&str, u64)) -> String {
+    format!(
+        r#"{{"mono":{},"who":"x","run":{run},"event":"member","name":"{name}","from":"{}","was":{},"to":"{}","incarnation":{},"why":"heard"}}"#,
+        (at * 1e9) as u64,
+        change.0,
+        change.1,
+        to.0,
+        to.1
+    )
+}
+
+fn began(at: f64, run: u64, incarnation: u64) -> String {
+    format!(
+        r#"{{"mono":{},"who":"x","run":{run},"event":"began","ident":{{"incarnation":{incarnation}}}}}"#,
+        (at * 1e9) as u64
+    )
+}
+
+fn granted(at: f64, owner: &str, epoch: u64) -> String {
+    format!(
+        r#"{{"mono":{},"who":"x","run":7,"event":"granted","duty":"export","owner":"{owner}","stand":1,"epoch":{epoch}}}"#,
+        (at * 1e9) as u64
+    )
+}
+
+/// One unit of customer 5 at g1.
+fn landed(epoch: u64, number: u64, at: u64) -> Landed {
+    let stream = Stream { gatekeeper: "g1".to_string(), folder: 1 };
+    let sums = vec![Sum { customer: 5, operation: 0, window: 1, milli: 1_000 }];
+    let batch = Batch { stream, number, sums, unread: 0 };
+    Landed { at: at * SECOND, epoch, batch, says: Says::Taken { again: number > 1 } }
+}
+
+fn owns(at: f64, epoch: u64) -> String {
+    format!(
+        r#"{{"mono":{},"who":"x","run":7,"event":"owns","duty":"export","epoch":{epoch}}}"#,
+        (at * 1e9) as u64
+    )
+}
+
+/// Three that run and agree, from second 1 to second 30; the faults are over at 10.
+fn good() -> Observed {
+    let names = ["g1", "g2", "g3"];
+    let process = |me: &str| {
+        let others: Vec<&str> = names.into_iter().filter(|n| *n != me).collect();
+        let mut history = vec![began(1.0, 7, 1)];
+        history.extend(others.iter().map(|o| member(2.0, 7, o, ("unknown", 1), ("alive", 1))));
+        Process {
+            name: me.to_string(),
+            runs: true,
+            status: Some(others.iter().map(|o| o.to_string()).collect()),
+            history,
+            ..Process::default()
+        }
+    };
+    Observed {
+        name: "test".to_string(),
+        began: 3 * SECOND,
+        faults_over: 10 * SECOND,
+        ended: 30 * SECOND,
+        agree_within: 5.0,
+        processes: names.into_iter().map(process).collect(),
+        ..Observed::default()
+    }
+}
+
+fn answered(id: u64, operation: &'static str, status: Option<u16>) -> Answered {
+    let (sent, ended) = (5 * SECOND, 5 * SECOND + 1_000_000);
+    let why = if status.is_none() { "none" } else { "" };
+    Answered { id, gatekeeper: "g1".to_string(), customer: 5, operation, sent, ended, status, why, extra: 0 }
+}
+
+fn broken(seen: &Observed) -> Vec<&'static str> {
+    let mut rules: Vec<_> = judge(seen).breaks.iter().map(|b| b.rule).collect();
+    rules.dedup();
+    rules
+}
+
+type Breaks = fn(&mut Observed);
+
+/// A whole trial is kept; and each rule has something done to it that it, and it alone, cries out at.
+#[test]
+fn each_rule_cries_out() {
+    assert_eq!(broken(&good()), Vec::<&str>::new());
+    let cases: [(&str, Breaks); 33] = [
+        ("effects-in-order", |s| {
+            s.answered = vec![answered(1, "get", Some(200))];
+            s.landed = Some(vec![landed(3, 1, 1), landed(2, 2, 2)]);
+        }),
+        ("exported-as-answered", |s| {
+            s.answered = vec![answered(1, "get", Some(200)), answered(2, "get", Some(200))];
+            s.landed = Some(vec![landed(3, 1, 1)]);
+            s.voters = 1;
+            s.processes[0].owns = Some([("export".to_string(), 3)].into());
+        }),
+        ("exported-as-answered", |s| s.landed = Some(vec![landed(3, 1, 1)])),
+        ("exported-as-answered", |s| {
+            s.answered = vec![answered(1, "get", Some(200))];
+            s.landed = Some(Vec::new());
+            s.voters = 1;
+            s.processes[0].owns = Some([("export".to_string(), 3)].into());
+        }),
+        ("epoch-has-one-owner", |s| {
+            s.processes[0].history.push(granted(5.0, "g1", 1));
+            s.processes[1].history.push(granted(5.1, "g2", 1));
+        }),
+        ("epoch-has-one-owner", |s| {
+            s.processes[0].history.push(granted(5.0, "g1", 1));
+            s.processes[1].history.push(owns(5.1, 1));
+        }),
+        ("epochs-forward", |s| {
+            s.processes[1].history.extend([owns(5.0, 4), owns(5.1, 4), owns(6.0, 3)]);
+        }),
+        ("owned-again", |s| s.voters = 3),
+        ("owned-again", |s| {
+            s.voters = 3;
+            s.processes[0].owns = Some([("export".to_string(), 3)].into());
+            s.processes[2].owns = Some([("export".to_string(), 4)].into());
+        }),
+        ("owned-again", |s| {
+            s.voters = 3;
+            s.processes[0].disk_lost = vec![5 * SECOND];
+        }),
+        ("cuts-do-not-flap", |s| {
+            s.only_cuts = vec![(5 * SECOND, 9 * SECOND)];
+            for at in [6.0, 7.0, 8.0] {
+                s.processes[0].history.push(member(at, 7, "g2", ("alive", 1), ("suspected", 1)));
+                s.processes[0].history.push(member(at + 0.1, 7, "g2", ("suspected", 1), ("alive", 1)));
+            }
+        }),
+        ("all-join", |s| s.not_joined = Some("g2 is joining".to_string())),
+        ("states-follow", |s| {
+            s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("joining", 1)));
+            s.processes[0].history.push(member(6.1, 7, "g2", ("joining", 1), ("alive", 1)));
+        }),
+        ("states-follow", |s| {
+            // From a state that it was not in.
+            s.processes[0].history.push(member(6.0, 7, "g2", ("suspected", 1), ("alive", 1)));
+        }),
+        ("incarnation-forward", |s| {
+            s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("alive", 0)));
+        }),
+        ("incarnation-forward", |s| s.processes[0].history.push(began(6.0, 7, 1))),
+        ("over-stays-over", |s| {
+            s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+            s.processes[0].history.push(member(6.1, 7, "g2", ("failed", 1), ("alive", 1)));
+        }),
+        ("never-failed", |s| {
+            s.never_failed = vec!["g2".to_string()];
+            s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+            s.processes[0].history.push(member(6.1, 7, "g2", ("failed", 1), ("alive", 2)));
+        }),
+        ("seen-failed", |s| s.seen_failed = vec!["g2".to_string()]),
+        ("all-agree", |s| {
+            // Late, though it agrees at the end.
+            s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+            s.processes[0].history.push(member(16.0, 7, "g2", ("failed", 1), ("alive", 2)));
+        }),
+        ("all-agree", |s| {
+            s.processes[0].history.push(member(20.0, 7, "g2", ("alive", 1), ("left", 1)));
+            s.processes[0].status = Some(BTreeSet::from(["g3".to_string()]));
+        }),
+        ("all-agree", |s| {
+            let doubt =
+                r#"{"mono":20000000000,"who":"x","run":7,"event":"doubt_began","why":"hears_nobody"}"#;
+            s.processes[0].history.push(doubt.to_string());
+            s.processes[0].status = Some(BTreeSet::new());
+        }),
+        ("all-agree", |s| {
+            // Sees one that does not run.
+            s.processes[2].runs = false;
+            s.processes[1].history.push(member(6.0, 7, "g3", ("alive", 1), ("failed", 1)));
+            s.processes[1].status = Some(BTreeSet::from(["g1".to_string()]));
+        }),
+        ("status-as-history", |s| s.processes[0].status = Some(BTreeSet::new())),
+        ("status-as-history", |s| s.processes[0].status = None),
+        ("ends-well", |s| s.processes[0].ended_badly = Some((6 * SECOND, "code 101".to_string()))),
+        ("history-whole", |s| s.processes[0].history.insert(1, "{\"mono\":".to_string())),
+        ("one-answer", |s| s.answered = vec![answered(1, "get", None)]),
+        ("one-answer", |s| s.answered = vec![Answered { extra: 5, ..answered(1, "get", Some(200)) }]),
+        ("no-effect-twice", |s| {
+            s.answered = vec![answered(1, "put", Some(200))];
+            s.delivered = vec![Delivered { id: 1, worker: 1, at: 6 * SECOND }; 2];
+        }),
+        ("nothing-to-drained", |s| {
+            s.answered = vec![answered(1, "get", Some(200))];
+            s.drained = Some((1, 4 * SECOND));
+            s.delivered = vec![Delivered { id: 1, worker: 1, at: 6 * SECOND }];
+        }),
+        ("served-through", |s| s.answered = (0..40).map(|n| answered(n, "get", Some(429))).collect()),
+        ("states-follow", |s| {
+            // Shut out and back without being let in.
+            s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("shut_out", 1)));
+            s.processes[0].history.push(member(6.1, 7, "g2", ("shut_out", 1), ("alive", 2)));
+        }),
+    ];
+    for (n, (rule, breaks)) in cases.into_iter().enumerate() {
+        let mut seen = good();
+        breaks(&mut seen);
+        assert_eq!(broken(&seen), [rule], "case {n}: {:?}", judge(&seen).breaks);
+    }
+    // One that holds a running one failed breaks two.
+    let mut seen = good();
+    seen.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+    seen.processes[0].status = Some(BTreeSet::from(["g3".to_string()]));
+    assert_eq!(broken(&seen), ["not-failed-for-good", "all-agree"]);
+}
+
+/// What the faults themselves do is no break.
+#[test]
+fn what_is_allowed() {
+    let mut seen = good();
+    // Its clients got no answer while it was paused.
+    seen.answered = vec![answered(1, "get", None)];
+    seen.processes[0].disturbed = vec![(4 * SECOND, 7 * SECOND)];
+    // An emptied disk forgets its incarnation.
+    seen.processes[1].history.push(began(6.0, 8, 1));
+    seen.processes[1].history.push(began(6.1, 8, 2));
+    seen.processes[1].history.extend(["g1", "g3"].map(|o| member(6.2, 8, o, ("unknown", 1), ("alive", 1))));
+    seen.processes[1].disk_lost = vec![5 * SECOND];
+    // Without a majority of voters nobody owns or exports.
+    seen.voters = 3;
+    seen.processes[0].disk_lost = vec![5 * SECOND];
+    // A kill cuts a line short.
+    seen.processes[1].was_ended = true;
+    seen.processes[1].history.push("{\"mono\":600".to_string());
+    // Failed and back by joining, in time.
+    seen.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+    seen.processes[0].history.push(member(12.0, 7, "g2", ("failed", 1), ("alive", 2)));
+    let verdict = judge(&seen);
+    assert!(verdict.kept, "{:?}", verdict.breaks);
+    assert_eq!(verdict.agreed_after, Some(2.0));
+}
--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -76,31 +76,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::parse;
-
-    const GOOD: &str = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","more":{},
-        "known":{"revision":4,"complete":true,"members":[]},
-        "settings":{"classes":[{"name":"a"}],"packages":[{"name":"p"}],"else":1}}"#;
-
-    #[test]
-    fn good_and_bad_files() {
-        let cases = [
-            (GOOD.to_string(), None),
-            (GOOD.replace("\"n0\"", "4"), Some("configuration: invalid type")),
-            (GOOD.replace("127.0.0.1:1", "nowhere"), Some("configuration: invalid socket address")),
-            (GOOD.replace("8c1f", "none"), Some("configuration: seed")),
-            (GOOD.replace("\"a\"", "[]"), Some("settings: ")),
-            (GOOD.replace("\"packages\"", "\"other\""), Some("configuration: the settings name no")),
-            (GOOD[..40].to_string(), Some("configuration: EOF")),
-            (String::new(), Some("configuration: EOF")),
-        ];
-        for (text, wanted) in cases {
-            match (parse(text.as_bytes()), wanted) {
-                (Ok(c), None) => assert_eq!((c.seed, c.known.revision, c.limits.sockets), (0x8c1f, 4, 1024)),
-                (Err(e), Some(start)) => assert!(e.starts_with(start), "{text}: {e}"),
-                (got, _) => panic!("{text}: {:?}, not {wanted:?}", got.err()),
-            }
-        }
-    }
-}
+mod tests;
