--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -235,10 +235,10 @@
     pub fn allocate(&mut self, now: Time, node: &str, tenants: &[Tenant]) -> Option<(u64, Vec<QuotaShare>)> {
         // An allocator that has just begun does not know yet what the others hold and need: it leaves things as they are.
         let is_settled = self.consumers.values().all(|c| c.is_settled() || !c.keeps_share(now));
-        let mut shares = Vec::new();
-        for tenant in tenants.iter().filter(|t| t.rate > 0.0) {
-            shares.extend(self.changed_share(now, node, tenant, is_settled)?);
-        }
+        let own = self.consumers.get(node)?;
+        let limited = tenants.iter().filter(|t| t.rate > 0.0);
+        let changed = limited.filter_map(|tenant| self.changed_share(now, node, own, tenant, is_settled));
+        let shares: Vec<QuotaShare> = changed.collect();
         if shares.is_empty() {
             return None;
         }
@@ -246,28 +246,28 @@
         Some((number, shares))
     }
 
-    /// One tenant's share for one proxy, where it is news; the outer None where the proxy is not known.
+    /// One tenant's share for one proxy, whose state is `own`, where it is news to it.
     fn changed_share(
         &self,
         now: Time,
         node: &str,
+        own: &QuotaConsumer,
         tenant: &Tenant,
         is_settled: bool,
-    ) -> Option<Option<QuotaShare>> {
-        let own = self.consumers.get(node)?;
+    ) -> Option<QuotaShare> {
         let last = own.sent.get(&tenant.name).or(own.held.get(&tenant.name)).copied();
         let fraction = is_settled.then(|| self.fair_fraction(now, node, own, &tenant.name));
         let is_changed = |new: &f64| last.is_none_or(|last| (new - last).abs() > SHARE_TOLERANCE * last);
         let changed = fraction.filter(is_changed);
         let window = self.windows.get(&tenant.name).filter(|window| window.is_throttled(now));
         if changed.is_none() && window.is_none() {
-            return Some(None);
+            return None;
         }
         let fraction = changed.unwrap_or(f64::NAN) as f32;
-        Some(Some(match window {
+        Some(match window {
             Some(window) => window.share(now, tenant, fraction),
             None => QuotaShare { tenant: tenant.name.clone(), fraction, blocked_ms: 0, throttled_ms: 0 },
-        }))
+        })
     }
 
     /// The fraction of a quota that a proxy's demand asks for, as far as the others leave room.
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -62,10 +62,11 @@
     }
 
     /// The header lines that tell the client whether, and how long, the connection stays.
-    pub fn connection_headers(&self, idle_timeout: Span, keep_alive: bool) -> String {
-        if !keep_alive {
+    /// `idle_timeout`: how long it may rest; none where it closes after this response.
+    pub fn connection_headers(&self, idle_timeout: Option<Span>) -> String {
+        let Some(idle_timeout) = idle_timeout else {
             return "Connection: close\r\n".to_string();
-        }
+        };
         let told = idle_timeout.secs() - KEEP_ALIVE_MARGIN.secs();
         if told < 1.0 {
             return String::new();
--- a/crates/proxy/src/control_connections.rs
+++ b/crates/proxy/src/control_connections.rs
@@ -167,7 +167,7 @@
             readiness: contents.readiness,
             received_shares: self.received_shares,
             usage,
-            held_shares: contents.held_shares.clone().filter(|_| tells_shares),
+            held_shares: if tells_shares { contents.held_shares.clone() } else { None },
         });
         transport::write(&self.conn, &transport::encode(&heartbeat), MAX_UNSENT_BYTES);
     }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -57,8 +57,8 @@
         return;
     }
     let keep_alive = !client.requests().pipeline.closes_after(request.number, proxy.is_closing());
-    let idle_timeout = Limits::in_force(&proxy.routing()).idle_timeout;
-    let connection = client.connection_headers(idle_timeout, keep_alive);
+    let idle_timeout = keep_alive.then(|| Limits::in_force(&proxy.routing()).idle_timeout);
+    let connection = client.connection_headers(idle_timeout);
     let is_complete = match result {
         Err(response) => {
             let write = |out: &mut _| response.write(out, Some(attempt_id), &connection, keep_alive);
