--- a/crates/config/src/settings_reload.rs
+++ b/crates/config/src/settings_reload.rs
@@ -69,9 +69,9 @@
         match self.poll(trigger != ReloadTrigger::Periodic) {
             None => {}
             Some(Ok(seeds)) => {
-                let is_news = add_seeds(&seeds);
+                let has_new = add_seeds(&seeds);
                 // An isolated process looks again and again, and finds the same.
-                if is_news || trigger != ReloadTrigger::Isolated {
+                if has_new || trigger != ReloadTrigger::Isolated {
                     info!(trigger = trigger.as_str(), seeds = seeds.len(); "seeds reloaded");
                 }
             }
--- a/crates/control-state/src/directory.rs
+++ b/crates/control-state/src/directory.rs
@@ -7,13 +7,14 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{ProxyInfo, ProxyStatus, Readiness};
 
-/// A proxy, or a controller, that said nothing for so long is left out.
+/// A proxy or controller that has been silent for this long is left out.
 const STATUS_TIMEOUT: Span = Span::from_millis(2_500);
-/// How long it is remembered that a proxy shuts down, whatever others still have of it; and which proxies could serve.
+/// How long it is remembered that a proxy shuts down, whatever other controllers still say of it, and which proxies could
+/// serve.
 const RETENTION: Span = Span::from_millis(30_000);
-/// Answers go by what was found within so long, unless something changed since.
+/// How long the list of serving proxies is reused if nothing changes.
 const CACHE_TTL: Span = Span::from_millis(50);
-/// How many addresses an answer may hold.
+/// The most addresses in one answer.
 const MAX_ANSWER: usize = 64;
 
 /// A proxy that is connected to this controller.
@@ -57,11 +58,11 @@
         let status = ProxyStatus { proxy: proxy.clone(), readiness };
         let old = self.local.insert(proxy.node.clone(), LocalProxy { status, heard_at: now });
         let before = old.map(|old| (old.status.proxy.incarnation, old.status.readiness));
-        let is_news = before != Some((proxy.incarnation, readiness));
-        if is_news {
+        let is_changed = before != Some((proxy.incarnation, readiness));
+        if is_changed {
             self.cached = None;
         }
-        is_news
+        is_changed
     }
 
     /// A proxy's connection to this controller has ended, unless a later incarnation has one.
--- a/crates/control-state/src/failure_detector.rs
+++ b/crates/control-state/src/failure_detector.rs
@@ -7,7 +7,8 @@
 
 use crate::instance_registry::InstanceRegistry;
 
-/// A detector that was not called for so long stood still: heartbeats that came meanwhile may lie unread.
+/// A detector that has not been called for this long was stopped with its process: heartbeats that arrived meanwhile may
+/// still be unread.
 const STANDSTILL: Span = Span::from_millis(1_500);
 
 /// How a controller stands to the quorum.
@@ -22,7 +23,7 @@
 }
 
 impl QuorumRole {
-    /// Of a node with or without quorum contact, that is or is not the established leader.
+    /// The role of a node, by its quorum contact and by whether it is the established leader.
     pub fn new(has_quorum_contact: bool, is_leader: bool) -> QuorumRole {
         match (has_quorum_contact, is_leader) {
             (false, _) => QuorumRole::Isolated,
@@ -37,8 +38,8 @@
 pub struct HeartbeatOutcome {
     /// The instance as it is known now, for the other controllers; None where nothing is known of it.
     pub instance: Option<Instance>,
-    /// Proxies are told as well.
-    pub is_news: bool,
+    /// It changes something that proxies act on, so they are told as well.
+    pub is_changed: bool,
     /// Whether the worker may be told that it was heard. Else it calls the next controller.
     pub is_acknowledged: bool,
 }
@@ -86,8 +87,8 @@
 
     /// A worker has sent a heartbeat.
     pub fn record_heartbeat(&mut self, now: Time, instance: &Instance) -> HeartbeatOutcome {
-        let is_news = self.registry.update(now, instance);
-        self.outcome(now, &instance.id, is_news)
+        let is_changed = self.registry.update(now, instance);
+        self.outcome(now, &instance.id, is_changed)
     }
 
     /// A worker says that it ends. An instance that is not known here is not acknowledged, as nobody could be told of it:
@@ -98,16 +99,16 @@
         HeartbeatOutcome { is_acknowledged: outcome.is_acknowledged && is_known, ..outcome }
     }
 
-    fn outcome(&self, now: Time, id: &str, is_news: bool) -> HeartbeatOutcome {
+    fn outcome(&self, now: Time, id: &str, is_changed: bool) -> HeartbeatOutcome {
         let is_acknowledged = self.quorum_role != QuorumRole::Isolated;
-        HeartbeatOutcome { instance: self.registry.get(now, id), is_news, is_acknowledged }
+        HeartbeatOutcome { instance: self.registry.get(now, id), is_changed, is_acknowledged }
     }
 
-    /// Takes over what another controller says; returns what of it is news.
+    /// Applies what another controller reports; returns the instances that it changed.
     pub fn apply_updates(&mut self, now: Time, instances: &[Instance]) -> Vec<Instance> {
-        let news: Vec<&Instance> =
+        let changed: Vec<&Instance> =
             instances.iter().filter(|instance| self.registry.update(now, instance)).collect();
-        news.iter().filter_map(|instance| self.registry.get(now, &instance.id)).collect()
+        changed.iter().filter_map(|instance| self.registry.get(now, &instance.id)).collect()
     }
 
     /// Instances that have become unresponsive, as far as this controller may say so: it has led, in contact with the
--- a/crates/control-state/src/instance_registry.rs
+++ b/crates/control-state/src/instance_registry.rs
@@ -7,15 +7,15 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-/// An instance that has ended is remembered for so long, so that a late heartbeat does not bring it back.
+/// How long an instance that has ended is remembered, so that a late heartbeat does not bring it back.
 const ENDED_RETENTION: Span = Span::from_millis(60_000);
-/// An instance that counts as ready and is not heard is kept for so long, until somebody may call it unresponsive.
+/// How long a silent instance that still counts as ready is kept, until some controller may call it unresponsive.
 const READY_RETENTION: Span = Span::from_millis(600_000);
-/// So many missing heartbeats make an instance unresponsive.
+/// How many heartbeat periods of silence make an instance unresponsive.
 const MISSED_HEARTBEATS: f64 = 4.5;
-/// The last heartbeat of an instance that was restored from disk counts as so many periods old.
+/// The assumed age of the last heartbeat of an instance that was restored from disk, in heartbeat periods.
 const RESTORED_AGE: f64 = 2.0;
-/// A smaller change of the time until an instance is warm is no news.
+/// A change of the end of warm-up by less than this is not passed on.
 const WARM_UP_TOLERANCE: Span = Span::from_millis(400);
 
 /// An instance, with spans turned into times of this process's clock.
@@ -181,7 +181,7 @@
             _ => instance.state,
         };
         let warming_until = warming_until(now, instance);
-        let is_news = state != self.state
+        let is_changed = state != self.state
             || instance.address != self.address
             || instance.capacity != self.capacity
             || self.differs_in_warm_up(now, warming_until);
@@ -191,7 +191,7 @@
         self.warming_until = warming_until;
         self.address = instance.address;
         self.capacity = instance.capacity;
-        is_news
+        is_changed
     }
 
     fn differs_in_warm_up(&self, now: Time, warming_until: Time) -> bool {
--- a/crates/control-state/src/peer_set.rs
+++ b/crates/control-state/src/peer_set.rs
@@ -7,17 +7,17 @@
 use indexmap::IndexMap;
 use lynxstair::types::{Span, Time};
 
-/// No system has more controllers than this.
+/// The most controllers that are kept.
 pub const MAX_PEERS: usize = 16;
-/// A controller that was not heard for so long is dropped, unless something else vouches for it.
+/// A controller that has not been heard for this long is dropped, unless something else vouches for it.
 const PEER_RETENTION: Span = Span::from_millis(30_000);
-/// Where there are too many, one that was not heard for so long gives way.
+/// If the set is full, a controller that has not been heard for this long is replaced by a new one.
 const REPLACEABLE_AFTER: Span = Span::from_millis(3_000);
-/// A process without a connection to any controller for so long looks whether the settings name others.
+/// A process that has had no connection to any controller for this long checks whether the settings name others.
 const ISOLATION_TIMEOUT: Span = Span::from_millis(2_000);
 
-/// Controllers send a heartbeat each half second: one that was not heard for so long is not heard, and a connection that
-/// was open for so long and is not heard at its other end is reopened.
+/// Controllers send a heartbeat every half second. One that was silent for this long counts as unheard, and a connection
+/// that has been open for this long without its other end hearing anything is reopened.
 pub const PEER_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// The right to keep the connection to a peer. A peer that was dropped and added again has another one, so that two
@@ -115,7 +115,7 @@
         self.connected_at = now;
     }
 
-    /// Whether no connection has been open for so long that the settings should be looked at; then that counts as done.
+    /// Whether this process has been isolated for long enough to check the settings; if so, the time starts anew.
     pub fn poll_isolated(&mut self, now: Time) -> bool {
         let is_isolated = now - self.connected_at > ISOLATION_TIMEOUT;
         if is_isolated {
--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -19,13 +19,13 @@
 const EVEN_PART: f64 = 0.4;
 /// The weight of a new report in the estimated demand of a proxy.
 const DEMAND_WEIGHT: f64 = 0.12;
-/// A report that chance does not explain, so many standard deviations above the demand, replaces it at once.
+/// A report this many standard deviations above the demand is not explained by chance and replaces it at once.
 const DEMAND_DEVIATIONS: f64 = 3.0;
-/// A silent proxy keeps the share that it was given for so long, longer than it spends it.
+/// How long a silent proxy is assumed to keep its share; longer than it goes on spending it.
 const SHARE_RETENTION: Span = Span::from_millis(3_300);
-/// And then an even share for as long as it is counted as one of the proxies.
+/// After that it is assumed to hold an even share, until it has been silent for this long and is forgotten.
 const PROXY_RETENTION: Span = Span::from_millis(12_000);
-/// So many reports tell the demand of a proxy.
+/// How many reports it takes to know the demand of a proxy.
 const SETTLED_REPORTS: u32 = 3;
 /// The least demand, in requests a second: a proxy that has none may get some at any time.
 const MIN_DEMAND: f64 = 0.3;
@@ -38,7 +38,7 @@
 const MAX_REPORT_GAP_S: f64 = 2.0;
 /// The time that a report covers that also holds the usage of earlier seconds, in seconds.
 const MAX_BACKLOG_GAP_S: f64 = 1.0;
-/// The first report of a proxy is taken to cover so long.
+/// The time that the first report of a proxy is taken to cover.
 const FIRST_REPORT_GAP: Span = Span::from_millis(1_000);
 
 /// What the operators grant.
@@ -230,7 +230,7 @@
         zones
     }
 
-    /// The shares of one proxy that are news to it, and the number that acknowledges them. All that is held anywhere never
+    /// The shares of one proxy that have changed for it, and the number that acknowledges them. All that is held anywhere never
     /// comes to more than the quota: a proxy that needs more gets it once another holds less.
     pub fn allocate(&mut self, now: Time, node: &str, tenants: &[Tenant]) -> Option<(u64, Vec<QuotaShare>)> {
         // An allocator that has just begun does not know yet what the others hold and need: it leaves things as they are.
@@ -246,7 +246,7 @@
         Some((number, shares))
     }
 
-    /// One tenant's share for one proxy, whose state is `own`, where it is news to it.
+    /// One tenant's share for one proxy, whose state is `own`, if it has changed for it.
     fn changed_share(
         &self,
         now: Time,
--- a/crates/control-state/src/subscription.rs
+++ b/crates/control-state/src/subscription.rs
@@ -3,11 +3,11 @@
 
 use lynxstair::types::{Span, Time};
 
-/// A proxy that has not come further for so long gets the update from any controller, not from the leader alone.
+/// A proxy that is behind for this long gets the update from any controller, not from the leader alone.
 const FOLLOWER_DELAY: Span = Span::from_millis(800);
-/// An update that was sent on a connection either arrives or the connection ends; this is for what neither side knows of.
+/// An update either arrives or its connection ends; the time-out covers what neither side notices.
 const IN_FLIGHT_TIMEOUT: Span = Span::from_millis(2_500);
-/// What the slowest link (2 Mbit/s) takes for a byte.
+/// The time per byte on the slowest supported link (2 Mbit/s).
 const SLOWEST_BYTE: Span = Span::from_nanos(4_000);
 
 /// An update that is in flight.
@@ -54,7 +54,7 @@
         (self.in_flight.is_none() && (is_leader || has_waited)).then_some(*held)
     }
 
-    /// An update of so many bytes is sent.
+    /// An update of this many bytes is sent.
     pub fn on_update_sent(&mut self, now: Time, bytes: usize) {
         let from = self.held.map_or(0, |(held, _)| held);
         self.in_flight = Some(InFlight { from, sent_at: now, bytes });
--- a/crates/control-state/src/usage_window.rs
+++ b/crates/control-state/src/usage_window.rs
@@ -9,11 +9,13 @@
 use crate::quota_allocator::QuotaGrant;
 use crate::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
 
-/// Reports come a second apart: of the current usage about so much is not reported yet, going by the newest reports.
+/// Reports come a second apart, so part of the current usage is not reported yet. It is estimated as another copy of the
+/// reports of this last stretch of time.
 const UNREPORTED: Span = Span::from_millis(600);
-/// A tenant is blocked when its usage reaches this fraction of what is granted,
+/// A tenant is blocked when its usage reaches this fraction of what is granted.
 const BLOCK_AT: f64 = 0.88;
-/// until it is down to this fraction of the quota at its rate; then it is throttled for one window.
+/// It stays blocked until its usage, falling at its rate, is down to this fraction of the quota; then it is throttled for
+/// one window.
 const BLOCK_UNTIL: f64 = 0.85;
 /// The shortest time that a tenant is blocked for, in seconds.
 const MIN_BLOCK_S: f64 = 0.5;
--- a/crates/control-state/tests/failure_detector.rs
+++ b/crates/control-state/tests/failure_detector.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    fn tell(&mut self, from: usize, instances: &[Instance], is_news: bool) {
+    fn tell(&mut self, from: usize, instances: &[Instance], is_changed: bool) {
         for to in (0..CONTROLLERS).filter(|to| *to != from) {
             if self.sides[to] == self.sides[from] {
                 let news = self.controllers[to].apply_updates(at(self.now), instances);
@@ -75,7 +75,7 @@
                 }
             }
         }
-        if is_news {
+        if is_changed {
             self.told(instances);
         }
     }
@@ -88,7 +88,7 @@
             *seq += 1;
             let said = instance(worker, *seq, standing);
             let answer = self.controllers[controller].record_heartbeat(at(self.now), &said);
-            self.tell(controller, answer.instance.as_slice(), answer.is_news);
+            self.tell(controller, answer.instance.as_slice(), answer.is_changed);
             if answer.is_acknowledged {
                 self.homes.insert(worker, controller);
                 return controller;
--- a/crates/controller/src/command_parser.rs
+++ b/crates/controller/src/command_parser.rs
@@ -8,8 +8,8 @@
 
 use crate::blocking_pool::{BlockingPool, MAX_INLINE_BYTES};
 
-/// So many bytes of large commands may wait to be parsed, or one command of more: the values of a text take twenty times
-/// its memory.
+/// How many bytes of large commands may wait to be parsed; a single command may be larger. Parsed values take twenty times
+/// the memory of their text.
 const MAX_PARSING_BYTES: usize = 2 << 20;
 
 /// Parses commands.
--- a/crates/controller/src/disk_writer.rs
+++ b/crates/controller/src/disk_writer.rs
@@ -12,9 +12,9 @@
 
 use crate::storage::{StorageError, Store};
 
-/// A write that was refused is tried again after so long,
+/// The pause before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// and logged again after so long.
+/// How often a failure that lasts is logged.
 const LOG_INTERVAL: Span = Span::from_millis(5_000);
 
 /// What is to be written.
--- a/crates/controller/src/inbound.rs
+++ b/crates/controller/src/inbound.rs
@@ -36,7 +36,6 @@
 fn serve(controller: &Arc<Controller>, conn: &Arc<Conn>) {
     let mut sender = Sender::default();
     transport::read(conn, |message| handle_message(controller, conn, &mut sender, message));
-    conn.close();
     if let Some(subscriber) = sender.subscriber {
         controller.state().on_subscriber_gone(subscriber);
     }
--- a/crates/controller/src/peer_connections.rs
+++ b/crates/controller/src/peer_connections.rs
@@ -11,7 +11,7 @@
 use lynxstair_protocol::messages::ToController;
 use lynxstair_transport as transport;
 
-/// A connection with so many unsent bytes leads nowhere and is closed.
+/// A connection with more unsent bytes than this is closed: its other end does not read.
 pub const MAX_UNSENT_BYTES: usize = 8 << 20;
 
 /// Sends one message on one connection.
@@ -22,7 +22,7 @@
 /// Which controllers there are, and the connections that are open to them.
 pub struct PeerConnections {
     /// The controllers that connections are kept to.
-    pub peers: PeerSet,
+    pub peer_set: PeerSet,
     /// Each with when it was opened.
     open: HashMap<NodeAddress, (Arc<Conn>, Time)>,
 }
@@ -30,7 +30,7 @@
 impl PeerConnections {
     /// No peers yet.
     pub fn new(now: Time) -> PeerConnections {
-        PeerConnections { peers: PeerSet::new(now), open: HashMap::new() }
+        PeerConnections { peer_set: PeerSet::new(now), open: HashMap::new() }
     }
 
     /// Whether any connection is open.
@@ -75,8 +75,8 @@
     pub fn heartbeat(&self, now: Time, me: NodeAddress, to: NodeAddress) -> ToController {
         ToController::PeerHeartbeat {
             from: me,
-            hears_recipient: self.peers.hears(now, to),
-            known_peers: self.peers.recently_heard(now),
+            hears_recipient: self.peer_set.hears(now, to),
+            known_peers: self.peer_set.recently_heard(now),
         }
     }
 
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -30,17 +30,17 @@
     state: &mut ControllerState,
     peers: &[NodeAddress],
 ) -> bool {
-    let mut is_news = false;
+    let mut has_new = false;
     for peer in peers.iter().filter(|peer| **peer != controller.me) {
-        let Some(connection) = state.peers.peers.add(now, *peer) else { continue };
-        is_news = true;
+        let Some(connection) = state.peers.peer_set.add(now, *peer) else { continue };
+        has_new = true;
         let (controller, peer) = (controller.clone(), *peer);
         go("peer connection", move || keep_connection(&controller, peer, connection));
     }
-    if is_news {
+    if has_new {
         state.announce_controllers(now);
     }
-    is_news
+    has_new
 }
 
 /// Sends heartbeats, and drops controllers that are long gone. Without quorum contact none is dropped: it is not known who
@@ -48,10 +48,10 @@
 pub fn maintain(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
     state.peers.send_heartbeats(now, controller.me);
     if state.peers.is_any_open() {
-        state.peers.peers.on_connected(now);
+        state.peers.peer_set.on_connected(now);
     }
     let members = state.members();
-    let peers = &mut state.peers.peers;
+    let peers = &mut state.peers.peer_set;
     if state.consensus.has_quorum_contact(now) && peers.drop_unheard(now, |peer| members.contains(&peer)) > 0
     {
         info!(peers = peers.len(); "unreachable controllers dropped");
@@ -62,12 +62,11 @@
 
 fn keep_connection(controller: &Controller, peer: NodeAddress, connection: ConnectionId) {
     let to = NodeAddress::new(peer.ip(), controller.settings.ports.0);
-    let is_wanted = || controller.state().peers.peers.is_current(peer, connection);
+    let is_wanted = || controller.state().peers.peer_set.is_current(peer, connection);
     transport::keep_connected(&controller.alarms, to, RECONNECT, is_wanted, |conn| {
         on_opened(controller, peer, conn);
         // Nothing comes on it but its end.
         transport::read(conn, |_: ()| false);
-        conn.close();
         controller.state().peers.on_closed(conn);
     });
 }
--- a/crates/controller/src/settings_watch.rs
+++ b/crates/controller/src/settings_watch.rs
@@ -22,7 +22,7 @@
 /// Looks at the file now.
 pub fn reload(controller: &Arc<Controller>, trigger: ReloadTrigger) {
     let now = controller.alarms.now();
-    let is_isolated = controller.state().peers.peers.poll_isolated(now);
+    let is_isolated = controller.state().peers.peer_set.poll_isolated(now);
     let trigger = match trigger {
         ReloadTrigger::Periodic if is_isolated => ReloadTrigger::Isolated,
         trigger => trigger,
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -32,15 +32,17 @@
 use crate::timer::Timer;
 use crate::{directory_api, disk_writer, http_api, inbound, peer_links, settings_watch, timers};
 
-/// What a caller may send, and how many callers there may be at once.
+/// Limits of the control address: workers and operators.
 const CONTROL_LIMITS: Most = Most { body: 8 << 20, connections: 2000 };
+/// Limits of the directory address: clients' look-ups.
 const DIRECTORY_LIMITS: Most = Most { body: 1024, connections: 1500 };
-/// A database that can't be opened is tried again after so long,
+/// The pause before opening the database is retried.
 const STORAGE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// and so many times where another process has it open, which may be about to end.
+/// How often that is retried while another process has the database open: it may be about to end.
 const MAX_LOCKED_RETRIES: usize = 60;
-/// How often a controller that shuts down looks whether it may end.
+/// How often a controller that is shutting down checks whether it may end.
 const SHUTDOWN_INTERVAL: Span = Span::from_millis(20);
+/// The stack of the disk thread.
 const DISK_STACK_BYTES: usize = 256 << 10;
 
 /// Serves until the process is told to end.
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -15,10 +15,10 @@
 use crate::subscribers::{HeartbeatContext, SubscriberId, Subscribers};
 use crate::timer::Timer;
 
-/// After its start a controller waits so long for proxies before it answers for all of them, unless another one has told
-/// them all.
+/// How long after its start a controller waits for proxies to connect before it answers look-ups, unless another
+/// controller has told it of all of them.
 const DIRECTORY_SETTLE_TIME: Span = Span::from_millis(700);
-/// So long after its start a controller has been found by all proxies that there are.
+/// By this time after its start all proxies have connected to a controller.
 const PROXY_SETTLE_TIME: Span = Span::from_millis(2_000);
 
 /// All that a controller knows.
@@ -74,14 +74,14 @@
 
     /// Another controller has sent something, or opened a connection.
     pub fn on_peer_heard(&mut self, now: Time, peer: NodeAddress) {
-        self.peers.peers.on_heard(now, peer);
+        self.peers.peer_set.on_heard(now, peer);
         self.directory.on_controller_heard(now, peer);
         self.consensus.on_peer_seen(now, peer);
     }
 
     /// The controllers that are known here, and whether these are all, as the leader says.
     fn known_controllers(&self, now: Time) -> (Vec<NodeAddress>, bool) {
-        let controllers = self.peers.peers.addresses().chain([self.me]).collect();
+        let controllers = self.peers.peer_set.addresses().chain([self.me]).collect();
         (controllers, self.is_active_leader(now))
     }
 
@@ -91,7 +91,7 @@
         ToProxy::Controllers { controllers, is_complete }
     }
 
-    /// Tells the subscribers which controllers there are, where that is news.
+    /// Tells the subscribers which controllers there are, if that has changed.
     pub fn announce_controllers(&mut self, now: Time) {
         let (controllers, is_complete) = self.known_controllers(now);
         self.subscribers.announce_controllers(controllers, is_complete);
@@ -140,8 +140,8 @@
         heartbeat: &ProxyHeartbeat,
     ) -> bool {
         let Some(proxy) = self.subscribers.proxy(id) else { return false };
-        let is_news = self.directory.on_heartbeat(received_at, proxy, heartbeat.readiness);
-        if is_news && heartbeat.readiness == Readiness::ShuttingDown {
+        let is_changed = self.directory.on_heartbeat(received_at, proxy, heartbeat.readiness);
+        if is_changed && heartbeat.readiness == Readiness::ShuttingDown {
             self.publish_proxy_changes(now);
         }
         let context = HeartbeatContext {
@@ -173,24 +173,24 @@
     /// What another controller says of instances. That one tells its subscribers; the leader does so too, for those that
     /// can't be reached from there.
     pub fn on_instance_updates(&mut self, now: Time, instances: &[Instance]) {
-        let news = self.instances.detector.apply_updates(now, instances);
-        if news.is_empty() {
+        let changed = self.instances.detector.apply_updates(now, instances);
+        if changed.is_empty() {
             return;
         }
         self.instances.mark_changed();
         if self.consensus.is_established_leader() {
-            self.subscribers.broadcast_instances(news);
+            self.subscribers.broadcast_instances(changed);
         }
     }
 
-    /// A worker has called here: the other controllers are told, and the subscribers where it is news.
+    /// A worker has called here: the other controllers are told, and the subscribers if it changes anything for them.
     pub fn publish_heartbeat(&mut self, outcome: HeartbeatOutcome) {
-        if outcome.is_news {
+        if outcome.is_changed {
             self.instances.mark_changed();
         }
         let Some(instance) = outcome.instance else { return };
         self.peers.broadcast(&ToController::InstanceUpdates(vec![instance.clone()]));
-        if outcome.is_news {
+        if outcome.is_changed {
             self.subscribers.broadcast_instances(vec![instance]);
         }
     }
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -61,19 +61,20 @@
 }
 
 impl AnnouncedControllers {
-    /// Whether a list is news to the subscribers; then it counts as announced.
+    /// Whether the subscribers need to be told this list; if so, it counts as announced.
     fn advance(&mut self, controllers: &[NodeAddress], is_complete: bool) -> bool {
         if !is_complete {
             self.complete.clear();
         }
-        let is_news = if is_complete { self.complete != controllers } else { controllers.len() > self.count };
-        if is_news {
+        let is_changed =
+            if is_complete { self.complete != controllers } else { controllers.len() > self.count };
+        if is_changed {
             self.count = controllers.len();
             if is_complete {
                 self.complete = controllers.to_vec();
             }
         }
-        is_news
+        is_changed
     }
 }
 
@@ -107,7 +108,7 @@
         self.broadcast(&ToProxy::Instances { instances, is_snapshot: false });
     }
 
-    /// Tells every subscriber which controllers there are, where that is news.
+    /// Tells every subscriber which controllers there are, if that has changed.
     pub fn announce_controllers(&mut self, controllers: Vec<NodeAddress>, is_complete: bool) {
         if self.announced.advance(&controllers, is_complete) {
             self.broadcast(&ToProxy::Controllers { controllers, is_complete });
--- a/crates/emulator/src/core/controller.rs
+++ b/crates/emulator/src/core/controller.rs
@@ -237,7 +237,7 @@
         };
         if let Some(instance) = answer.instance {
             self.out.push(Out::Pass(vec![instance.clone()]));
-            if answer.is_news {
+            if answer.is_changed {
                 self.out.push(Out::Tell(
                     None,
                     ToProxy::Instances { instances: vec![instance], is_snapshot: false },
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -120,10 +120,10 @@
     /// From 0 to 1 of the whole quota; NaN where the share before stays.
     #[serde(rename = "part")]
     pub fraction: f32,
-    /// All proxies together have admitted what they may: reject everything for so long, in milliseconds.
+    /// The quota is used up by all proxies together: reject everything for this long, in milliseconds.
     #[serde(rename = "closed_ms")]
     pub blocked_ms: u32,
-    /// For so long, in milliseconds, save up no burst.
+    /// Save up no burst for this long, in milliseconds.
     #[serde(rename = "tight_ms")]
     pub throttled_ms: u32,
 }
@@ -258,8 +258,8 @@
         /// The newest revision committed as far as the sender knows.
         #[serde(rename = "index")]
         revision: u64,
-        /// No newer revision was committed so many milliseconds before the heartbeat arrived; None where the sender
-        /// does not know.
+        /// How many milliseconds before the heartbeat arrived it was certain that no newer revision was committed; None
+        /// where the sender does not know.
         #[serde(rename = "fresh")]
         confirmed_ms_ago: Option<u64>,
         /// The sender leads, in contact with a quorum.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// The buffer of one direction, in bytes: it holds the longest frame.
 pub const MAX_BUFFER: usize = frames::MAX_FRAME_LEN + 4;
-/// Bytes that stay unacknowledged for so long end a connection (`TCP_USER_TIMEOUT`).
+/// A connection ends if bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// Opens a connection; None where that fails or takes longer than `timeout`. The time-out should be little more than the
@@ -46,7 +46,8 @@
 /// Each failed attempt makes the next pause longer by this factor.
 const BACKOFF_FACTOR: f64 = 1.25;
 
-/// Keeps a connection open for as long as it is wanted, and has each one served until it ends; for a coroutine of its own.
+/// Keeps a connection open for as long as it is wanted. Each one is served, and closed once `serve` returns; for a
+/// coroutine of its own.
 pub fn keep_connected(
     alarms: &Alarms,
     to: SocketAddr,
