--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! The cost of one decision: an invocation from its arrival to the end of its delivery, with the beats that fall due
-//! meanwhile, by the number of workers and of customers. Half as many deliveries are out as there are workers, each
+//! The cost of one decision: an request from its request to the end of its attempt, with the ticks that fall due
+//! meanwhile, by the number of workers and of tenants. Half as many attempts are out as there are workers, each
 //! for 50 ms of the virtual clock.
 
 use std::collections::VecDeque;
@@ -10,21 +10,21 @@
 use lynxstair::port::Port;
 use lynxstair::types::*;
 
-const TOOK: Span = Span::from_millis(50);
+const DURATION: Span = Span::from_millis(50);
 
-/// Keeps where the last delivery went.
+/// Keeps where the last attempt went.
 #[derive(Default)]
 struct Last(Option<WorkerId>);
 
 impl Port for Last {
-    fn deliver(&mut self, _: InvId, worker: WorkerId, _: Time) {
+    fn send_attempt(&mut self, _: RequestId, worker: WorkerId, _: Time) {
         self.0 = Some(worker);
     }
-    fn throttle(&mut self, _: InvId, _: Option<Span>) {}
-    fn error(&mut self, _: InvId) {}
-    fn cancel(&mut self, _: InvId, _: DeliveryNo) {}
-    fn probe(&mut self, _: WorkerId) {}
-    fn add_to_count(&mut self, _: CountName, _: Span, _: f32) {}
+    fn throttle(&mut self, _: RequestId, _: Option<Span>) {}
+    fn fail(&mut self, _: RequestId) {}
+    fn cancel(&mut self, _: RequestId, _: AttemptNumber) {}
+    fn check_health(&mut self, _: WorkerId) {}
+    fn add_to_counter(&mut self, _: CounterKey, _: Span, _: f32) {}
     fn set_timer(&mut self, _: Span, _: TimerTag) {}
     fn subscribe(&mut self) {}
 }
@@ -33,100 +33,110 @@
     gatekeeper: Gatekeeper,
     port: Last,
     now: Time,
-    beat: Time,
+    tick_at: Time,
     step: Span,
-    out: VecDeque<(InvId, WorkerId)>,
-    most_out: usize,
-    customers: u64,
-    asked: u32,
+    in_flight: VecDeque<(RequestId, WorkerId)>,
+    max_in_flight: usize,
+    tenants: u64,
+    requests: u32,
 }
 
 fn settings() -> Settings {
     let operation = Operation {
         latency_objective: Span::from_millis(1000),
         integration_timeout: Span::from_millis(4000),
-        late_share: 0.0,
+        late_value: 0.0,
         billed_value: 1.0,
-        repeat: Repeat::NonIdempotent,
+        idempotency: Idempotency::NonIdempotent,
     };
     Settings {
         gatekeepers: 3,
         step: Span::from_millis(2),
         operations: vec![operation],
         plans: vec![Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() }],
-        counter: true,
+        has_counter: true,
         counter_timeout: Span::from_millis(50),
-        idle: Span::from_millis(30_000),
-        max_deliveries: 3,
-        start_share: 0.2,
-        warm_within: Span::from_millis(10_000),
-        fall: Span::from_millis(2000),
-        fall_multiple: 2.0,
+        idle_timeout: Span::from_millis(30_000),
+        max_attempts: 3,
+        cold_capacity: 0.2,
+        warm_up: Span::from_millis(10_000),
+        overload_recovery: Span::from_millis(2000),
+        overload_multiple: 2.0,
         ..Settings::default()
     }
 }
 
 impl World {
-    fn new(workers: u64, customers: u64) -> Self {
+    fn new(workers: u64, tenants: u64) -> Self {
         let mut port = Last::default();
         let now = Time::from_nanos(1_000_000_000_000);
-        let mut gatekeeper = Gatekeeper::start(now, 7, &settings(), &mut port);
-        let line = |n: u64| Listed {
+        let mut gatekeeper = Gatekeeper::new(now, 7, &settings(), &mut port);
+        let line = |n: u64| WorkerInfo {
             worker: WorkerId(n),
             zone: ZoneId((n % 3) as u16),
             kind: KindId(0),
             cell: CellId(0),
-            phase: Phase::Ready,
-            heft: 1.0,
+            phase: WorkerPhase::Ready,
+            weight: 1.0,
             started_at: None,
         };
-        gatekeeper.listed(now, Scope::Full, &(0..workers).map(line).collect::<Vec<_>>());
-        let most_out = (workers as usize / 2).max(1);
-        let step = TOOK.times(1.0 / most_out as f64);
-        let out = VecDeque::new();
-        let mut world = World { gatekeeper, port, now, beat: now, step, out, most_out, customers, asked: 0 };
-        // Every customer comes in once, and every worker is met.
-        let first = customers.max(workers * 4);
-        (0..first).for_each(|_| world.invocation());
+        gatekeeper.on_worker_list(now, ListUpdate::Full, &(0..workers).map(line).collect::<Vec<_>>());
+        let max_in_flight = (workers as usize / 2).max(1);
+        let step = DURATION.times(1.0 / max_in_flight as f64);
+        let in_flight = VecDeque::new();
+        let mut world = World {
+            gatekeeper,
+            port,
+            now,
+            tick_at: now,
+            step,
+            in_flight,
+            max_in_flight,
+            tenants,
+            requests: 0,
+        };
+        // Every tenant comes in once, and every worker is met.
+        let first = tenants.max(workers * 4);
+        (0..first).for_each(|_| world.run_request());
         world
     }
 
-    fn invocation(&mut self) {
+    fn run_request(&mut self) {
         self.now = self.now + self.step;
-        while self.beat + Span::from_millis(200) <= self.now {
-            self.beat = self.beat + Span::from_millis(200);
-            self.gatekeeper.timer(self.beat, Wake::Beat.tag(), &mut self.port);
+        while self.tick_at + Span::from_millis(200) <= self.now {
+            self.tick_at = self.tick_at + Span::from_millis(200);
+            self.gatekeeper.on_timer(self.tick_at, TimerEvent::Tick.tag(), &mut self.port);
         }
-        self.asked += 1;
-        let arrival = Arrival {
-            inv: InvId(self.asked),
-            valid_until: self.now + Span::from_millis(3000),
+        self.requests += 1;
+        let request = Request {
+            id: RequestId(self.requests),
+            deadline: self.now + Span::from_millis(3000),
             // Far apart from one to the next, and each in its turn.
-            customer: CustomerId(u64::from(self.asked) * 7919 % self.customers),
+            tenant: TenantId(u64::from(self.requests) * 7919 % self.tenants),
             operation: OperationId(0),
             plan: PlanId(0),
             spread: 3.0,
             units: 1.0,
         };
-        self.gatekeeper.invoke(self.now, &arrival, &mut self.port);
+        self.gatekeeper.on_request(self.now, &request, &mut self.port);
         if let Some(worker) = self.port.0.take() {
-            self.out.push_back((InvId(self.asked), worker));
+            self.in_flight.push_back((RequestId(self.requests), worker));
         }
-        if self.out.len() > self.most_out
-            && let Some((inv, worker)) = self.out.pop_front()
+        if self.in_flight.len() > self.max_in_flight
+            && let Some((request_id, worker)) = self.in_flight.pop_front()
         {
-            let ended = Ended {
-                inv,
-                no: DeliveryNo(0),
+            let report = AttemptReport {
+                request_id,
+                attempt: AttemptNumber(0),
                 worker,
                 outcome: Outcome::Succeeded,
-                took: TOOK,
-                last: true,
-                used: None,
-                actual: None,
+                duration: DURATION,
+                is_final: true,
+                quota_used: None,
+                actual_units: None,
                 load: &[],
             };
-            self.gatekeeper.delivery_ended(self.now, &ended, &mut self.port);
+            self.gatekeeper.on_attempt_ended(self.now, &report, &mut self.port);
         }
     }
 }
@@ -134,12 +144,12 @@
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision");
     group.sample_size(20).measurement_time(std::time::Duration::from_secs(2));
-    // A million customers are not among them yet: a beat goes over all of them, and the run did not end in 20 minutes.
+    // A million tenants are not among them yet: a tick goes over all of them, and the run did not end in 20 minutes.
     let sizes = [(20, 100), (200, 100), (2000, 100), (20, 10_000)];
-    for (workers, customers) in sizes {
-        let mut world = World::new(workers, customers);
-        let name = BenchmarkId::new(format!("{workers} workers"), format!("{customers} customers"));
-        group.bench_function(name, |b| b.iter(|| black_box(&mut world).invocation()));
+    for (workers, tenants) in sizes {
+        let mut world = World::new(workers, tenants);
+        let name = BenchmarkId::new(format!("{workers} workers"), format!("{tenants} tenants"));
+        group.bench_function(name, |b| b.iter(|| black_box(&mut world).run_request()));
     }
     group.finish();
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -21,13 +21,13 @@
     pub me: NodeAddress,
     /// The founding members.
     pub seeds: &'a [NodeAddress],
-    /// Of the pseudo-random draws.
+    /// The seed of the pseudo-random draws.
     pub seed: u64,
     /// What the disk holds: None at a first start and after it was emptied; `bootstrap` tells one from the other.
     pub stored: Option<PersistentState>,
     /// The whole system starts for the first time.
     pub bootstrap: bool,
-    /// How many disks may be lost at once. There are to be twice as many voters and one more.
+    /// How many disks may be lost at once. The target number of voters is twice that plus one.
     pub tolerated: usize,
     /// How long after its return a machine still counts as lost.
     pub catch_up: Span,
@@ -45,25 +45,26 @@
 #[derive(Clone, Debug)]
 pub struct Consensus {
     pub(crate) me: NodeAddress,
-    /// Of the draws, with how many there were: a cloned state machine goes on by itself.
+    /// The seed of the draws, and how many were made: a cloned state machine continues on its own.
     seed: u64,
     draws: u64,
-    /// How many voters there are to be.
+    /// The target number of voters.
     pub(crate) wanted_voters: usize,
     pub(crate) tolerated: usize,
-    /// A voter that was not heard for so long is replaced where a learner waits.
+    /// A voter that has been silent for this long is replaced if a learner is waiting.
     pub(crate) voter_timeout: Span,
     pub(crate) persistent: PersistentState,
-    /// What of it is known to be synced.
+    /// The position up to which it is known to be synced.
     pub(crate) synced: LogId,
     writes: u64,
     pub(crate) pending_writes: VecDeque<PendingWrite>,
     pub(crate) committed: LogId,
     pub(crate) role: Role,
     pub(crate) election_timeout: Span,
-    /// Of a follower, by its own clock: at that time the leader was confirmed by a quorum, and `committed` the newest.
+    /// On a follower, by its own clock: when the leader was last confirmed by a quorum with `committed` as the newest
+    /// position.
     pub(crate) confirmed_at: Option<Time>,
-    /// Of a follower: at that time the leader, in contact with a quorum, had heard this node.
+    /// On a follower: when a leader in contact with a quorum had last heard this node.
     pub(crate) quorum_contact_at: Option<Time>,
     requests: u64,
     /// This node has heard a leader, or led, since its start.
@@ -264,7 +265,7 @@
     /// A pseudo-random number from 0 to 1.
     pub(crate) fn draw(&mut self) -> f64 {
         self.draws += 1;
-        Rng::new(self.seed ^ self.draws.wrapping_mul(DRAW_STRIDE)).unit()
+        Rng::new(self.seed ^ self.draws.wrapping_mul(DRAW_STRIDE)).next_f64()
     }
 
     pub(crate) fn own_member(&self) -> Member {
@@ -311,7 +312,7 @@
     voters.sort();
     voters.dedup();
     let mut rng = Rng::new(config.seed);
-    let drawn = u64::from(rng.draw()) << 32 | u64::from(rng.draw()) | 1;
+    let drawn = u64::from(rng.next_u32()) << 32 | u64::from(rng.next_u32()) | 1;
     let disk = if config.bootstrap { 0 } else { drawn };
     let state = ReplicatedState { voters, ..ReplicatedState::default() };
     PersistentState { disk, state, ..PersistentState::default() }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -17,18 +17,19 @@
 
 /// The leader sends to no more learners than this.
 pub const MAX_LEARNERS: usize = 8;
-/// Nor to a learner that was not seen for so long.
+/// A learner that has not been seen for this long is dropped.
 const LEARNER_TIMEOUT: Span = Span::from_millis(5_000);
 /// A voter that is silent for this part of the time in which a returned machine still counts as lost is replaced where a
 /// learner waits: its successor has to hold everything before that time is over.
 pub(crate) const VOTER_TIMEOUT_PART: f64 = 0.5;
-/// A learner is promoted only if it was heard so lately.
+/// A learner is promoted only if it was heard within this time.
 const PROMOTION_CONTACT: Span = Span::from_millis(400);
-/// A leave request counts for so long: it is repeated each round.
+/// How long a leave request is valid. The sender repeats it each round.
 const LEAVE_REQUEST_VALIDITY: Span = Span::from_millis(1_000);
-/// A node that shuts down waits no longer for its successor.
+/// The longest that a node that is shutting down waits for its successor.
 const LEAVE_TIMEOUT: Span = Span::from_millis(1_500);
-/// After a leadership transfer, or where no learner waits, it stays so long at least, so that others lead by then.
+/// The shortest time that it stays after a leadership transfer, or if no learner waits, so that another node leads by
+/// then.
 const LEAVE_MIN_DELAY: Span = Span::from_millis(250);
 
 impl Consensus {
--- a/crates/consensus/src/read_index.rs
+++ b/crates/consensus/src/read_index.rs
@@ -11,9 +11,9 @@
 use crate::role::{PendingRead, Role};
 use crate::{Action, Consensus, RequestOutcome};
 
-/// A node without two-way contact with a majority for so long speaks for nobody.
+/// A node that has been without two-way contact with a majority for this long counts as isolated.
 pub const QUORUM_CONTACT_TIMEOUT: Span = Span::from_millis(500);
-/// Reads that come within so long of a round wait for the next one together.
+/// Reads that arrive within this time after the start of a round wait for the next round together.
 pub(crate) const READ_BATCH_INTERVAL: Span = Span::from_millis(4);
 /// How many reads may be open at once.
 const MAX_OPEN_READS: usize = 4096;
@@ -68,14 +68,6 @@
         at.is_some_and(|at| now - at < QUORUM_CONTACT_TIMEOUT)
     }
 
-    /// Since when this node has been the established leader, without a break.
-    pub fn leader_since(&self) -> Option<Time> {
-        match &self.role {
-            Role::Leader(leader) if self.is_established_leader() => Some(leader.since),
-            _ => None,
-        }
-    }
-
     /// At that time a leader, confirmed by a quorum, had heard this node, and `committed` was the newest position.
     pub(crate) fn on_leader_confirmed(&mut self, at: Time, committed: LogId) {
         self.quorum_contact_at = self.quorum_contact_at.max(Some(at));
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -10,17 +10,17 @@
 use crate::role::{LeaderState, Proposal, Role, RoundStart};
 use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
-/// How often a leader begins a round.
+/// How often a leader begins a heartbeat round.
 pub(crate) const HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
-/// A leader that no majority answered for so long steps down.
+/// A leader that no majority has answered for this long steps down.
 const LEADER_QUORUM_TIMEOUT: Span = Span::from_millis(800);
-/// So does one whose disk has not completed a write for so long.
+/// So does a leader whose disk has not completed a write within this time.
 const DISK_WRITE_TIMEOUT: Span = Span::from_millis(700);
-/// A state that was sent is sent again after so many rounds without an acknowledgement.
+/// A state is sent again after this many rounds without an acknowledgement.
 const RESEND_AFTER_ROUNDS: u64 = 10;
-/// For so long a leader waits for more voters before it acknowledges what is on fewer disks than it should be.
+/// How long a leader waits for more voters before it acknowledges a state that is on fewer disks than it should be.
 const UNDER_REPLICATED_TIMEOUT: Span = Span::from_millis(3_000);
-/// So many rounds are remembered by their beginning: some seconds.
+/// How many rounds are remembered with the time that they began at: some seconds' worth.
 const MAX_ROUND_STARTS: usize = 64;
 
 /// What a follower takes over from a round of the leader.
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -8,9 +8,10 @@
 use crate::progress::{PeerContact, Progress};
 use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
-/// A follower that heard no leader for so long may campaign.
+/// A follower that has not heard from a leader for this long may campaign.
 pub(crate) const ELECTION_TIMEOUT: Span = Span::from_millis(450);
-/// At a start nobody has been heard yet, and all nodes may have started at once: a shorter time will do.
+/// The same right after a start: nobody has been heard yet and all nodes may have started at once, so a shorter time
+/// is enough.
 const FIRST_ELECTION_TIMEOUT: Span = Span::from_millis(150);
 /// The longest random part on top of that, so that two nodes seldom campaign at once.
 const ELECTION_JITTER: Span = Span::from_millis(400);
@@ -32,7 +33,6 @@
 /// What a leader keeps for its term.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LeaderState {
-    pub since: Time,
     /// The number of the newest heartbeat round, and when it began.
     pub round: u64,
     pub round_began_at: Time,
@@ -82,7 +82,6 @@
 impl LeaderState {
     pub fn new(now: Time, others: &[Member]) -> LeaderState {
         LeaderState {
-            since: now,
             round: 0,
             round_began_at: now,
             checked_at: now,
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -93,7 +93,7 @@
         let boot = ConsensusConfig {
             me: node(replica),
             seeds: &seeds,
-            seed: u64::from(self.rng.draw()),
+            seed: u64::from(self.rng.next_u32()),
             stored: self.replicas[replica].disk.clone(),
             bootstrap,
             tolerated: self.tolerated,
@@ -167,8 +167,8 @@
     fn say(&mut self, from: usize, to: NodeAddress, message: Message) {
         let to = (0..self.replicas.len()).find(|n| node(*n) == to).expect("a replica");
         let is_cut = self.cut.is_some_and(|(who, _, one_way)| who == from || who == to && !one_way);
-        if !is_cut && self.rng.unit() >= self.losses {
-            let delay = Span::from_secs(0.0005 + 0.004 * self.rng.unit().powi(3));
+        if !is_cut && self.rng.next_f64() >= self.losses {
+            let delay = Span::from_secs(0.0005 + 0.004 * self.rng.next_f64().powi(3));
             self.last += 1;
             self.messages.insert((self.now + delay, self.last), (from, to, message));
         }
@@ -278,25 +278,25 @@
 
     fn trouble(&mut self) {
         let here: Vec<usize> = (0..self.replicas.len()).filter(|h| !self.replicas[*h].is_gone).collect();
-        let replica = match (self.rng.draw() % 2, self.leader()) {
+        let replica = match (self.rng.next_u32() % 2, self.leader()) {
             (0, Some(leader)) => leader,
-            _ => here[self.rng.draw() as usize % here.len()],
+            _ => here[self.rng.next_u32() as usize % here.len()],
         };
-        match self.rng.draw() % 11 {
+        match self.rng.next_u32() % 11 {
             0 => self.stop(replica, true, Span::from_millis(300)),
             1 => self.stop(replica, false, Span::from_millis(900)),
             2 => {
                 self.cut =
-                    Some((replica, self.now + Span::from_millis(2500), self.rng.draw().is_multiple_of(2)))
+                    Some((replica, self.now + Span::from_millis(2500), self.rng.next_u32().is_multiple_of(2)))
             }
             3 => {
                 self.replicas[replica].sync =
-                    Span::from_millis([1, 1, 30, 1500][self.rng.draw() as usize % 4])
+                    Span::from_millis([1, 1, 30, 1500][self.rng.next_u32() as usize % 4])
             }
             4 => self.all(false, Span::from_millis(400)),
             5 => self.all(true, Span::from_millis(200)),
             6 => {
-                let long = [300, 700, 2000, 6000][self.rng.draw() as usize % 4];
+                let long = [300, 700, 2000, 6000][self.rng.next_u32() as usize % 4];
                 self.replicas[replica].stands_still_until = self.now + Span::from_millis(long);
             }
             kind => self.lose(replica, kind),
@@ -319,7 +319,7 @@
                 self.replicas[replica].disk = None;
             }
             _ if self.replicas.len() < 12 => {
-                let after = [300, 1000, 3000][self.rng.draw() as usize % 3];
+                let after = [300, 1000, 3000][self.rng.next_u32() as usize % 3];
                 self.unwell = Some(self.replicas.len());
                 self.come(Span::from_millis(after));
                 self.stop(replica, false, Span::ZERO);
@@ -334,13 +334,13 @@
     let mut world = World::new(seed, n);
     for ms in 0..16_000 {
         world.step();
-        if world.rng.unit() < 0.02 {
+        if world.rng.next_f64() < 0.02 {
             world.propose();
         }
-        if world.rng.unit() < 0.02 {
+        if world.rng.next_f64() < 0.02 {
             world.read();
         }
-        if ms > 1500 && ms < 10_000 && world.rng.unit() < 0.0014 {
+        if ms > 1500 && ms < 10_000 && world.rng.next_f64() < 0.0014 {
             world.trouble();
         }
         if ms == 10_500 {
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -57,7 +57,7 @@
         let now = at(ms);
         for n in 0..self.proxies.len() {
             let mut due = load(n) * 0.01;
-            while self.rng.unit() < due {
+            while self.rng.next_f64() < due {
                 due -= 1.0;
                 match self.proxies[n].admit(now, &self.tenant) {
                     Ok(()) => self.admitted.push(ms),
@@ -65,7 +65,7 @@
                 }
             }
             let own = 10 * (n as u64 * 37 % 100);
-            if ms % 1000 == own && self.rng.unit() >= self.lost {
+            if ms % 1000 == own && self.rng.next_f64() >= self.lost {
                 let (counts, received) = (self.proxies[n].take_usage(), self.received[n]);
                 let tenants = std::slice::from_ref(&self.tenant);
                 self.allocator.on_proxy_seen(now, &n.to_string(), "z", true);
@@ -90,7 +90,7 @@
         }
         let due: Vec<_> = self.in_flight.extract_if(.., |(when, ..)| *when <= ms).collect();
         for (_, n, number, sent, shares) in due {
-            if self.rng.unit() >= self.lost {
+            if self.rng.next_f64() >= self.lost {
                 self.proxies[n].renew_shares(at(sent));
                 self.proxies[n].apply_shares(now, at(sent), &shares);
                 self.received[n] = self.received[n].max(number);
@@ -133,7 +133,7 @@
         let mut load = [0.0; 6];
         for ms in (0..25_000).step_by(10) {
             if ms % 2000 == 0 {
-                load = std::array::from_fn(|_| 30.0 * world.rng.unit());
+                load = std::array::from_fn(|_| 30.0 * world.rng.next_f64());
             }
             world.step(ms, &|n| load[n]);
             if ms == 9_000 {
--- a/crates/gatekeeper/src/clients.rs
+++ b/crates/gatekeeper/src/clients.rs
@@ -7,19 +7,21 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use lynxstair::types::{Arrival, CustomerId, DeliveryNo, InvId, OperationId, Outcome, PlanId, Span, Time};
-use lynxstair_settings::Bounds;
+use lynxstair::types::{
+    AttemptNumber, OperationId, Outcome, PlanId, Request, RequestId, Span, TenantId, Time,
+};
+use lynxstair_settings::{OperationBounds, RequestBounds};
 use may::io::{CoIo, WaitIo};
 
 use crate::program::Gate;
 use crate::workers::Link;
-use lynxstair_dispatch::{Final, Pick};
+use lynxstair_dispatch::{Decision, FinalReply};
 use lynxstair_net::conn::{Conn, Got, Ring};
 use lynxstair_net::coroutine::go_then;
 use lynxstair_net::http::{self, Bad, Call, Extent, MOST_BODY, MOST_MESSAGE};
 use lynxstair_net::log;
 
-/// A connection brings its first invocation within so long, and a message is whole so long after its first byte:
+/// A connection brings its first request within so long, and a message is whole so long after its first byte:
 /// who sends nothing, or half a message, takes up no place.
 const FIRST_TIME: Span = Span::from_millis(2_000);
 const MESSAGE_TIME: Span = Span::from_millis(2_000);
@@ -33,15 +35,15 @@
 /// So many messages on end that can't be used are the last of their connection: what comes at full speed would
 /// take the core from the others.
 const MOST_BAD: u32 = 16;
-/// Customers are numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
+/// Tenants are numbers below this.
+const TENANTS: u64 = 1 << 33;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
     /// Between messages, or within one.
     Waiting,
-    /// An invocation was taken and is not answered; its message stays in the buffer.
-    Serving(InvId, Extent),
+    /// An request was taken and is not answered; its message stays in the buffer.
+    Serving(RequestId, Extent),
     /// The last answer is written.
     Ending,
 }
@@ -53,14 +55,14 @@
     part_since: Option<Time>,
     /// An interim answer was given to the message that is coming in.
     told_to_go_on: bool,
-    /// It brought an invocation once; messages on end that could not be used; what was read over at the end.
+    /// It brought an request once; messages on end that could not be used; what was read over at the end.
     has_asked: bool,
     bad: u32,
     read_over: usize,
-    /// The id of the invocation at hand, for as long as it is open.
+    /// The id of the request at hand, for as long as it is open.
     id: Option<u64>,
-    /// The connections that carry deliveries of the invocation at hand.
-    links: Vec<(DeliveryNo, Arc<Link>)>,
+    /// The connections that carry deliveries of the request at hand.
+    links: Vec<(AttemptNumber, Arc<Link>)>,
 }
 
 impl State {
@@ -97,7 +99,7 @@
 pub struct Clients {
     listener: CoIo<TcpListener>,
     open: Mutex<HashMap<u64, Arc<Client>>>,
-    /// The ids of open invocations, hashed: a second one under the id of an open one is not let in.
+    /// The ids of open requests, hashed: a second one under the id of an open one is not let in.
     ids: Mutex<HashSet<u64>>,
     hasher: RandomState,
     most: usize,
@@ -277,19 +279,19 @@
         gate.clients.let_in();
     }
 
-    /// Nothing more is owed for the invocation at hand, if there is one: its deliveries end.
-    fn let_go(&self, gate: &Arc<Gate>) -> Option<InvId> {
-        let inv = match &self.state().stage {
-            Stage::Serving(inv, _) => *inv,
+    /// Nothing more is owed for the request at hand, if there is one: its deliveries end.
+    fn let_go(&self, gate: &Arc<Gate>) -> Option<RequestId> {
+        let request_id = match &self.state().stage {
+            Stage::Serving(request_id, _) => *request_id,
             _ => return None,
         };
-        for unwanted in gate.desk.gone(gate.clock.now(), inv) {
-            gate.workers.give_up(gate, &unwanted, Outcome::Cancelled);
+        for cancelled in gate.dispatcher.end_request(gate.clock.now(), request_id) {
+            gate.workers.give_up(gate, &cancelled, Outcome::Cancelled);
         }
-        Some(inv)
+        Some(request_id)
     }
 
-    /// The invocation at hand is over: its id may come again.
+    /// The request at hand is over: its id may come again.
     fn forget(&self, gate: &Gate, state: &mut State) {
         state.links.clear();
         if let Some(id) = state.id.take() {
@@ -366,38 +368,38 @@
         };
         drop(inbound);
         (state.has_asked, state.bad) = (true, 0);
-        let (inv, pick) = gate.desk.pick(now, arrival, self.clone());
-        state.stage = Stage::Serving(inv, extent);
+        let (request_id, pick) = gate.dispatcher.dispatch(now, arrival, self.clone());
+        state.stage = Stage::Serving(request_id, extent);
         state.since = now;
         drop(state);
         match pick {
-            Pick::Deliver(order) => gate.workers.deliver(gate, order),
-            Pick::Answer(answer) => self.answer(gate, inv, answer),
+            Decision::Forward(order) => gate.workers.deliver(gate, order),
+            Decision::Reply(answer) => self.answer(gate, request_id, answer),
         }
-        gate.ticker.by(gate.desk.next_due());
+        gate.ticker.by(gate.dispatcher.next_due());
         true
     }
 
-    /// A connection that carries a delivery of the invocation at hand.
-    pub fn carried_by(&self, no: DeliveryNo, link: Arc<Link>) {
+    /// A connection that carries a delivery of the request at hand.
+    pub fn carried_by(&self, no: AttemptNumber, link: Arc<Link>) {
         let mut state = self.state();
         // The connection that it was tried on before broke before it was sent.
         state.links.retain(|(n, _)| *n != no);
         state.links.push((no, link));
     }
 
-    pub fn carrier(&self, inv: InvId, no: DeliveryNo) -> Option<Arc<Link>> {
+    pub fn carrier(&self, request_id: RequestId, no: AttemptNumber) -> Option<Arc<Link>> {
         let state = self.state();
-        let at_hand = matches!(state.stage, Stage::Serving(i, _) if i == inv);
+        let at_hand = matches!(state.stage, Stage::Serving(i, _) if i == request_id);
         let mut links = state.links.iter().filter(|_| at_hand);
         links.find(|(n, _)| *n == no).map(|(_, link)| link.clone())
     }
 
-    /// Gives the message of the invocation, if it is still the one at hand.
-    pub fn message<R>(&self, inv: InvId, put: impl FnOnce(&Call, &[u8]) -> R) -> Option<R> {
+    /// Gives the message of the request, if it is still the one at hand.
+    pub fn message<R>(&self, request_id: RequestId, put: impl FnOnce(&Call, &[u8]) -> R) -> Option<R> {
         let state = self.state();
         let Stage::Serving(at_hand, extent) = &state.stage else { return None };
-        if *at_hand != inv {
+        if *at_hand != request_id {
             return None;
         }
         let mut inbound = self.conn.inbound();
@@ -407,20 +409,25 @@
     }
 
     /// A final answer of our own.
-    pub fn answer(&self, gate: &Arc<Gate>, inv: InvId, answer: Final) {
+    pub fn answer(&self, gate: &Arc<Gate>, request_id: RequestId, answer: FinalReply) {
         let (status, body, wait) = match answer {
-            Final::Throttled(wait) => (429, "throttled\n", wait),
-            Final::Errored => (502, "errored\n", None),
+            FinalReply::Throttled(wait) => (429, "throttled\n", wait),
+            FinalReply::Errored => (502, "errored\n", None),
         };
         let header = wait.map(|wait| format!("Retry-After: {:.3}\r\n", wait.secs())).unwrap_or_default();
-        self.finish(gate, inv, |out, keep| http::put_answer(out, status, &header, body, keep));
+        self.finish(gate, request_id, |out, keep| http::put_answer(out, status, &header, body, keep));
     }
 
-    /// Writes the final answer to the invocation at hand; the connection is then free for the next.
-    pub fn finish(&self, gate: &Arc<Gate>, inv: InvId, put: impl FnOnce(&mut Ring, bool) -> io::Result<()>) {
+    /// Writes the final answer to the request at hand; the connection is then free for the next.
+    pub fn finish(
+        &self,
+        gate: &Arc<Gate>,
+        request_id: RequestId,
+        put: impl FnOnce(&mut Ring, bool) -> io::Result<()>,
+    ) {
         let mut state = self.state();
         let Stage::Serving(at_hand, extent) = &state.stage else { return };
-        if *at_hand != inv {
+        if *at_hand != request_id {
             return;
         }
         let extent = extent.clone();
@@ -428,7 +435,7 @@
         self.write(gate, &mut state, Some(&extent), put);
     }
 
-    /// Writes an answer that no invocation stands behind. Without an extent the message could not be read:
+    /// Writes an answer that no request stands behind. Without an extent the message could not be read:
     /// what follows it can't be either.
     fn say(&self, gate: &Arc<Gate>, status: u16, body: &str, extent: Option<&Extent>) {
         let put = |out: &mut Ring, keep| http::put_answer(out, status, "", body, keep);
@@ -462,8 +469,8 @@
 
     /// No answer can be waited for any more: an error promises nothing.
     fn give_up(&self, gate: &Arc<Gate>) {
-        if let Some(inv) = self.let_go(gate) {
-            self.answer(gate, inv, Final::Errored);
+        if let Some(request_id) = self.let_go(gate) {
+            self.answer(gate, request_id, FinalReply::Errored);
         }
     }
 
@@ -479,7 +486,7 @@
 }
 
 /// Whether nothing has moved on a connection for too long. A message that has just begun counts from then,
-/// however long the connection stood idle before: closing it would lose the invocation. Before the first one the
+/// however long the connection stood idle before: closing it would lose the request. Before the first one the
 /// whole time counts.
 fn is_over(state: &State, has_unsent: bool, opened_at: Time, idle_time: Span, now: Time) -> bool {
     let waited = now - state.since;
@@ -498,7 +505,7 @@
 enum Asked {
     Up,
     /// With its id, hashed.
-    Invocation(Arrival, u64),
+    Invocation(Request, u64),
 }
 
 /// What a client asks for, in the words of the protocol.
@@ -510,7 +517,7 @@
     }
     let first = path.strip_prefix('/').ok_or(Bad(400, "bad target"))?.split('/').next().unwrap_or("");
     let operation = position(&names.operations, first).ok_or(Bad(404, "unknown operation"))?;
-    let (timeout, is_idempotent) = bounds.operations[operation];
+    let OperationBounds { integration_timeout: timeout, is_idempotent } = bounds.operations[operation];
     let fits =
         if is_idempotent { call.method == "GET" } else { matches!(call.method, "POST" | "PUT" | "PATCH") };
     if !fits {
@@ -525,17 +532,17 @@
     let plan = position(&names.plans, plan).ok_or(Bad(400, "unknown plan"))?;
     let cookies = header("cookie")?.ok_or(Bad(400, "no key"))?;
     let key = cookies.split(';').find_map(|c| c.trim().strip_prefix("key=")).ok_or(Bad(400, "no key"))?;
-    let customer = u64::from_str_radix(key, 16).ok().filter(|k| *k < CUSTOMERS && !key.starts_with('+'));
-    let customer = customer.ok_or(Bad(400, "bad key"))?;
+    let tenant = u64::from_str_radix(key, 16).ok().filter(|k| *k < TENANTS && !key.starts_with('+'));
+    let tenant = tenant.ok_or(Bad(400, "bad key"))?;
     let patience = header("request-timeout-ms")?.ok_or(Bad(400, "no time limit"))?;
     let patience: u32 = patience.parse().map_err(|_| Bad(400, "bad time limit"))?;
     // No client waits longer than its operation's integration timeout.
     let patience = Span::from_millis(u64::from(patience)).min(timeout);
     let (units, spread) = weight(header("x-weight")?.unwrap_or(""), bounds)?;
-    let arrival = Arrival {
-        inv: InvId::default(),
-        valid_until: came_at + patience,
-        customer: CustomerId(customer),
+    let arrival = Request {
+        id: RequestId::default(),
+        deadline: came_at + patience,
+        tenant: TenantId(tenant),
         operation: OperationId(operation as u8),
         plan: PlanId(plan as u16),
         spread,
@@ -548,9 +555,9 @@
     names.iter().position(|n| n == name)
 }
 
-/// The units that it counts, and at how many gatekeepers its customer comes in; not a number where not told. What
-/// the settings rule out is bad: it would be charged to a customer who never asked for it.
-fn weight(text: &str, bounds: &Bounds) -> Result<(f32, f32), Bad> {
+/// The units that it counts, and at how many gatekeepers its tenant comes in; not a number where not told. What
+/// the settings rule out is bad: it would be charged to a tenant who never asked for it.
+fn weight(text: &str, bounds: &RequestBounds) -> Result<(f32, f32), Bad> {
     const BAD: Bad = Bad(400, "bad weight");
     let (mut units, mut spread, mut first) = (None, None, None);
     for part in text.split(',') {
--- a/crates/gatekeeper/src/clients/tests.rs
+++ b/crates/gatekeeper/src/clients/tests.rs
@@ -1,6 +1,6 @@
-use lynxstair::types::{InvId, Time};
+use lynxstair::types::{RequestId, Time};
 
-use lynxstair_settings::Bounds;
+use lynxstair_settings::RequestBounds;
 
 use super::{IDLE_TIME, Stage, State, is_over, weight};
 use lynxstair_net::http::{Bad, Extent};
@@ -12,8 +12,8 @@
 #[test]
 fn connections_that_end() {
     use Stage::{Ending, Waiting};
-    let serving = Stage::Serving(InvId(1), Extent::default());
-    // The stage, since second 100, of a connection opened then that brought an invocation or did not; when a
+    let serving = Stage::Serving(RequestId(1), Extent::default());
+    // The stage, since second 100, of a connection opened then that brought an request or did not; when a
     // message began; whether bytes are unsent; the second; is it over.
     let cases = [
         (Waiting, true, None, false, 109, false),
@@ -45,7 +45,7 @@
 #[test]
 fn weights() {
     let bad = Err(Bad(400, "bad weight"));
-    let bounds = Bounds { gatekeepers: 3, units: 4.0, operations: vec![] };
+    let bounds = RequestBounds { gatekeepers: 3, units: 4.0, operations: vec![] };
     let cases = [
         ("units=2,spread=3,first=1", Ok((2.0, 3.0))),
         (" spread = 3 , units = 2.5, more=x", Ok((2.5, 3.0))),
--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lynxstair_settings::Handed;
+use lynxstair_settings::GatekeeperSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -47,7 +47,7 @@
     pub seed: u64,
     pub limits: Limits,
     pub known: News,
-    pub handed: Handed,
+    pub handed: GatekeeperSettings,
 }
 
 pub fn read() -> Result<Config, String> {
@@ -58,7 +58,7 @@
 
 fn parse(text: &[u8]) -> Result<Config, String> {
     let file: File = serde_json::from_slice(text).map_err(|e| format!("configuration: {e}"))?;
-    let handed = lynxstair_settings::read(file.settings.get().as_bytes())?;
+    let handed = lynxstair_settings::read(file.settings.get().as_bytes()).map_err(|e| e.to_string())?;
     if handed.names.operations.is_empty() || handed.names.plans.is_empty() {
         return Err("configuration: the settings name no operation or no plan".to_string());
     }
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use lynxstair::types::{CountName, Outcome, Span, Time};
+use lynxstair::types::{CounterKey, Outcome, Span, Time};
 
 use crate::program::Gate;
-use lynxstair_dispatch::Count;
+use lynxstair_dispatch::CounterAdd;
 use lynxstair_net::conn::{Conn, Got};
 use lynxstair_net::coroutine::go_then;
 use lynxstair_net::http::{self, MOST_MESSAGE, Stop};
@@ -23,7 +23,7 @@
 const MOST_TOTAL: usize = 64;
 
 struct Call {
-    name: CountName,
+    name: CounterKey,
     sent_at: Time,
     /// How long its message is.
     length: usize,
@@ -68,26 +68,28 @@
     }
 
     /// Sends calls, in one piece.
-    pub fn add(&self, gate: &Arc<Gate>, counts: &[Count]) {
-        if counts.is_empty() {
+    pub fn add(&self, gate: &Arc<Gate>, counter_adds: &[CounterAdd]) {
+        if counter_adds.is_empty() {
             return;
         }
         let now = gate.clock.now();
         let Some(line) = self.line(gate, now) else {
-            counts.iter().for_each(|c| gate.desk.counted(now, c.name, Outcome::ConnectFailed, 0.0));
+            counter_adds
+                .iter()
+                .for_each(|c| gate.dispatcher.on_counter_reply(now, c.key, Outcome::ConnectFailed, 0.0));
             return;
         };
         let written = line.conn.write(|out| {
-            for count in counts {
+            for count in counter_adds {
                 let before = out.len();
-                let (name, amount, ms) = (count.name.0, count.amount, count.keep.nanos() / 1_000_000);
+                let (name, amount, ms) = (count.key.0, count.amount, count.retention.nanos() / 1_000_000);
                 write!(
                     out,
                     "POST /counters/{name:x}?by={amount}&expire_ms={ms} HTTP/1.1\r\nHost: counter\r\n\
                      Content-Length: 0\r\n\r\n"
                 )?;
                 let length = out.len() - before;
-                line.waiting().push_back(Call { name: count.name, sent_at: now, length });
+                line.waiting().push_back(Call { name: count.key, sent_at: now, length });
             }
             Ok(())
         });
@@ -95,9 +97,10 @@
             line.conn.close();
         }
         // What did not fit into the buffer was not sent.
-        let queued = line.waiting().iter().rev().take(counts.len()).filter(|c| c.sent_at == now).count();
-        for count in counts.iter().skip(queued) {
-            gate.desk.counted(now, count.name, Outcome::ConnectFailed, 0.0);
+        let queued =
+            line.waiting().iter().rev().take(counter_adds.len()).filter(|c| c.sent_at == now).count();
+        for count in counter_adds.iter().skip(queued) {
+            gate.dispatcher.on_counter_reply(now, count.key, Outcome::ConnectFailed, 0.0);
         }
     }
 
@@ -199,7 +202,7 @@
     /// added and nothing more: its total is no number.
     fn counted(&self, gate: &Gate, outcome: Outcome, total: f32) -> bool {
         let Some(call) = self.waiting().pop_front() else { return false };
-        gate.desk.counted(gate.clock.now(), call.name, outcome, total);
+        gate.dispatcher.on_counter_reply(gate.clock.now(), call.name, outcome, total);
         true
     }
 
@@ -210,7 +213,7 @@
         while let Some(call) = self.waiting().pop_back() {
             let outcome = if unsent > 0 { Outcome::ConnectFailed } else { Outcome::TimedOut };
             unsent = unsent.saturating_sub(call.length);
-            gate.desk.counted(gate.clock.now(), call.name, outcome, 0.0);
+            gate.dispatcher.on_counter_reply(gate.clock.now(), call.name, outcome, 0.0);
         }
         let mut state = gate.counter.state();
         state.old.retain(|old| !Arc::ptr_eq(old, self));
--- a/crates/gatekeeper/src/discovery.rs
+++ b/crates/gatekeeper/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use lynxstair::types::{CellId, KindId, Listed, Phase, Scope, Span, Time, WorkerId, ZoneId};
+use lynxstair::types::{CellId, KindId, ListUpdate, Span, Time, WorkerId, WorkerInfo, WorkerPhase, ZoneId};
 use serde::Deserialize;
 
 use crate::program::Gate;
@@ -237,22 +237,22 @@
             }
         }
         let scope = match (kept, news.complete) {
-            (true, _) => Scope::Cached,
-            (false, true) => Scope::Full,
-            (false, false) => Scope::Delta,
+            (true, _) => ListUpdate::Cached,
+            (false, true) => ListUpdate::Full,
+            (false, false) => ListUpdate::Delta,
         };
-        gate.desk.listed(gate.clock.now(), scope, &listed);
+        gate.dispatcher.update_workers(gate.clock.now(), scope, &listed);
     }
 
-    fn line(&self, state: &mut State, gate: &Gate, member: &Member) -> Result<Option<Listed>, String> {
+    fn line(&self, state: &mut State, gate: &Gate, member: &Member) -> Result<Option<WorkerInfo>, String> {
         let phase = match member.phase.as_str() {
-            "SERVING" => Phase::Ready,
-            "DRAINING" => Phase::Draining,
-            "DELETED" => Phase::Gone,
+            "SERVING" => WorkerPhase::Ready,
+            "DRAINING" => WorkerPhase::Draining,
+            "DELETED" => WorkerPhase::Removed,
             other => return Err(format!("unknown phase {other:?}")),
         };
         let known = state.ids.get(&member.id).copied();
-        if phase == Phase::Gone {
+        if phase == WorkerPhase::Removed {
             let Some(worker) = state.ids.remove(&member.id) else { return Ok(None) };
             gate.workers.remove(worker);
             return Ok(Some(self.entry(gate, member, worker, phase)));
@@ -265,23 +265,23 @@
             state.ids.insert(member.id.clone(), worker);
             worker
         });
-        gate.workers.place(worker, addr, phase == Phase::Draining);
+        gate.workers.place(worker, addr, phase == WorkerPhase::Draining);
         Ok(Some(self.entry(gate, member, worker, phase)))
     }
 
-    fn entry(&self, gate: &Gate, member: &Member, worker: WorkerId, phase: Phase) -> Listed {
+    fn entry(&self, gate: &Gate, member: &Member, worker: WorkerId, phase: WorkerPhase) -> WorkerInfo {
         // A name that the settings do not have stands for a place of its own.
         let number = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u16::MAX, |n| n as u16)
         };
         let started = Some(Span::from_millis(member.up_since_ms)).filter(|ms| *ms > Span::ZERO);
-        Listed {
+        WorkerInfo {
             worker,
             zone: ZoneId(number(&gate.names.zones, &member.locality)),
             kind: KindId(number(&gate.names.kinds, &member.flavor)),
             cell: CellId(member.cell),
             phase,
-            heft: member.size.unwrap_or(1.0),
+            weight: member.size.unwrap_or(1.0),
             started_at: started.map(|ms| Time::from_nanos(ms.nanos())),
         }
     }
--- a/crates/gatekeeper/src/program.rs
+++ b/crates/gatekeeper/src/program.rs
@@ -8,7 +8,7 @@
 
 use lynxstair::types::{Outcome, Span, Time};
 use lynxstair_cluster::{Side, Uses};
-use lynxstair_settings::{Bounds, Names};
+use lynxstair_settings::{Names, RequestBounds};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
@@ -55,14 +55,14 @@
 pub struct Gate {
     pub clock: Clock,
     pub names: Names,
-    pub bounds: Bounds,
-    pub desk: Dispatcher<Arc<Client>>,
+    pub bounds: RequestBounds,
+    pub dispatcher: Dispatcher<Arc<Client>>,
     pub ticker: Ticker,
     pub clients: Clients,
     pub workers: Workers,
     pub discovery: Discovery,
     pub counter: Counter,
-    /// Where succeeded invocations are noted, in a fleet that exports their use.
+    /// Where succeeded requests are noted, in a fleet that exports their use.
     pub uses: OnceLock<Arc<Uses>>,
     /// How long after SIGTERM what is unanswered is errored.
     last_answers: Span,
@@ -119,7 +119,7 @@
             if catch_unwind(AssertUnwindSafe(|| self.do_all(now, upkeep, left))).is_err() {
                 log!("what was due is given up");
             }
-            self.ticker.by(self.desk.next_due());
+            self.ticker.by(self.dispatcher.next_due());
             self.ticker.by(self.workers.next_due());
             if self.phase() == Phase::Ended {
                 break;
@@ -143,23 +143,23 @@
         }
     }
 
-    /// What the desk has to do now.
+    /// What the dispatcher has to do now.
     fn do_due(self: &Arc<Self>, now: Time) {
-        let due = self.desk.tick(now);
-        self.counter.add(self, &due.counts);
-        for delivery in due.deliveries {
+        let due = self.dispatcher.tick(now);
+        self.counter.add(self, &due.counter_adds);
+        for delivery in due.attempts {
             self.workers.deliver(self, delivery);
         }
-        for overdue in due.overdue {
-            self.workers.give_up(self, &overdue, Outcome::TimedOut);
+        for timed_out in due.timed_out {
+            self.workers.give_up(self, &timed_out, Outcome::TimedOut);
         }
-        for unwanted in due.unwanted {
-            self.workers.give_up(self, &unwanted, Outcome::Cancelled);
+        for cancelled in due.cancelled {
+            self.workers.give_up(self, &cancelled, Outcome::Cancelled);
         }
-        for (client, inv, answer) in due.answers {
-            client.answer(self, inv, answer);
+        for (client, request_id, answer) in due.replies {
+            client.answer(self, request_id, answer);
         }
-        for worker in due.probes {
+        for worker in due.health_checks {
             self.workers.probe(self, worker);
         }
     }
@@ -236,18 +236,18 @@
     let clients = (sockets as f64 * CLIENTS_PART) as usize;
     let handed = &config.handed;
     let longest =
-        handed.settings.operations.iter().map(|o| o.integration_timeout).max().unwrap_or(COUNTED_AS);
+        handed.decisions.operations.iter().map(|o| o.integration_timeout).max().unwrap_or(COUNTED_AS);
     bound_buffers((config.limits.memory_mb << 20) as usize / 2);
     Ok(Gate {
         clock,
         names: handed.names.clone(),
         bounds: handed.bounds.clone(),
-        desk: Dispatcher::new(clock.now(), config.seed, &handed.settings),
-        ticker: Ticker::new(clock, handed.settings.step).map_err(|e| format!("timer: {e}"))?,
+        dispatcher: Dispatcher::new(clock.now(), config.seed, &handed.decisions),
+        ticker: Ticker::new(clock, handed.decisions.step).map_err(|e| format!("timer: {e}"))?,
         clients: Clients::listen(config.listen, clients)?,
-        workers: Workers::new(handed.limits, sockets - clients),
+        workers: Workers::new(handed.timeouts, sockets - clients),
         discovery: Discovery::new(config.discovery),
-        counter: Counter::new(config.counter, handed.limits.counter),
+        counter: Counter::new(config.counter, handed.timeouts.counter),
         uses: OnceLock::new(),
         last_answers: longest.min(COUNTED_AS) + LAST_ANSWERS,
         phase: AtomicU8::new(Phase::Starting as u8),
--- a/crates/gatekeeper/src/workers.rs
+++ b/crates/gatekeeper/src/workers.rs
@@ -6,17 +6,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair::types::{Outcome, Time, WorkerId};
-use lynxstair_settings::Limits;
+use lynxstair_settings::Timeouts;
 
 use crate::clients::Client;
 use crate::program::Gate;
-use lynxstair_dispatch::{self as desk, GiveUp, Next};
+use lynxstair_dispatch::{Assignment, Cancellation, FinalReply, NextStep};
 use lynxstair_net::conn::{Conn, Got, Ring};
 use lynxstair_net::coroutine::go_then;
 use lynxstair_net::http::{self, Extent, MOST_BODY, MOST_MESSAGE, Stop};
 use lynxstair_net::log;
 
-pub type Order = desk::Order<Arc<Client>>;
+pub type Order = Assignment<Arc<Client>>;
 
 /// Connections are closed here after this part of the time that workers leave them open.
 const IDLE_PART: f64 = 0.7;
@@ -61,7 +61,7 @@
 
 pub struct Workers {
     places: Mutex<Places>,
-    limits: Limits,
+    timeouts: Timeouts,
     most: usize,
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl Workers {
-    pub fn new(limits: Limits, most: usize) -> Self {
-        Workers { places: Mutex::new(Places::default()), limits, most }
+    pub fn new(timeouts: Timeouts, most: usize) -> Self {
+        Workers { places: Mutex::new(Places::default()), timeouts, most }
     }
 
     fn places(&self) -> MutexGuard<'_, Places> {
@@ -105,7 +105,7 @@
             let now = gate.clock.now();
             match self.find(gate, order.worker, Job::Delivery(order.clone(), now)) {
                 Found::Idle(link) => {
-                    order.ticket.carried_by(order.no, link.clone());
+                    order.context.carried_by(order.attempt, link.clone());
                     if link.send(gate).is_ok() {
                         return;
                     }
@@ -116,7 +116,7 @@
                     }
                 }
                 Found::New(link) => {
-                    order.ticket.carried_by(order.no, link.clone());
+                    order.context.carried_by(order.attempt, link.clone());
                     return self.start(gate, link);
                 }
                 Found::None => match self.ended(gate, &order, Outcome::ConnectFailed, now, None, None) {
@@ -142,7 +142,7 @@
                     }
                 }
                 Found::New(link) => return self.start(gate, link),
-                Found::None => return gate.desk.probed(now, worker, Outcome::ConnectFailed),
+                Found::None => return gate.dispatcher.on_health_check(now, worker, Outcome::ConnectFailed),
             }
         }
     }
@@ -193,7 +193,7 @@
     }
 
     fn watch(&self, gate: &Gate, now: Time, link: &Arc<Link>) {
-        let until = now + self.limits.connect;
+        let until = now + self.timeouts.connect;
         self.places().watched.push_back((until, link.clone()));
         gate.ticker.by(until);
     }
@@ -214,7 +214,7 @@
             drop(places);
             let (connected, is_probe) = {
                 let state = link.state();
-                let due = |sent: Time| sent + self.limits.connect <= now;
+                let due = |sent: Time| sent + self.timeouts.connect <= now;
                 (state.connected, matches!(state.job, Some(Job::Probe(sent)) if due(sent)))
             };
             if connected && !is_probe {
@@ -227,7 +227,7 @@
 
     /// Closes what has stood idle for long: the worker would do so soon, and what crosses that is lost.
     pub fn close_idle(&self, now: Time) {
-        let most = self.limits.idle.times(IDLE_PART);
+        let most = self.timeouts.idle.times(IDLE_PART);
         for place in self.places().all.values_mut() {
             place.idle.retain(|link| {
                 let keep = now - link.state().since < most;
@@ -240,10 +240,9 @@
     }
 
     /// Gives up a delivery that is out: closes its connection at once.
-    pub fn give_up(&self, gate: &Arc<Gate>, what: &GiveUp<Arc<Client>>, outcome: Outcome) {
-        let Some(link) = what.ticket.carrier(what.inv, what.no) else { return };
-        let is_it =
-            matches!(&link.state().job, Some(Job::Delivery(o, _)) if o.inv == what.inv && o.no == what.no);
+    pub fn give_up(&self, gate: &Arc<Gate>, what: &Cancellation<Arc<Client>>, outcome: Outcome) {
+        let Some(link) = what.context.carrier(what.request_id, what.attempt) else { return };
+        let is_it = matches!(&link.state().job, Some(Job::Delivery(o, _)) if o.request_id == what.request_id && o.attempt == what.attempt);
         if !is_it {
             return;
         }
@@ -264,18 +263,18 @@
         answer: Option<(&Link, &Extent)>,
     ) -> Option<Order> {
         let now = gate.clock.now();
-        let (next, unwanted) = gate.desk.report(now, order, outcome, now - sent_at, used);
-        for unwanted in unwanted {
-            self.give_up(gate, &unwanted, Outcome::Cancelled);
+        let (next, cancelled) = gate.dispatcher.report(now, order, outcome, now - sent_at, used);
+        for cancelled in cancelled {
+            self.give_up(gate, &cancelled, Outcome::Cancelled);
         }
         match (next, answer) {
-            (Next::PassOn(client), Some((link, extent))) => link.pass_on(gate, &client, order, extent),
-            (Next::PassOn(client), None) => client.answer(gate, order.inv, desk::Final::Errored),
-            (Next::Answer(client, answer), _) => client.answer(gate, order.inv, answer),
-            (Next::Deliver(another), _) => return Some(another),
-            (Next::Nothing, _) => {}
+            (NextStep::Relay(client), Some((link, extent))) => link.pass_on(gate, &client, order, extent),
+            (NextStep::Relay(client), None) => client.answer(gate, order.request_id, FinalReply::Errored),
+            (NextStep::Reply(client, answer), _) => client.answer(gate, order.request_id, answer),
+            (NextStep::Retry(another), _) => return Some(another),
+            (NextStep::Nothing, _) => {}
         }
-        gate.ticker.by(gate.desk.next_due());
+        gate.ticker.by(gate.dispatcher.next_due());
         None
     }
 }
@@ -338,12 +337,12 @@
         match &state.job {
             Some(Job::Delivery(order, _)) => {
                 let now = gate.clock.now();
-                let left = (order.stop_at - now).nanos() / 1_000_000;
+                let left = (order.deadline - now).nanos() / 1_000_000;
                 let put = |call: &http::Call, body: &[u8]| {
                     self.conn.write(|out| put_delivery(out, call, body, left))
                 };
-                // Where the invocation is over already, there is nothing to send.
-                order.ticket.message(order.inv, put).unwrap_or(Err(io::ErrorKind::NotFound.into()))
+                // Where the request is over already, there is nothing to send.
+                order.context.message(order.request_id, put).unwrap_or(Err(io::ErrorKind::NotFound.into()))
             }
             Some(Job::Probe(_)) => {
                 self.conn.write(|out| write!(out, "GET /alive HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n"))
@@ -391,8 +390,8 @@
                 }
                 Job::Probe(_) => {
                     let outcome = if outcome == Outcome::Errored { Outcome::Full } else { outcome };
-                    gate.desk.probed(gate.clock.now(), self.worker, outcome);
-                    gate.ticker.by(gate.desk.next_due());
+                    gate.dispatcher.on_health_check(gate.clock.now(), self.worker, outcome);
+                    gate.ticker.by(gate.dispatcher.next_due());
                     None
                 }
             };
@@ -431,8 +430,8 @@
                 }
             }
             Some(Job::Probe(_)) => {
-                gate.desk.probed(gate.clock.now(), self.worker, outcome);
-                gate.ticker.by(gate.desk.next_due());
+                gate.dispatcher.on_health_check(gate.clock.now(), self.worker, outcome);
+                gate.ticker.by(gate.dispatcher.next_due());
             }
             None => {}
         }
@@ -444,11 +443,11 @@
         let bytes = inbound.bytes();
         let Ok(Some((answer, _))) = http::answer(&bytes[..extent.head]) else { return };
         let body = &bytes[extent.body.clone()];
-        client.finish(gate, order.inv, |out, keep| {
+        client.finish(gate, order.request_id, |out, keep| {
             // Before the client can have it: what it is told is on record, however this process ends.
             if let Some(uses) = gate.uses.get() {
-                let used = &order.used;
-                uses.note(gate.clock.now(), used.customer.0, used.operation.0, used.units);
+                let used = &order.usage;
+                uses.note(gate.clock.now(), used.tenant.0, used.operation.0, used.units);
             }
             write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n", body.len())?;
             if !keep {
--- a/crates/net/src/conn/tests.rs
+++ b/crates/net/src/conn/tests.rs
@@ -44,8 +44,8 @@
         let mut draw = lynxstair::rng::Rng::new(seed);
         let mut source = Source(0, 0);
         for _ in 0..400 {
-            let n = draw.draw() as usize % (SMALL / 2);
-            match draw.draw() % 4 {
+            let n = draw.next_u32() as usize % (SMALL / 2);
+            match draw.next_u32() % 4 {
                 0 => {
                     source.1 = n;
                     let before = source.0;
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -11,7 +11,7 @@
 use crate::cancellation::CancelToken;
 use crate::pipeline::{AfterRequest, ResponsePipeline, Turn};
 
-/// What is told of the time that a connection may rest is so much less than the time itself.
+/// The advertised idle time-out of a connection is shorter than the real one by this margin.
 const KEEP_ALIVE_MARGIN: Span = Span::from_millis(1_000);
 
 /// The requests of one connection.
--- a/crates/proxy/src/client_reader.rs
+++ b/crates/proxy/src/client_reader.rs
@@ -20,9 +20,9 @@
 
 /// How many requests of one connection are in flight at once; the rest waits unread.
 const MAX_PIPELINED: usize = 16;
-/// A body is given so much longer than a head.
+/// How much longer a body may take than a head.
 const BODY_TIMEOUT: Span = Span::from_millis(10_000);
-/// After the last response a connection stays so long for its client to close it.
+/// How long a connection stays open after its last response, for its client to close it.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
 
 /// What follows from a look at what was read.
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -17,7 +17,7 @@
 
 /// How often heartbeats are sent.
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
-/// A connection whose heartbeats were not acknowledged for so long is closed.
+/// A connection is closed if its heartbeats are not acknowledged for this long.
 const ACKNOWLEDGEMENT_TIMEOUT: Span = Span::from_millis(2_600);
 /// A controller may be a region away.
 const RECONNECT: ReconnectPolicy = ReconnectPolicy {
@@ -30,14 +30,14 @@
 pub fn add_controllers(proxy: &Arc<Proxy>, controllers: &[SocketAddr]) -> bool {
     let now = proxy.alarms.now();
     let mut connections = proxy.control();
-    let mut is_news = false;
+    let mut has_new = false;
     for controller in controllers {
-        let Some(connection) = connections.peers.add(now, *controller) else { continue };
-        is_news = true;
+        let Some(connection) = connections.peer_set.add(now, *controller) else { continue };
+        has_new = true;
         let (proxy, controller) = (proxy.clone(), *controller);
         go("control connection", move || keep_subscribed(&proxy, controller, connection));
     }
-    is_news
+    has_new
 }
 
 /// Sends heartbeats and does the upkeep of connections, for ever; for a coroutine of its own. It begins after `offset`, so
@@ -55,7 +55,7 @@
 
 /// Looks at the settings file, which may change with a signal or without one: the seeds that it names are subscribed to.
 pub fn reload_settings(proxy: &Arc<Proxy>, trigger: ReloadTrigger) {
-    let is_isolated = proxy.control().peers.poll_isolated(proxy.alarms.now());
+    let is_isolated = proxy.control().peer_set.poll_isolated(proxy.alarms.now());
     let trigger = match trigger {
         ReloadTrigger::Periodic if is_isolated => ReloadTrigger::Isolated,
         trigger => trigger,
@@ -95,7 +95,7 @@
 fn keep_subscribed(proxy: &Arc<Proxy>, controller: SocketAddr, connection: ConnectionId) {
     let address = SocketAddr::new(controller.ip(), proxy.settings.ports.0);
     let mut is_first = true;
-    let is_wanted = || proxy.control().peers.is_current(controller, connection);
+    let is_wanted = || proxy.control().peer_set.is_current(controller, connection);
     transport::keep_connected(&proxy.alarms, address, RECONNECT, is_wanted, |conn| {
         // A proxy that begins needs all instances once; one that was cut off from a controller, what that one heard.
         let wants_instances = !is_first || !proxy.routing().has_instances();
@@ -105,7 +105,6 @@
         proxy.control().on_opened(controller, conn);
         send_heartbeat_on(proxy, conn);
         serve(proxy, conn);
-        conn.close();
         proxy.control().on_closed(conn);
         info!(controller = controller.to_string(); "control connection closed");
     });
--- a/crates/proxy/src/control_connections.rs
+++ b/crates/proxy/src/control_connections.rs
@@ -10,7 +10,7 @@
 use lynxstair_protocol::messages::{ProxyHeartbeat, Readiness, TenantUsage, ToController};
 use lynxstair_transport as transport;
 
-/// A connection with so many unsent bytes leads nowhere and is closed.
+/// A connection with more unsent bytes than this is closed: its other end does not read.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 /// A connection to one controller.
@@ -40,7 +40,7 @@
 /// All connections to controllers.
 pub struct ControlConnections {
     /// The controllers that connections are kept to.
-    pub peers: PeerSet,
+    pub peer_set: PeerSet,
     /// All controllers that there are, as the leader said last.
     named_by_leader: Vec<SocketAddr>,
     open: Vec<ControlConnection>,
@@ -71,7 +71,7 @@
 impl Default for ControlConnections {
     fn default() -> ControlConnections {
         ControlConnections {
-            peers: PeerSet::new(Time::default()),
+            peer_set: PeerSet::new(Time::default()),
             named_by_leader: Vec::new(),
             open: Vec::new(),
             unreported: UnreportedUsage::default(),
@@ -125,10 +125,10 @@
         if self.open.is_empty() {
             return;
         }
-        self.peers.on_connected(now);
-        self.open.iter().for_each(|connection| self.peers.on_heard(now, connection.controller));
+        self.peer_set.on_connected(now);
+        self.open.iter().for_each(|connection| self.peer_set.on_heard(now, connection.controller));
         let named = &self.named_by_leader;
-        self.peers.drop_unheard(now, |controller| named.contains(&controller));
+        self.peer_set.drop_unheard(now, |controller| named.contains(&controller));
     }
 
     /// Whether a leader does not know yet which shares of quotas are held here.
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -15,15 +15,15 @@
 use crate::routing_state::{AdmittedRequest, RequestInfo};
 use crate::worker_reply::WorkerReply;
 
-/// A response of the proxy itself comes so much before its client gives up.
+/// How long before the client's deadline the proxy itself responds.
 const DEADLINE_MARGIN: Span = Span::from_millis(4);
 /// The longest attempt id, in bytes.
 const MAX_ATTEMPT_ID: usize = 128;
-/// What a client does not read of a long response waits in so many bytes at most.
+/// The most bytes of a long response that wait for a client that reads slowly.
 const MAX_UNREAD_BYTES: usize = 256 << 10;
-/// How often it is looked whether a client has read on.
+/// How often it is checked whether the client has read on.
 const ROOM_INTERVAL: Span = Span::from_millis(5);
-/// A long response may end so long after the request's deadline.
+/// How long after the request's deadline a long response may end.
 const RELAY_GRACE: Span = Span::from_millis(500);
 
 /// A request as it was read.
--- a/crates/proxy/src/routing_state.rs
+++ b/crates/proxy/src/routing_state.rs
@@ -24,12 +24,13 @@
 const NOT_READY_RETRY_AFTER: Span = Span::from_millis(300);
 /// When a client may come back for whom no attempt may be made, as a fraction of the route's latency target.
 const RETRY_AFTER_PART: f64 = 0.25;
-/// What workers say arrives here, by way of the controllers, while these were heard within so long: some more than their
+/// If controllers were heard within this time, what workers report arrives here through them: somewhat more than the
 /// heartbeat interval.
 const CONTROLLER_CONTACT: Span = Span::from_millis(1_700);
-/// A proxy is ready for clients while its configuration was confirmed within so long.
+/// A proxy is ready for clients if its configuration was confirmed within this time.
 const READY_FRESHNESS: Span = Span::from_millis(3_000);
-/// Instances are forgotten as if workers sent a heartbeat so seldom: who is unresponsive is the controllers' to tell.
+/// The heartbeat period that the registry of a proxy goes by. It is very long, so that silence alone never makes an instance
+/// unresponsive here: that is for the controllers to decide.
 const REGISTRY_HEARTBEAT_PERIOD: Span = Span::from_millis(3_600_000);
 
 /// What a request asks for, as its head says.
@@ -292,7 +293,7 @@
         if let [(service, _)] = services {
             return service.clone();
         }
-        let mut point = self.rng.unit() * services.iter().map(|(_, weight)| weight).sum::<f64>();
+        let mut point = self.rng.next_f64() * services.iter().map(|(_, weight)| weight).sum::<f64>();
         let drawn = services.iter().find(|(_, weight)| {
             point -= weight;
             point < 0.0
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -33,9 +33,11 @@
 const END_PART: f64 = 0.9;
 /// How often a proxy that is closing looks whether its clients are gone.
 const CLOSING_INTERVAL: Span = Span::from_millis(20);
-/// Heartbeats begin so long after the start at the least, and within so many milliseconds from then on.
+/// The first heartbeat is sent at a random time after the start: no earlier than this,
 const MIN_HEARTBEAT_OFFSET_MS: u64 = 200;
+/// and within this time from then on, so that proxies that start together do not send together.
 const HEARTBEAT_SPREAD_MS: u64 = 800;
+/// Limits of the readiness address.
 const READINESS_LIMITS: Most = Most { body: 1024, connections: 64 };
 
 /// Serves until the process is told to end.
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -457,7 +457,7 @@
                 let id = format!("id-{round}-{n}");
                 let cancel = Arc::new(CancelToken::default());
                 tokens.lock().expect("tokens").insert(id.clone(), cancel.clone());
-                let heard = rig.send(true, &id, rng.draw() as usize % 40, rig.after(20_000), &cancel);
+                let heard = rig.send(true, &id, rng.next_u32() as usize % 40, rig.after(20_000), &cancel);
                 (id, heard)
             })
             .collect();
@@ -486,7 +486,7 @@
     let mut before = "none".to_string();
     while let Some(message) = Message::read(&mut reader) {
         let id = message.header("attempt-id").to_string();
-        let what = rng.draw() % 12;
+        let what = rng.next_u32() % 12;
         if what != 0 {
             ran.lock().expect("ran").push(id.clone());
         }
@@ -506,7 +506,7 @@
         if what == 7 {
             tokens.lock().expect("tokens")[&id].cancel();
         }
-        let (first, rest) = said.split_at(rng.draw() as usize % said.len());
+        let (first, rest) = said.split_at(rng.next_u32() as usize % said.len());
         let _ = (&mut &*stream).write_all(first.as_bytes());
         let _ = (&mut &*stream).write_all(rest.as_bytes());
         if what == 5 || what == 6 {
--- a/crates/proxy/tests/pipeline.rs
+++ b/crates/proxy/tests/pipeline.rs
@@ -26,7 +26,7 @@
         let mut written: Vec<u64> = Vec::new();
         let (mut over, mut is_closing, mut last) = (false, false, None);
         for _ in 0..60 {
-            let pick = rng.draw() as usize;
+            let pick = rng.next_u32() as usize;
             match pick % 12 {
                 0..=3 if pipeline.accepts_requests() => {
                     let is_last = (pick / 12).is_multiple_of(9);
--- a/crates/routing/src/config_lease.rs
+++ b/crates/routing/src/config_lease.rs
@@ -21,11 +21,6 @@
         }
     }
 
-    /// When the configuration was last certain to be the newest.
-    pub fn confirmed_at(&self) -> Option<Time> {
-        self.confirmed_at
-    }
-
     /// Whether requests of tenants may go to workers, where a revoked key may work for no longer than `revoke` anywhere;
     /// None where that binds only proxies in touch with the controllers.
     pub fn is_valid(&self, now: Time, revoke: Option<Span>) -> bool {
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -9,32 +9,32 @@
 use std::sync::Arc;
 
 use lynxstair::types::{
-    Arrival, CellId, CustomerId, InvId, KindId, Listed, Operation, OperationId, Outcome, Phase, Plan, PlanId,
-    Repeat, Scope, Settings, Span, Time, WorkerId, ZoneId,
+    CellId, Idempotency, KindId, ListUpdate, Operation, OperationId, Outcome, Plan, PlanId, Request,
+    RequestId, Settings, Span, TenantId, Time, WorkerId, WorkerInfo, WorkerPhase, ZoneId,
 };
 use lynxstair_config::configuration::{Configuration, RouteKind};
 use lynxstair_control_state::instance_registry::RegisteredInstance;
-use lynxstair_dispatch::{Dispatcher, Order, Pick as Picked};
+use lynxstair_dispatch::{Assignment, Decision, Dispatcher};
 use lynxstair_protocol::messages::InstanceState;
 
 use crate::slow_start::{SlowStart, WarmUpKnowledge};
 
-/// How far apart events may be and still count as one moment for the module.
+/// Events closer together than this count as simultaneous for the decision module.
 const STEP: Span = Span::from_millis(1);
-/// The least concurrency that the module allows at a worker, over all proxies, is less than what a worker answers within the
-/// routes' targets: it is told of so many times fewer proxies.
+/// The decision module is told of this many times fewer proxies than there are: the least concurrency that it allows at a
+/// worker, over all proxies, is less than what a worker answers within the routes' targets.
 const CONCURRENCY_FACTOR: u32 = 2;
-/// When a client is to come back where every locality is full, as a fraction of the route's target,
+/// `Retry-After` if every locality is full, as a fraction of the route's latency target.
 const RETRY_AFTER_PART: f64 = 0.25;
-/// and at the least.
+/// The shortest one.
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
-/// A locality tells at most so many kinds of work apart: the module numbers them in a byte.
+/// The most kinds of work per service: the decision module numbers them in a byte.
 const MAX_WORK_KINDS: usize = 200;
-/// The module gives an attempt up after so many times the target.
+/// The decision module gives an attempt up after this many times the target.
 const TIMEOUT_TARGETS: f64 = 4.0;
-/// What a late response is worth to the module, as a fraction.
+/// What a late response is worth to the decision module, as a fraction.
 const LATE_SHARE: f32 = 0.3;
-/// For how long the module counts on an idle connection.
+/// How long the decision module counts on an idle connection.
 const IDLE_CONNECTION: Span = Span::from_millis(6_000);
 
 /// A worker instance that requests are sent to.
@@ -56,7 +56,7 @@
 struct Endpoint {
     worker: Arc<Worker>,
     warming_until: Time,
-    phase: Phase,
+    phase: WorkerPhase,
     weight: f32,
 }
 
@@ -87,7 +87,7 @@
 /// A worker that was picked for an attempt; the attempt's end is reported by it.
 pub struct PickedEndpoint {
     locality: LocalityKey,
-    order: Order<()>,
+    assignment: Assignment<()>,
     /// The worker.
     pub worker: Arc<Worker>,
     picked_at: Time,
@@ -130,14 +130,14 @@
         slow_start: SlowStart,
     ) -> Self {
         let near: Vec<String> = zones.iter().filter(|(_, r)| r == region).map(|(z, _)| z.clone()).collect();
-        let mut order: Vec<String> = zones.iter().map(|(z, _)| z.clone()).collect();
+        let mut assignment: Vec<String> = zones.iter().map(|(z, _)| z.clone()).collect();
         // From the own zone on, near ones first, and of the others each proxy begins with another.
-        let turn = if order.is_empty() { 0 } else { seed as usize % order.len() };
-        order.rotate_left(turn);
-        order.sort_by_key(|z| (z != zone, !near.contains(z)));
+        let turn = if assignment.is_empty() { 0 } else { seed as usize % assignment.len() };
+        assignment.rotate_left(turn);
+        assignment.sort_by_key(|z| (z != zone, !near.contains(z)));
         LocalityBalancer {
             seed,
-            zones: order,
+            zones: assignment,
             own_zone: zone.to_string(),
             near_zones: near,
             proxies: HashMap::new(),
@@ -190,9 +190,9 @@
             let Some(old) = self.localities.remove(&key) else { continue };
             let dispatcher = self.new_dispatcher(now, &key);
             let locality = Locality { dispatcher, endpoints: old.endpoints };
-            let all: Vec<Listed> =
-                locality.endpoints.values().map(|endpoint| endpoint.listed(endpoint.phase)).collect();
-            locality.dispatcher.listed(now, Scope::Full, &all);
+            let all: Vec<WorkerInfo> =
+                locality.endpoints.values().map(|endpoint| endpoint.worker_info(endpoint.phase)).collect();
+            locality.dispatcher.update_workers(now, ListUpdate::Full, &all);
             self.localities.insert(key, locality);
         }
     }
@@ -211,18 +211,22 @@
         let operation = |(kind, target): &(RouteKind, Span)| Operation {
             latency_objective: *target,
             integration_timeout: target.times(TIMEOUT_TARGETS),
-            late_share: LATE_SHARE,
+            late_value: LATE_SHARE,
             billed_value: 1.0,
-            repeat: if kind.is_idempotent() { Repeat::Idempotent } else { Repeat::NonIdempotent },
+            idempotency: if kind.is_idempotent() {
+                Idempotency::Idempotent
+            } else {
+                Idempotency::NonIdempotent
+            },
         };
         let settings = Settings {
             gatekeepers: self.proxies_sending_to(zone).div_ceil(CONCURRENCY_FACTOR),
             step: STEP,
             operations: self.work.get(service).map_or(Vec::new(), |w| w.iter().map(operation).collect()),
             plans: vec![Plan::default()],
-            idle: IDLE_CONNECTION,
-            max_deliveries: 1,
-            start_share: 1.0,
+            idle_timeout: IDLE_CONNECTION,
+            max_attempts: 1,
+            cold_capacity: 1.0,
             ..Settings::default()
         };
         let seed = self.seed ^ self.localities.len() as u64;
@@ -255,10 +259,10 @@
                 number,
             }),
             warming_until: instance.warming_until,
-            phase: if is_ready { Phase::Ready } else { Phase::Draining },
+            phase: if is_ready { WorkerPhase::Ready } else { WorkerPhase::Draining },
             weight: instance.capacity.max(1) as f32,
         };
-        locality.dispatcher.listed(now, Scope::Delta, &[endpoint.listed(endpoint.phase)]);
+        locality.dispatcher.update_workers(now, ListUpdate::Delta, &[endpoint.worker_info(endpoint.phase)]);
         locality.endpoints.insert(number, endpoint);
     }
 
@@ -267,7 +271,11 @@
         if let Some(locality) = self.localities.get_mut(key)
             && let Some(endpoint) = locality.endpoints.remove(&number)
         {
-            locality.dispatcher.listed(now, Scope::Delta, &[endpoint.listed(Phase::Gone)]);
+            locality.dispatcher.update_workers(
+                now,
+                ListUpdate::Delta,
+                &[endpoint.worker_info(WorkerPhase::Removed)],
+            );
         }
     }
 
@@ -281,10 +289,10 @@
         let kinds = self.work.get(query.service);
         let kind = kinds.and_then(|w| w.iter().position(|kind| *kind == (query.kind, query.target)));
         let Some(kind) = kind else { return Pick::Full(MIN_RETRY_AFTER) };
-        let arrival = Arrival {
-            inv: InvId::default(),
-            valid_until: query.deadline,
-            customer: CustomerId(0),
+        let request = Request {
+            id: RequestId::default(),
+            deadline: query.deadline,
+            tenant: TenantId(0),
             operation: OperationId(kind as u8),
             plan: PlanId(0),
             spread: 1.0,
@@ -296,7 +304,7 @@
                 continue;
             }
             let knowledge = warm_up(&self.zones[n]);
-            if let Some(picked) = self.pick_in_zone(now, n, query, arrival, rate, knowledge) {
+            if let Some(picked) = self.pick_in_zone(now, n, query, request, rate, knowledge) {
                 return Pick::Endpoint(Box::new(picked));
             }
         }
@@ -308,7 +316,7 @@
         now: Time,
         zone: usize,
         query: &EndpointQuery,
-        arrival: Arrival,
+        request: Request,
         rate: f64,
         knowledge: WarmUpKnowledge,
     ) -> Option<PickedEndpoint> {
@@ -321,7 +329,7 @@
         let may_be_cold = knowledge == WarmUpKnowledge::NotYetReported;
         let is_unknown = is_own_zone && knowledge == WarmUpKnowledge::Unknown;
         let mut held_back = Vec::new();
-        for endpoint in locality.endpoints.values().filter(|e| e.phase == Phase::Ready) {
+        for endpoint in locality.endpoints.values().filter(|e| e.phase == WorkerPhase::Ready) {
             let is_warming = may_be_cold || now < endpoint.warming_until;
             let was_tried = query.tried.iter().any(|t| t.number == endpoint.worker.number);
             let id = &endpoint.worker.id;
@@ -329,16 +337,16 @@
                 || is_warming && !self.slow_start.admits(now, id, rate, proxies)
                 || is_unknown && !self.slow_start.admits_unknown(now, id, rate, proxies)
             {
-                held_back.push(endpoint.listed(Phase::Draining));
+                held_back.push(endpoint.worker_info(WorkerPhase::Draining));
             }
         }
         if held_back.len() == locality.endpoints.len() {
             return None;
         }
-        let (invocation, picked) = locality.pick_without(now, arrival, held_back);
-        let Picked::Deliver(order) = picked else { return None };
-        let Some(endpoint) = locality.endpoints.get(&order.worker) else {
-            locality.dispatcher.gone(now, invocation);
+        let (request_id, picked) = locality.pick_without(now, request, held_back);
+        let Decision::Forward(assignment) = picked else { return None };
+        let Some(endpoint) = locality.endpoints.get(&assignment.worker) else {
+            locality.dispatcher.end_request(now, request_id);
             return None;
         };
         if may_be_cold || now < endpoint.warming_until {
@@ -348,14 +356,14 @@
             self.slow_start.spend_unknown(&endpoint.worker.id);
         }
         let worker = endpoint.worker.clone();
-        Some(PickedEndpoint { locality: key, order, worker, picked_at: now })
+        Some(PickedEndpoint { locality: key, assignment, worker, picked_at: now })
     }
 
     /// An attempt at a picked worker has ended.
     pub fn report(&mut self, now: Time, picked: &PickedEndpoint, outcome: Outcome) {
         if let Some(locality) = self.localities.get(&picked.locality) {
-            locality.dispatcher.report(now, &picked.order, outcome, now - picked.picked_at, None);
-            locality.dispatcher.gone(now, picked.order.inv);
+            locality.dispatcher.report(now, &picked.assignment, outcome, now - picked.picked_at, None);
+            locality.dispatcher.end_request(now, picked.assignment.request_id);
         }
     }
 
@@ -375,28 +383,33 @@
 
 impl Locality {
     /// Has the module pick a worker, but none of those that are held back.
-    fn pick_without(&self, now: Time, arrival: Arrival, mut held_back: Vec<Listed>) -> (InvId, Picked<()>) {
+    fn pick_without(
+        &self,
+        now: Time,
+        request: Request,
+        mut held_back: Vec<WorkerInfo>,
+    ) -> (RequestId, Decision<()>) {
         if held_back.is_empty() {
-            return self.dispatcher.pick(now, arrival, ());
+            return self.dispatcher.dispatch(now, request, ());
         }
-        self.dispatcher.listed(now, Scope::Delta, &held_back);
-        let picked = self.dispatcher.pick(now, arrival, ());
-        held_back.iter_mut().for_each(|listed| listed.phase = Phase::Ready);
-        self.dispatcher.listed(now, Scope::Delta, &held_back);
+        self.dispatcher.update_workers(now, ListUpdate::Delta, &held_back);
+        let picked = self.dispatcher.dispatch(now, request, ());
+        held_back.iter_mut().for_each(|worker_info| worker_info.phase = WorkerPhase::Ready);
+        self.dispatcher.update_workers(now, ListUpdate::Delta, &held_back);
         picked
     }
 }
 
 impl Endpoint {
     /// The worker as the module is told of it.
-    fn listed(&self, phase: Phase) -> Listed {
-        Listed {
+    fn worker_info(&self, phase: WorkerPhase) -> WorkerInfo {
+        WorkerInfo {
             worker: self.worker.number,
             zone: ZoneId(0),
             kind: KindId(0),
             cell: CellId(0),
             phase,
-            heft: self.weight,
+            weight: self.weight,
             started_at: None,
         }
     }
--- a/crates/routing/src/proxy_counts.rs
+++ b/crates/routing/src/proxy_counts.rs
@@ -3,8 +3,8 @@
 
 use lynxstair::types::{Span, Time};
 
-/// For so long a smaller count has to stand before it is used. A leader that has just begun, or was partitioned off from
-/// some proxies, counts those that it has found so far; each proxy would take more than its part by that.
+/// How long a smaller count has to stand before it is used. A leader that has just begun, or was partitioned off from some
+/// proxies, counts only those that it has found so far; by that count each proxy would take more than its part.
 const SETTLE_TIME: Span = Span::from_millis(4_000);
 /// A leader tells each count once; of more counts within that time the oldest is dropped.
 const MAX_REPORTS: usize = 64;
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use lynxstair::state::Store;
+use lynxstair::state::TokenBucket;
 use lynxstair::types::{Span, Time};
 
 /// The fraction of a warming worker's rate that is used.
@@ -11,17 +11,17 @@
 /// Requests that may go to it at once, and those that may go at first.
 const BURST: f64 = 1.5;
 const INITIAL_TOKENS: f64 = 0.5;
-/// After the evacuation of a zone ends its workers may be cold and not have said so: for so long, in heartbeat periods, they
-/// count as warming up.
+/// After the evacuation of a zone ends, its workers may be cold and not have reported it yet: how long they count as warming
+/// up, in heartbeat periods.
 const UNREPORTED_HEARTBEATS: f64 = 1.6;
 
-/// While the controllers are out of reach, a worker may have started to warm up, or its zone have been evacuated and
-/// restored, and nobody here be told: no worker of the own zone gets more then than a warming one may get in a second. This
-/// fraction of it goes at a steady rate,
+/// While the controllers are out of reach, a worker may have started to warm up, or its zone may have been evacuated and
+/// restored, unknown to this proxy. Each worker of the own zone then gets no more than a warming one may get in a second:
+/// this fraction of it as a steady rate,
 const UNKNOWN_RATE_PART: f64 = 0.65;
-/// and this fraction at once.
+/// and this fraction as a burst.
 const UNKNOWN_BURST_PART: f64 = 0.25;
-/// What one worker got meanwhile is forgotten so long after.
+/// How long after that the count of a worker is forgotten.
 const UNKNOWN_RETENTION: Span = Span::from_millis(5_000);
 
 /// What is known here of how warm the workers of a zone are.
@@ -38,8 +38,8 @@
 /// Token buckets of the workers that are, or may be, warming up.
 #[derive(Default)]
 pub struct SlowStart {
-    warming: HashMap<String, Store>,
-    unknown: HashMap<String, Store>,
+    warming: HashMap<String, TokenBucket>,
+    unknown: HashMap<String, TokenBucket>,
     overshoot: f64,
     slack: f64,
 }
@@ -56,14 +56,15 @@
     pub fn admits_unknown(&mut self, now: Time, worker: &str, rate: f64, proxies: u32) -> bool {
         let own = (rate * self.overshoot + self.slack) / f64::from(proxies.max(1));
         let burst = (own * UNKNOWN_BURST_PART).max(1.0);
-        let store = self.unknown.entry(worker.to_string()).or_insert(Store { level: 1.0, at: now });
-        store.fill(now, own * UNKNOWN_RATE_PART, burst) >= 1.0
+        let bucket =
+            self.unknown.entry(worker.to_string()).or_insert(TokenBucket { level: 1.0, refilled_at: now });
+        bucket.refill(now, own * UNKNOWN_RATE_PART, burst) >= 1.0
     }
 
     /// A request went to it.
     pub fn spend_unknown(&mut self, worker: &str) {
-        if let Some(store) = self.unknown.get_mut(worker) {
-            store.level -= 1.0;
+        if let Some(bucket) = self.unknown.get_mut(worker) {
+            bucket.level -= 1.0;
         }
     }
 
@@ -73,21 +74,21 @@
             return false;
         }
         let own = rate * USED_PART / f64::from(proxies);
-        let new = Store { level: INITIAL_TOKENS, at: now };
-        let store = self.warming.entry(worker.to_string()).or_insert(new);
-        store.fill(now, own, BURST) >= 1.0
+        let new = TokenBucket { level: INITIAL_TOKENS, refilled_at: now };
+        let bucket = self.warming.entry(worker.to_string()).or_insert(new);
+        bucket.refill(now, own, BURST) >= 1.0
     }
 
     /// A request went to it.
     pub fn spend(&mut self, worker: &str) {
-        if let Some(store) = self.warming.get_mut(worker) {
-            store.level -= 1.0;
+        if let Some(bucket) = self.warming.get_mut(worker) {
+            bucket.level -= 1.0;
         }
     }
 
     /// Forgets workers that are warm or gone, and what was counted while the controllers were out of reach.
     pub fn expire(&mut self, now: Time, is_warming: impl Fn(&str) -> bool) {
-        self.unknown.retain(|_, store| now - store.at < UNKNOWN_RETENTION);
+        self.unknown.retain(|_, bucket| now - bucket.refilled_at < UNKNOWN_RETENTION);
         self.warming.retain(|worker, _| is_warming(worker));
     }
 
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -4,28 +4,29 @@
 
 use std::collections::HashMap;
 
-use lynxstair::state::Store;
+use lynxstair::state::TokenBucket;
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
 use lynxstair_control_state::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
-/// A share stands for so long without the allocator's word; then an even share is the most.
+/// How long a share is valid without being renewed by the allocator; after that it is capped at an even share.
 const SHARE_VALIDITY: Span = Span::from_millis(2_500);
-/// The most that a client is told to wait while a tenant is blocked: a second (design page).
+/// The longest `Retry-After` while a tenant is blocked (docs/design.md).
 const MAX_BLOCKED_WAIT: Span = Span::from_millis(1_000);
+/// The shortest one.
 const MIN_BLOCKED_WAIT: Span = Span::from_millis(1);
 /// The least depth where a tenant was blocked lately, in tokens.
 const MIN_THROTTLED_DEPTH: f64 = 1.0;
-/// Before it is told how many proxies there are, a proxy takes them for this many: after a start of all at once each would
-/// else spend the whole.
+/// The assumed number of proxies until the leader tells it: after a start of all at once each would otherwise spend the
+/// whole quota.
 const INITIAL_PROXIES: f64 = 12.0;
 /// A new bucket begins with this many tokens at the least.
 const MIN_INITIAL_TOKENS: f64 = 2.0;
 
 #[derive(Default)]
-struct TokenBucket {
-    tokens: Store,
+struct TenantBucket {
+    tokens: TokenBucket,
     /// The share of the quota that was given, and when.
     share: Option<(f64, Time)>,
     blocked_until: Time,
@@ -34,7 +35,7 @@
     rejected: u32,
 }
 
-impl TokenBucket {
+impl TenantBucket {
     fn share(&self, now: Time, proxies: f64) -> f64 {
         let even = 1.0 / proxies;
         match self.share {
@@ -47,7 +48,7 @@
 
 /// The buckets of all tenants at this proxy.
 pub struct TokenBuckets {
-    buckets: HashMap<String, TokenBucket>,
+    buckets: HashMap<String, TenantBucket>,
     proxies: f64,
     /// Requests that the operators grant beyond the quota in a window, over all proxies.
     slack: f64,
@@ -72,16 +73,16 @@
             return Ok(());
         }
         let proxies = self.proxies;
-        let bucket = self.buckets.entry(tenant.name.clone()).or_insert_with(|| TokenBucket {
+        let bucket = self.buckets.entry(tenant.name.clone()).or_insert_with(|| TenantBucket {
             // The burst is split over the proxies.
-            tokens: Store { level: (tenant.burst / proxies).max(MIN_INITIAL_TOKENS), at: now },
-            ..TokenBucket::default()
+            tokens: TokenBucket { level: (tenant.burst / proxies).max(MIN_INITIAL_TOKENS), refilled_at: now },
+            ..TenantBucket::default()
         });
         let share = bucket.share(now, proxies);
         let rate = tenant.rate * share * (1.0 + self.overshoot * OVERSHOOT_PART);
         let depth = tenant.burst * share + self.slack * SLACK_PART / proxies;
         let min_depth = if now < bucket.throttled_until { MIN_THROTTLED_DEPTH } else { MIN_DEPTH };
-        let level = bucket.tokens.fill(now, rate, depth.max(min_depth));
+        let level = bucket.tokens.refill(now, rate, depth.max(min_depth));
         if now < bucket.blocked_until {
             // Nothing is saved up meanwhile.
             bucket.tokens.level = level.min(0.0);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,8 @@
 //! The decisions of one gatekeeper.
 //!
-//! A front calls the methods of [`Gatekeeper`] with what it hears; each answers at once through the
-//! [`Port`] it is handed (src/port.rs). What is remembered is in src/state.rs. Nothing here knows a
-//! protocol, a deployment or another instance. docs/design.md says what is kept of the design page,
-//! what was added, and when each exception acts.
+//! A caller reports events by the methods of [`Gatekeeper`]; each decides at once and answers through a [`Port`]. What is
+//! remembered is in `src/state.rs`. Nothing here knows a protocol, a deployment or another instance. `docs/design.md` says
+//! what is kept of the operators' design, what was added, and when each exception acts.
 
 mod deliveries;
 mod quota;
@@ -14,255 +13,246 @@
 use crate::port::Port;
 use crate::rng::Rng;
 use crate::state::{
-    Customer, Delivery, DeliveryKey, Figures, Instance, Invocation, OperationFigures, PlanFigures, Shared,
-    Stage, Store, Worker,
+    Attempt, AttemptKey, DerivedSettings, GatekeeperState, OpenRequest, OperationLimits, PlanLimits,
+    RequestStage, Tenant, TokenBucket, WorkKind, Worker,
 };
 use crate::types::{
-    Arrival, CountName, CustomerId, DeliveryNo, Ended, Group, InvId, Listed, Operation, OperationId, Outcome,
-    Phase, Plan, PlanId, Repeat, Scope, Settings, Span, Time, TimerTag, Wake, WorkerId,
+    AttemptNumber, AttemptReport, CounterKey, DedupScope, Idempotency, ListUpdate, OperationId, Outcome,
+    Plan, Request, RequestId, Settings, Span, TenantId, Time, TimerEvent, TimerTag, WorkerId, WorkerInfo,
+    WorkerPhase,
 };
 
 use quota::*;
 use workers::*;
 
-/// How often a customer's use is reported (design page).
-const ROUND: Span = Span::from_millis(1000);
-const CALLS_FIRST: f64 = 100.0;
-/// A customer not heard of for this long is dropped once its bucket is full.
-const IDLE: Span = Span::from_millis(20_000);
-/// Where the fleet is full, a client is told to come back after this many usual latencies.
-const COME_BACK: f64 = 0.3;
-/// Further deliveries that one invocation pays for, and the most that can be saved up.
-const SPARE_EACH: f64 = 0.3;
-const SPARE_MOST: f64 = 10.0;
-/// Usual latencies of silence that speak against a worker, and after which a delivery is looked at again.
-const SILENT: f64 = 4.0;
-/// A beat that comes this much late tells that the gatekeeper stood still.
-const BEAT: Span = Span::from_millis(200);
-const STOOD: Span = Span::from_millis(100);
-const FRESH: f64 = 0.1;
-/// The part of the multiple that pushes a cold worker over that is made use of, and what it may get at once.
-const COLD_PART: f64 = 0.6;
-/// How many sizes of an operation are told apart, larger ones going with the last; and the part of the
-/// objective that is taken for usual before any latency is known.
-const SIZES: usize = 17;
-const USUAL_AT_FIRST: f64 = 0.1;
+/// How often a tenant's use is reported (the operators' design).
+const REPORT_INTERVAL: Span = Span::from_millis(1000);
+/// Calls to the counter in a second at first, over the square root of the number of gatekeepers.
+const INITIAL_CALL_RATE: f64 = 100.0;
+/// A tenant that has sent nothing for this long is dropped once its bucket is full.
+const TENANT_RETENTION: Span = Span::from_millis(20_000);
+/// `Retry-After` where all workers are full, in typical latencies.
+const RETRY_AFTER_LATENCIES: f64 = 0.3;
+/// Retries that one request earns, and the most that can be saved up.
+const RETRIES_PER_REQUEST: f64 = 0.3;
+const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Typical latencies of silence that make a worker unhealthy, and after which an attempt is checked on.
+const SILENCE_LATENCIES: f64 = 4.0;
+/// How often the periodic upkeep runs. Where it is late by the threshold, the process had stalled.
+const TICK_INTERVAL: Span = Span::from_millis(200);
+const STALL_THRESHOLD: Span = Span::from_millis(100);
+/// The weight of a new sample in a running mean.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// The fraction of the multiple that overloads a cold worker which is made use of.
+const COLD_HEADROOM_PART: f64 = 0.6;
+/// How many sizes of requests are told apart; and the typical latency before any is known, as a fraction of the objective.
+const SIZE_CLASSES: usize = 17;
+const INITIAL_LATENCY_PART: f64 = 0.1;
 
+/// One gatekeeper's decisions, with all that it remembers.
 pub struct Gatekeeper {
-    figures: Figures,
+    settings: DerivedSettings,
     rng: Rng,
-    instance: Instance,
+    state: GatekeeperState,
     workers: BTreeMap<WorkerId, Worker>,
-    customers: BTreeMap<CustomerId, Customer>,
-    invocations: HashMap<InvId, Invocation>,
-    deliveries: HashMap<DeliveryKey, Delivery>,
+    tenants: BTreeMap<TenantId, Tenant>,
+    requests: HashMap<RequestId, OpenRequest>,
+    attempts: HashMap<AttemptKey, Attempt>,
 }
 
-fn derive(s: &Settings) -> Figures {
-    let plan = |p: &Plan| {
-        let (rate, burst) = (p.rate.max(0.0), p.burst.max(0.0));
-        let fill = Span::from_secs(if rate > 0.0 { burst / rate } else { 0.0 });
-        let window = fill.max(ROUND.times(WINDOW_ROUNDS)).min(LONGEST_KEPT.times(0.5));
-        PlanFigures {
-            rate: Some(rate).filter(|r| *r > 0.0),
-            burst,
-            open: p.open,
-            ceiling_rate: p.ceiling_rate.max(0.0),
-            ceiling_burst: p.ceiling_burst.max(0.0),
-            window,
-            allowance: burst + rate * window.secs(),
-            keep: (window.times(2.0)).min(LONGEST_KEPT),
-        }
-    };
-    let operation = |o: &Operation| OperationFigures {
-        objective: o.latency_objective,
-        late_pays: o.late_share > 0.0,
-        repeat: o.repeat,
-    };
-    Figures {
-        gatekeepers: f64::from(s.gatekeepers.max(1)),
-        margin: s.step.times(2.0) + Span::from_millis(2),
-        operations: s.operations.iter().map(operation).collect(),
-        plans: s.plans.iter().map(plan).collect(),
-        counter: s.counter,
-        counter_timeout: s.counter_timeout,
-        idle: s.idle,
-        probes: s.probes,
-        cancel: s.cancel,
-        retry_after: Some(s.max_retry_after).filter(|_| s.retry_after),
-        second_copies: s.second_copies,
-        max_deliveries: s.max_deliveries.max(1) as usize,
-        start_share: s.start_share.clamp(0.01, 1.0),
-        warm_within: s.warm_within,
-        cold_headroom: (s.fall_multiple * COLD_PART).max(1.0),
-        trickle: 1.0 / s.fall.secs().max(1.0) / f64::from(s.gatekeepers.max(1)),
-        retry_subscription: s.must_ask_in.times(0.1).max(Span::from_millis(200)),
+fn plan_limits(plan: &Plan) -> PlanLimits {
+    let fill_time = if plan.rate > 0.0 { plan.burst.max(0.0) / plan.rate } else { 0.0 };
+    let shortest = REPORT_INTERVAL.times(MIN_WINDOW_INTERVALS);
+    let window = Span::from_secs(fill_time).max(shortest).min(MAX_RETENTION.times(0.5));
+    PlanLimits::new(plan, window, window.times(2.0).min(MAX_RETENTION))
+}
+
+fn derive(settings: &Settings) -> DerivedSettings {
+    let gatekeepers = f64::from(settings.gatekeepers.max(1));
+    DerivedSettings {
+        gatekeepers,
+        margin: settings.step.times(2.0) + Span::from_millis(2),
+        operations: settings.operations.iter().map(OperationLimits::from).collect(),
+        plans: settings.plans.iter().map(plan_limits).collect(),
+        has_counter: settings.has_counter,
+        counter_timeout: settings.counter_timeout,
+        idle_timeout: settings.idle_timeout,
+        has_health_checks: settings.has_health_checks,
+        can_cancel: settings.can_cancel,
+        max_retry_after: Some(settings.max_retry_after).filter(|_| settings.sends_retry_after),
+        allows_hedging: settings.allows_hedging,
+        max_attempts: settings.max_attempts.max(1) as usize,
+        cold_capacity: settings.cold_capacity.clamp(0.01, 1.0),
+        warm_up: settings.warm_up,
+        cold_headroom: (settings.overload_multiple * COLD_HEADROOM_PART).max(1.0),
+        min_cold_rate: 1.0 / settings.overload_recovery.secs().max(1.0) / gatekeepers,
+        resubscribe_after: settings.subscribe_within.times(0.1).max(Span::from_millis(200)),
     }
 }
 
 impl Gatekeeper {
-    pub fn start(now: Time, seed: u64, settings: &Settings, port: &mut impl Port) -> Self {
-        if settings.list_is_asked {
+    /// A gatekeeper that knows no worker and no tenant yet. `seed`: of its draws.
+    pub fn new(now: Time, seed: u64, settings: &Settings, port: &mut impl Port) -> Self {
+        if settings.must_subscribe {
             port.subscribe();
         }
-        port.set_timer(BEAT, Wake::Beat.tag());
-        let figures = derive(settings);
-        let usual = |o: &OperationFigures| vec![o.objective.secs() * USUAL_AT_FIRST; SIZES];
-        let usual = figures.operations.iter().map(usual).collect();
-        let call_rate = CALLS_FIRST / figures.gatekeepers.sqrt();
-        let patience = settings.operations.iter().map(|o| o.integration_timeout.secs()).collect();
+        port.set_timer(TICK_INTERVAL, TimerEvent::Tick.tag());
+        let client_timeouts = settings.operations.iter().map(|o| o.integration_timeout.secs()).collect();
+        let settings = derive(settings);
+        let latencies = |o: &OperationLimits| vec![o.objective.secs() * INITIAL_LATENCY_PART; SIZE_CLASSES];
+        let state = GatekeeperState {
+            retry_budget: MAX_RETRY_BUDGET,
+            rate_at: now,
+            typical_latency_s: settings.operations.iter().map(latencies).collect(),
+            call_rate: INITIAL_CALL_RATE / settings.gatekeepers.sqrt(),
+            tick_due: now + TICK_INTERVAL,
+            client_timeout_s: client_timeouts,
+            ..GatekeeperState::default()
+        };
         Gatekeeper {
-            figures,
+            settings,
             rng: Rng::new(seed),
-            instance: Instance {
-                spare: SPARE_MOST,
-                carried_at: now,
-                usual,
-                call_rate,
-                beat_due: now + BEAT,
-                patience,
-                ..Instance::default()
-            },
+            state,
             workers: BTreeMap::new(),
-            customers: BTreeMap::new(),
-            invocations: HashMap::new(),
-            deliveries: HashMap::new(),
+            tenants: BTreeMap::new(),
+            requests: HashMap::new(),
+            attempts: HashMap::new(),
         }
     }
 
-    // ---- the ordinary path ----
-
-    pub fn invoke(&mut self, now: Time, arrival: &Arrival, port: &mut impl Port) {
-        let inv = arrival.inv;
-        let (operations, plans) = (self.figures.operations.len(), self.figures.plans.len());
-        if arrival.operation.0 as usize >= operations || arrival.plan.0 as usize >= plans {
-            return port.error(inv);
+    /// A request has arrived: it is sent to a worker or throttled, at once. This is the ordinary path, from top to bottom.
+    pub fn on_request(&mut self, now: Time, request: &Request, port: &mut impl Port) {
+        let id = request.id;
+        let (operations, plans) = (self.settings.operations.len(), self.settings.plans.len());
+        if request.operation.0 as usize >= operations || request.plan.0 as usize >= plans {
+            return port.fail(id);
         }
-        self.look_up(now);
-        let units = arrival.units();
+        self.detect_stall(now);
+        let units = request.units();
 
-        // The quota: the window's throttle, then the local bucket, then the guards.
-        self.reckon(now, arrival);
-        self.ask_for_report(now, arrival.customer, port);
-        if let Err(wait) = self.admits(now, arrival, units) {
-            return port.throttle(inv, self.advice(wait));
+        // The quota: the window's throttle, then the local bucket, then the other limits.
+        self.refresh_tenant(now, request);
+        self.schedule_report(now, request.tenant, port);
+        if let Err(wait) = self.check_quota(now, request, units) {
+            return port.throttle(id, self.retry_after(wait));
         }
 
-        // The worker: none free means that the fleet is full, and one more would only be late.
-        let mut invocation = Invocation {
-            operation: arrival.operation,
-            plan: arrival.plan,
-            customer: arrival.customer,
+        // The worker: if none is free, one request more would only be late.
+        let mut open = OpenRequest {
+            operation: request.operation,
+            plan: request.plan,
+            tenant: request.tenant,
             units,
-            arrived_at: now.saturating_sub(self.lay(now, arrival)),
-            valid_until: arrival.valid_until,
-            ..Invocation::default()
+            arrived_at: now.saturating_sub(self.time_unread(now, request)),
+            deadline: request.deadline,
+            ..OpenRequest::default()
         };
-        if !self.is_useful(now, &invocation) {
-            return port.throttle(inv, None);
+        if !self.can_be_in_time(now, &open) {
+            return port.throttle(id, None);
         }
-        let Some(worker) = self.pick(now, &invocation) else {
-            // A place is free once a delivery ends; a client that waits longer comes too late.
-            return port.throttle(inv, self.advice(self.usual(&invocation).times(COME_BACK)));
+        let Some(worker) = self.pick_worker(now, &open) else {
+            return port.throttle(id, self.retry_after_full(&open));
         };
 
-        // The charge, then the delivery.
-        let customer = self.customers.get_mut(&arrival.customer).expect("reckoned above");
-        customer.tokens.level -= units;
-        customer.own_since += units;
-        guess_others(customer, now);
-        customer.ceiling.level -= units;
-        customer.unreported += if customer.report_due { units } else { 0.0 };
-        self.instance.spare = (self.instance.spare + SPARE_EACH).min(SPARE_MOST);
-        self.deliver(now, inv, &mut invocation, worker, port);
-        self.invocations.insert(inv, invocation);
+        // The charge, then the attempt.
+        let tenant = self.tenants.get_mut(&request.tenant).expect("refreshed above");
+        tenant.charge(units);
+        charge_estimated_use(tenant, now);
+        self.state.retry_budget = (self.state.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
+        self.send_attempt(now, id, &mut open, worker, port);
+        self.requests.insert(id, open);
     }
 
-    /// How long an arrival lay while the gatekeeper stood still: clients of one operation give up after
-    /// about the same time, so what is missing of that has passed.
-    fn lay(&mut self, now: Time, arrival: &Arrival) -> Span {
-        let left = (arrival.valid_until - now).secs();
-        let patience = &mut self.instance.patience[arrival.operation.0 as usize];
-        if now != self.instance.woke_at {
-            *patience += FRESH * (left - *patience);
+    /// How long a request lay unread in a stall: what is missing of the time after which clients of its operation give up.
+    fn time_unread(&mut self, now: Time, request: &Request) -> Span {
+        let left = (request.deadline - now).secs();
+        let timeout = &mut self.state.client_timeout_s[request.operation.0 as usize];
+        if now != self.state.resumed_at {
+            *timeout += SAMPLE_WEIGHT * (left - *timeout);
             return Span::default();
         }
-        Span::from_secs((*patience - left).max(0.0)).min(self.instance.stood)
+        Span::from_secs((*timeout - left).max(0.0)).min(self.state.stalled)
     }
 
-    /// Whether an answer can still come in time for what it is worth.
-    fn is_useful(&self, now: Time, i: &Invocation) -> bool {
-        let operation = &self.figures.operations[i.operation.0 as usize];
-        let objective = if operation.late_pays { i.valid_until } else { i.arrived_at + operation.objective };
-        now + self.usual(i) < objective && now + self.figures.margin < i.valid_until
+    /// Whether an answer can still come in time to be worth something.
+    fn can_be_in_time(&self, now: Time, request: &OpenRequest) -> bool {
+        let operation = self.settings.operation(request.operation);
+        let in_time = request.arrived_at + operation.objective;
+        let objective = if operation.is_late_useful { request.deadline } else { in_time };
+        now + self.typical_latency(request) < objective && now + self.settings.margin < request.deadline
     }
 
-    fn advice(&self, wait: Span) -> Option<Span> {
-        self.figures.retry_after.map(|most| wait.min(most).max(Span::from_millis(1)))
+    fn retry_after(&self, wait: Span) -> Option<Span> {
+        self.settings.max_retry_after.map(|most| wait.min(most).max(Span::from_millis(1)))
     }
 
-    // ---- quotas ----
-
-    // ---- workers ----
-
-    fn usual(&self, i: &Invocation) -> Span {
-        Span::from_secs(self.instance.usual[i.operation.0 as usize][size_of(i.units)])
+    /// `Retry-After` where all workers are full: one is free once an attempt ends.
+    fn retry_after_full(&self, request: &OpenRequest) -> Option<Span> {
+        self.retry_after(self.typical_latency(request).times(RETRY_AFTER_LATENCIES))
     }
 
-    // ---- what becomes of deliveries ----
+    fn typical_latency(&self, request: &OpenRequest) -> Span {
+        let latencies = &self.state.typical_latency_s[request.operation.0 as usize];
+        Span::from_secs(latencies[size_class(request.units)])
+    }
 
-    pub fn expired(&mut self, inv: InvId, port: &mut impl Port) {
-        if let Some(mut i) = self.invocations.remove(&inv) {
-            i.step(Stage::Answered);
-            self.cancel_rest(inv, &i, port);
+    /// The client has left or was answered by somebody else: nothing more is owed for the request.
+    pub fn on_expired(&mut self, id: RequestId, port: &mut impl Port) {
+        if let Some(mut request) = self.requests.remove(&id) {
+            request.enter(RequestStage::Answered);
+            self.cancel_others(id, &request, port);
         }
     }
 
-    pub fn stream_started(&mut self, now: Time, inv: InvId, worker: WorkerId) {
-        if let Some(w) = self.workers.get_mut(&worker) {
-            w.quiet_since = now;
+    /// The answer to a request has begun to come; the request can't be retried any more.
+    pub fn on_stream_started(&mut self, now: Time, id: RequestId, worker: WorkerId) {
+        if let Some(worker) = self.workers.get_mut(&worker) {
+            worker.silent_since = now;
         }
-        if let Some(i) = self.invocations.get_mut(&inv).filter(|i| i.stage != Stage::Streaming) {
-            i.step(Stage::Streaming);
+        if let Some(request) = self.requests.get_mut(&id)
+            && request.stage != RequestStage::Streaming
+        {
+            request.enter(RequestStage::Streaming);
         }
     }
 
-    pub fn timer(&mut self, now: Time, t: TimerTag, port: &mut impl Port) {
-        self.look_up(now);
-        match Wake::of(t) {
-            Some(Wake::Beat) => self.beat(now, port),
-            Some(Wake::Delivery(inv, no)) => self.check_delivery(now, inv, no, port),
-            Some(Wake::Report(id)) => self.report(now, id, port),
-            Some(Wake::Worker(id)) if self.workers.get(&id).is_some_and(|w| w.probe_out) => port.probe(id),
-            Some(Wake::Subscribe) => port.subscribe(),
-            _ => {}
+    /// A timer is due.
+    pub fn on_timer(&mut self, now: Time, tag: TimerTag, port: &mut impl Port) {
+        self.detect_stall(now);
+        match TimerEvent::from_tag(tag) {
+            Some(TimerEvent::Tick) => self.tick(now, port),
+            Some(TimerEvent::AttemptCheck(id, attempt)) => self.check_attempt(now, (id, attempt), port),
+            Some(TimerEvent::UsageReport(tenant)) => self.report_use(now, tenant, port),
+            Some(TimerEvent::HealthCheck(id)) => self.check_health(id, port),
+            Some(TimerEvent::Subscribe) => port.subscribe(),
+            None => {}
         }
     }
 
-    fn beat(&mut self, now: Time, port: &mut impl Port) {
-        self.instance.beat_due = now + BEAT;
-        self.sweep(now);
-        port.set_timer(BEAT, Wake::Beat.tag());
+    fn tick(&mut self, now: Time, port: &mut impl Port) {
+        self.state.tick_due = now + TICK_INTERVAL;
+        self.expire_tenants(now);
+        port.set_timer(TICK_INTERVAL, TimerEvent::Tick.tag());
     }
 
-    /// A gatekeeper that stood still finds all that came meanwhile at once. How long that lay there says
-    /// nothing of the workers, and their silence was its own.
-    fn look_up(&mut self, now: Time) {
-        let instance = &mut self.instance;
-        if now - instance.beat_due < STOOD || now == instance.woke_at {
+    /// A process that was stalled reads all that came meanwhile at once: the workers' silence was its own.
+    fn detect_stall(&mut self, now: Time) {
+        let state = &mut self.state;
+        if now - state.tick_due < STALL_THRESHOLD || now == state.resumed_at {
             return;
         }
-        instance.woke_at = now;
-        instance.stood = now - instance.beat_due + BEAT.times(0.5);
-        self.workers.values_mut().for_each(|w| w.quiet_since = now);
+        state.resumed_at = now;
+        state.stalled = now - state.tick_due + TICK_INTERVAL.times(0.5);
+        self.workers.values_mut().for_each(|worker| worker.silent_since = now);
     }
 
-    pub fn list_failed(&mut self, port: &mut impl Port) {
-        port.set_timer(self.figures.retry_subscription, Wake::Subscribe.tag());
+    /// A subscription to the list of workers has failed.
+    pub fn on_list_failed(&mut self, port: &mut impl Port) {
+        port.set_timer(self.settings.resubscribe_after, TimerEvent::Subscribe.tag());
     }
 }
 
-/// Sizes of one operation are told apart in steps of a unit, up to the last.
-fn size_of(units: f64) -> usize {
-    (units.ceil() as usize).min(SIZES - 1)
+/// Sizes of one operation's requests are told apart in steps of a unit; the last class holds all larger ones.
+fn size_class(units: f64) -> usize {
+    (units.ceil() as usize).min(SIZE_CLASSES - 1)
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,216 +1,217 @@
-//! Quotas: buckets, reports to the counter, guesses at the others, throttles, ceilings.
+//! Quotas: token buckets, reports to the shared counter, estimates of the others' use, throttles, hard limits.
 
 use super::*;
 
-/// The weight of a new gap between invocations of a customer.
-pub(super) const FRESH_GAP: f64 = 0.3;
-/// Where the last total is old, the next report comes after this part of a round.
-pub(super) const SOON_PART: f64 = 0.2;
-/// A window is several rounds long, as in the paper; a count may be kept for no more than a minute.
-pub(super) const WINDOW_ROUNDS: f64 = 20.0;
-pub(super) const LONGEST_KEPT: Span = Span::from_millis(60_000);
-/// How long others are charged on a guess without a new total, for each of them up to so many.
-pub(super) const GUESS_STANDS: Span = Span::from_millis(3000);
-pub(super) const GUESS_MOST: f64 = 10.0;
-/// So many others, at most, are thought to do as this one does: of hundreds the one that a customer meets is more
-/// often one of those that get much of it.
-pub(super) const GUESS_LIKE: f64 = 60.0;
-/// How many more in each second that they are answered in; what a failure leaves of them, and for how long one
-/// cut has to stand.
-pub(super) const CALLS_MORE: f64 = 1.0;
-pub(super) const CALLS_DOWN: f64 = 0.7;
-pub(super) const CUT_CALLS: Span = Span::from_millis(300);
+/// The weight of a new gap between requests of a tenant.
+const GAP_WEIGHT: f64 = 0.3;
+/// Where the last total is old, the next report comes after this fraction of an interval.
+const EARLY_REPORT_PART: f64 = 0.2;
+/// A window is several report intervals long, as in the paper; the counter keeps a count for no more than a minute.
+pub(super) const MIN_WINDOW_INTERVALS: f64 = 20.0;
+pub(super) const MAX_RETENTION: Span = Span::from_millis(60_000);
+/// How long the others' use is estimated without a new total, for each of them up to so many.
+const ESTIMATE_VALIDITY: Span = Span::from_millis(3000);
+const MAX_ESTIMATE_PEERS: f64 = 10.0;
+/// The most others that are taken to admit as much as this one: a tenant is met more often by those that get much of it.
+const MAX_SIMILAR_PEERS: f64 = 60.0;
+/// The growth of the call rate in a second with answers; what a failure leaves of it; the least time between two cuts.
+const CALL_RATE_STEP: f64 = 1.0;
+const CALL_RATE_CUT: f64 = 0.7;
+const CALL_CUT_INTERVAL: Span = Span::from_millis(300);
 /// The weight of a new total in the rate of the others' use.
-pub(super) const FRESH_USE: f64 = 0.3;
-/// Calls to the counter in a second, at least, at most, and at first by the square root of the gatekeepers.
-pub(super) const CALLS_LEAST: f64 = 0.3;
-pub(super) const CALLS_MOST: f64 = 200.0;
-pub(super) const CUSTOMER_BITS: u64 = (1 << 34) - 1;
+const USE_WEIGHT: f64 = 0.3;
+/// Calls to the counter in a second, at least and at most.
+const MIN_CALL_RATE: f64 = 0.3;
+const MAX_CALL_RATE: f64 = 200.0;
+/// The bits of a counter key that hold the tenant; the window is above them.
+const TENANT_BITS: u32 = 34;
+const TENANT_MASK: u64 = (1 << TENANT_BITS) - 1;
+/// The fraction of its even share of a hard limit that a gatekeeper uses.
+const HARD_LIMIT_PART: f64 = 0.999;
 
 impl Gatekeeper {
-    /// Whether the customer may go on; else when it should come back.
-    pub(super) fn admits(&self, now: Time, arrival: &Arrival, units: f64) -> Result<(), Span> {
-        let customer = &self.customers[&arrival.customer];
-        let plan = &self.figures.plans[arrival.plan.0 as usize];
-        if now < customer.throttled_until {
-            return Err(ROUND);
+    /// Whether the tenant's quota and limits let a request pass; the error is the time after which it may come back.
+    pub(super) fn check_quota(&self, now: Time, request: &Request, units: f64) -> Result<(), Span> {
+        let tenant = &self.tenants[&request.tenant];
+        let plan = self.settings.plan(request.plan);
+        if now < tenant.throttled_until {
+            return Err(REPORT_INTERVAL);
         }
         if let Some(rate) = plan.rate
-            && customer.tokens.level < units
+            && tenant.tokens.level < units
         {
-            return Err(Span::from_secs((units - customer.tokens.level) / rate));
+            return Err(Span::from_secs((units - tenant.tokens.level) / rate));
         }
-        // Ceilings hold without agreement: each gatekeeper spends its even part only.
-        if plan.ceiling_rate > 0.0 && customer.ceiling.level < units {
-            return Err(Span::from_secs(
-                (units - customer.ceiling.level) * customer.spread / plan.ceiling_rate,
-            ));
+        // Hard limits hold without agreement: each gatekeeper spends its even share only.
+        if plan.hard_limit_rate > 0.0 && tenant.hard_limit.level < units {
+            let missing = (units - tenant.hard_limit.level) * tenant.spread;
+            return Err(Span::from_secs(missing / plan.hard_limit_rate));
         }
-        if plan.open > 0 && f64::from(customer.out) >= (f64::from(plan.open) / customer.spread).ceil() {
-            return Err(ROUND);
+        let max_open = (f64::from(plan.max_open) / tenant.spread).ceil();
+        if plan.max_open > 0 && f64::from(tenant.in_flight) >= max_open {
+            return Err(REPORT_INTERVAL);
         }
         Ok(())
     }
 
-    /// Brings a customer's stores up to now; makes them for one that is new.
-    pub(super) fn reckon(&mut self, now: Time, arrival: &Arrival) {
-        let plan = &self.figures.plans[arrival.plan.0 as usize];
-        let spread = arrival.spread_among(self.figures.gatekeepers);
-        let customer = self.customers.entry(arrival.customer).or_insert_with(|| Customer {
-            // The store is full at first; what the others take of it is guessed until a total tells.
-            tokens: Store { level: plan.burst, at: now },
-            ceiling: Store { level: 0.0, at: now },
-            told_at: now,
-            // The ceiling's store starts empty, so that a restart never fills it.
-            ..Customer::default()
+    /// Brings a tenant's buckets up to now; creates them for one that is new.
+    pub(super) fn refresh_tenant(&mut self, now: Time, request: &Request) {
+        let plan = self.settings.plan(request.plan);
+        let spread = request.spread_among(self.settings.gatekeepers);
+        let tenant = self.tenants.entry(request.tenant).or_insert_with(|| Tenant {
+            // The bucket is full at first; what the others take of it is estimated until a total tells.
+            tokens: TokenBucket { level: plan.burst, refilled_at: now },
+            // That of the hard limit is empty, so that a restart never fills it.
+            hard_limit: TokenBucket { level: 0.0, refilled_at: now },
+            total_at: now,
+            ..Tenant::default()
         });
-        // How far apart its invocations come in here; nothing is known of that with the first.
-        if customer.seen_at != Time::default() {
-            let gap = (now - customer.seen_at).secs();
-            let weight = if customer.gap > 0.0 { FRESH_GAP } else { 1.0 };
-            customer.gap += weight * (gap - customer.gap);
+        // Nothing is known of the gap between its requests with the first of them.
+        if tenant.seen_at != Time::default() {
+            let gap_s = (now - tenant.seen_at).secs();
+            let weight = if tenant.arrival_gap_s > 0.0 { GAP_WEIGHT } else { 1.0 };
+            tenant.arrival_gap_s += weight * (gap_s - tenant.arrival_gap_s);
         }
-        customer.plan = arrival.plan;
-        customer.spread = customer.spread.max(spread);
-        customer.seen_at = now;
-        refill(customer, plan, now);
+        tenant.plan = request.plan;
+        tenant.spread = tenant.spread.max(spread);
+        tenant.seen_at = now;
+        refill_tenant(tenant, plan, now);
     }
 
-    /// A customer's use is reported one round after there is something to say.
-    pub(super) fn ask_for_report(&mut self, now: Time, id: CustomerId, port: &mut impl Port) {
-        let customer = self.customers.get_mut(&id).expect("reckoned above");
-        let has_rate = self.figures.plans[customer.plan.0 as usize].rate.is_some();
-        if self.figures.counter && has_rate && customer.spread > 1.0 && !customer.report_due {
-            customer.report_due = true;
-            // What is known of the others is old, or nothing: then it is asked for soon.
-            let is_old =
-                now - customer.told_at > ROUND.times(2.0) || customer.shared.asked_at == Time::default();
-            let soon = if is_old { ROUND.times(SOON_PART) } else { ROUND };
-            port.set_timer(soon, Wake::Report(id).tag());
+    /// A tenant's use is reported one interval after there is something to report.
+    pub(super) fn schedule_report(&mut self, now: Time, id: TenantId, port: &mut impl Port) {
+        let tenant = self.tenants.get_mut(&id).expect("refreshed with its request");
+        let has_rate = self.settings.plan(tenant.plan).rate.is_some();
+        if !self.settings.has_counter || !has_rate || tenant.spread <= 1.0 || tenant.is_report_due {
+            return;
         }
+        tenant.is_report_due = true;
+        // What is known of the others is old, or nothing: then the total is asked for soon.
+        let is_total_old = now - tenant.total_at > REPORT_INTERVAL.times(2.0);
+        let is_early = is_total_old || tenant.shared.called_at == Time::default();
+        let after = if is_early { REPORT_INTERVAL.times(EARLY_REPORT_PART) } else { REPORT_INTERVAL };
+        port.set_timer(after, TimerEvent::UsageReport(id).tag());
     }
 
-    pub(super) fn report(&mut self, now: Time, id: CustomerId, port: &mut impl Port) {
-        let Some(customer) = self.customers.get_mut(&id) else { return };
-        let plan = &self.figures.plans[customer.plan.0 as usize];
-        customer.report_due = false;
-        let amount = customer.unreported + customer.shared.unadded;
-        // A call that only reads is let go where calls are scarce; one that adds waits for another round.
-        let rate = self.instance.call_rate;
-        let scarce = self.instance.calls.fill(now, rate, rate.max(1.0)) < 1.0;
-        if scarce && amount == 0.0 {
+    /// Adds what a tenant used to its shared count, and asks for the total by that.
+    pub(super) fn report_use(&mut self, now: Time, id: TenantId, port: &mut impl Port) {
+        let Some(tenant) = self.tenants.get_mut(&id) else { return };
+        let plan = self.settings.plan(tenant.plan);
+        tenant.is_report_due = false;
+        let amount = tenant.unreported + tenant.shared.unadded;
+        // Where calls are scarce, one that only reads is left out; one that adds waits for another interval.
+        let rate = self.state.call_rate;
+        let is_scarce = self.state.counter_calls.refill(now, rate, rate.max(1.0)) < 1.0;
+        if is_scarce && amount == 0.0 {
             return;
         }
-        if customer.shared.in_call.is_some() || scarce {
-            return self.ask_for_report(now, id, port);
+        if tenant.shared.in_flight.is_some() || is_scarce {
+            return self.schedule_report(now, id, port);
         }
-        self.instance.calls.level -= 1.0;
-        refill(customer, plan, now);
+        self.state.counter_calls.level -= 1.0;
+        refill_tenant(tenant, plan, now);
         let window = now.periods(plan.window);
-        if customer.shared.window != window {
-            customer.shared = Shared { window, ..Shared::default() };
-            // What was guessed for the time before the window stays charged.
-            let begun = now - Time::from_nanos(window * plan.window.nanos());
-            customer.guessed = customer.guessed.min(customer.others_rate * begun.secs());
-            customer.told_at = customer.told_at.max(now.saturating_sub(begun));
-            customer.own_since = customer.unreported;
+        if tenant.shared.window != window {
+            let elapsed = now - Time::from_nanos(window * plan.window.nanos());
+            tenant.enter_window(now, window, elapsed);
         }
-        let amount = customer.unreported + customer.shared.unadded;
-        customer.unreported = 0.0;
-        customer.shared.unadded = 0.0;
-        customer.shared.in_call = Some(amount);
-        customer.shared.asked_at = now;
-        port.add_to_count(count_name(id, window), plan.keep, amount as f32);
+        let amount = tenant.begin_report(now);
+        port.add_to_counter(counter_key(id, window), plan.retention, amount as f32);
     }
 
-    pub fn counted(&mut self, now: Time, name: CountName, outcome: Outcome, total: f32) {
-        let id = CustomerId(name.0 & CUSTOMER_BITS);
-        let Some(customer) = self.customers.get_mut(&id) else { return };
-        if name != count_name(id, customer.shared.window) {
+    /// A call to the counter has ended. `total`: what the count holds now; not a number where that can't be read.
+    pub fn on_counter_reply(&mut self, now: Time, key: CounterKey, outcome: Outcome, total: f32) {
+        let id = TenantId(key.0 & TENANT_MASK);
+        let Some(tenant) = self.tenants.get_mut(&id) else { return };
+        if key != counter_key(id, tenant.shared.window) {
             return;
         }
-        let Some(amount) = customer.shared.in_call.take() else { return };
-        // Calls that fail or come late tell that all gatekeepers together ask too much of the counter.
-        let late = now - customer.shared.asked_at > self.figures.counter_timeout;
-        let i = &mut self.instance;
-        if outcome == Outcome::Succeeded && !late {
-            i.call_rate = (i.call_rate + CALLS_MORE / i.call_rate).min(CALLS_MOST);
-        } else if now - i.call_cut_at > CUT_CALLS {
-            i.call_cut_at = now;
-            i.call_rate = (i.call_rate * CALLS_DOWN).max(CALLS_LEAST);
+        let Some(amount) = tenant.shared.in_flight.take() else { return };
+        // Calls that fail or come late mean that all gatekeepers together ask too much of the counter.
+        let is_late = now - tenant.shared.called_at > self.settings.counter_timeout;
+        let state = &mut self.state;
+        if outcome == Outcome::Succeeded && !is_late {
+            state.call_rate = (state.call_rate + CALL_RATE_STEP / state.call_rate).min(MAX_CALL_RATE);
+        } else if now - state.call_cut_at > CALL_CUT_INTERVAL {
+            state.call_cut_at = now;
+            state.call_rate = (state.call_rate * CALL_RATE_CUT).max(MIN_CALL_RATE);
         }
-        let plan = &self.figures.plans[customer.plan.0 as usize];
+        let plan = self.settings.plan(tenant.plan);
         match outcome {
             Outcome::Succeeded if total.is_finite() => {
-                refill(customer, plan, now);
-                hear_total(customer, plan, now, f64::from(total), amount);
+                refill_tenant(tenant, plan, now);
+                apply_total(tenant, plan, now, f64::from(total), amount);
             }
             // Added, but the total can't be read: the next one is known to hold this.
-            Outcome::Succeeded => customer.shared.total += amount,
-            // Not added: goes with this window's next report. Later ones leave out what piled up meanwhile.
-            Outcome::Full | Outcome::ConnectFailed => customer.shared.unadded += amount,
+            Outcome::Succeeded => tenant.shared.total += amount,
+            // Not added: goes with this window's next report. Later windows leave out what piled up meanwhile.
+            Outcome::Full | Outcome::ConnectFailed => tenant.shared.unadded += amount,
             // Perhaps added: then it comes back as the others' use.
             _ => {}
         }
     }
 
-    /// Keeps memory bounded: customers long idle with a full bucket are dropped.
-    pub(super) fn sweep(&mut self, now: Time) {
-        let plans = &self.figures.plans;
-        self.customers.retain(|_, c| {
-            let plan = &plans[c.plan.0 as usize];
-            refill(c, plan, now);
-            let is_full = plan.rate.is_none() || c.tokens.level >= plan.burst;
-            !(is_full && c.unreported == 0.0 && c.out == 0 && !c.report_due && now - c.seen_at > IDLE)
+    /// Keeps memory bounded: tenants that have long been idle with a full bucket are dropped.
+    pub(super) fn expire_tenants(&mut self, now: Time) {
+        let settings = &self.settings;
+        self.tenants.retain(|_, tenant| {
+            let plan = settings.plan(tenant.plan);
+            refill_tenant(tenant, plan, now);
+            let is_full = plan.rate.is_none() || tenant.tokens.level >= plan.burst;
+            let is_reported = tenant.unreported == 0.0 && !tenant.is_report_due;
+            let is_idle = tenant.in_flight == 0 && now - tenant.seen_at > TENANT_RETENTION;
+            !(is_full && is_reported && is_idle)
         });
     }
 }
 
-/// The name of a customer's count for a window of the clock.
-pub(super) fn count_name(id: CustomerId, window: u64) -> CountName {
-    CountName(window << 34 | id.0 & CUSTOMER_BITS)
+/// The key of a tenant's count for a window of the clock.
+fn counter_key(id: TenantId, window: u64) -> CounterKey {
+    CounterKey(window << TENANT_BITS | id.0 & TENANT_MASK)
 }
 
-/// The bucket refills at the plan's rate, less what the others are thought to take of it.
-pub(super) fn refill(c: &mut Customer, plan: &PlanFigures, now: Time) {
-    let part = 0.999 / c.spread;
-    c.ceiling.fill(now, plan.ceiling_rate * part, plan.ceiling_burst * part);
+/// Refills the bucket at the plan's rate, less what the others are estimated to take of it.
+fn refill_tenant(tenant: &mut Tenant, plan: &PlanLimits, now: Time) {
+    let part = HARD_LIMIT_PART / tenant.spread;
+    tenant.hard_limit.refill(now, plan.hard_limit_rate * part, plan.hard_limit_burst * part);
     let Some(rate) = plan.rate else { return };
-    c.tokens.fill(now, rate, plan.burst);
-    guess_others(c, now);
+    tenant.tokens.refill(now, rate, plan.burst);
+    charge_estimated_use(tenant, now);
 }
 
-/// Between totals the others are charged by the larger of two guesses: that they go on as they did, and
-/// that each does as this one, as in a sudden flood. What finds no tokens stays owed until a total puts it
-/// right: without that a heavy customer is taken for quiet too soon.
-pub(super) fn guess_others(c: &mut Customer, now: Time) {
-    let gap = (now - c.told_at).min(GUESS_STANDS.times((c.spread - 1.0).min(GUESS_MOST))).secs();
-    let guess = (c.others_rate * gap).max((c.spread - 1.0).min(GUESS_LIKE) * c.own_since);
-    let more = (guess - c.guessed).clamp(0.0, c.tokens.level.max(0.0));
-    c.guessed += more;
-    c.tokens.level -= more;
+/// Between totals the others are charged by the larger of two estimates: that they go on as they did, and that each admits
+/// as much as this one, as in a sudden flood. What finds no tokens stays owed until a total corrects it: without that a
+/// heavy tenant is taken for a quiet one too soon.
+pub(super) fn charge_estimated_use(tenant: &mut Tenant, now: Time) {
+    let peers = tenant.spread - 1.0;
+    let validity = ESTIMATE_VALIDITY.times(peers.min(MAX_ESTIMATE_PEERS));
+    let elapsed_s = (now - tenant.total_at).min(validity).secs();
+    let estimate = (tenant.others_rate * elapsed_s).max(peers.min(MAX_SIMILAR_PEERS) * tenant.own_since);
+    let more = (estimate - tenant.estimated).clamp(0.0, tenant.tokens.level.max(0.0));
+    tenant.estimated += more;
+    tenant.tokens.level -= more;
 }
 
-/// A total came back: the others' part of it is charged here too, in place of what was guessed.
-pub(super) fn hear_total(c: &mut Customer, plan: &PlanFigures, now: Time, total: f64, amount: f64) {
-    let s = &mut c.shared;
-    if total + 0.001 < s.total {
+/// A total came back: the others' part of it is charged here too, in place of what was estimated.
+fn apply_total(tenant: &mut Tenant, plan: &PlanLimits, now: Time, total: f64, amount: f64) {
+    let shared = &mut tenant.shared;
+    if total + 0.001 < shared.total {
         // The counter came back empty: what it held is kept, and the count goes on from here.
-        s.lost += s.total;
-        s.total = 0.0;
+        shared.lost += shared.total;
+        shared.total = 0.0;
     }
-    let others = (total - s.total - amount).max(0.0);
-    s.total = total;
-    let gap = (now - c.told_at).secs().max(0.1);
-    c.others_rate += FRESH_USE * (others / gap - c.others_rate);
-    c.own_since = c.unreported;
-    // What the others let through beyond the bucket is owed as far as it would fill up again before the customer
-    // comes back here: one that is met seldom would else find a full bucket each time, at each of hundreds.
-    let owed = (plan.rate.unwrap_or(0.0) * c.gap).min(plan.burst);
-    c.tokens.level = (c.tokens.level + c.guessed - others).clamp(-owed, plan.burst);
-    c.guessed = 0.0;
-    c.told_at = now;
-    if s.total + s.lost > plan.allowance {
-        c.throttled_until = Time::from_nanos((s.window + 1) * plan.window.nanos());
+    let others = (total - shared.total - amount).max(0.0);
+    shared.total = total;
+    let elapsed_s = (now - tenant.total_at).secs().max(0.1);
+    tenant.others_rate += USE_WEIGHT * (others / elapsed_s - tenant.others_rate);
+    tenant.own_since = tenant.unreported;
+    // What the others admitted beyond the bucket is owed as far as it would fill up again before the tenant comes back
+    // here: one that is seldom met would otherwise find a full bucket each time, at each of hundreds.
+    let owed = (plan.rate.unwrap_or(0.0) * tenant.arrival_gap_s).min(plan.burst);
+    tenant.tokens.level = (tenant.tokens.level + tenant.estimated - others).clamp(-owed, plan.burst);
+    tenant.estimated = 0.0;
+    tenant.total_at = now;
+    if shared.total + shared.lost > plan.window_quota {
+        tenant.throttled_until = Time::from_nanos((shared.window + 1) * plan.window.nanos());
     }
 }
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -1,223 +1,244 @@
-//! Workers: which one gets a delivery, how many may be out, cold ones, doubt.
+//! Workers: which one gets an attempt, how many attempts may be in flight, slow start, health.
 
 use super::*;
 
-/// A delivery is late over this part of the latency objective; where more than this share is late, the
-/// instance's limit is cut, and under half of that it grows.
-pub(super) const TOO_SLOW: f64 = 0.4;
-pub(super) const LATE_MANY: f64 = 0.2;
-/// Deliveries out per worker, by all gatekeepers together, at the least: long work alone idles no worker.
-pub(super) const LEAST_LIMIT: f64 = 4.0;
-/// How far what is out may be over the limit while its mean over so many seconds is under it.
-pub(super) const ROOM: f64 = 4.0;
-pub(super) const MEAN_OVER: f64 = 2.0;
-/// A cut, and how long the next has to wait.
-pub(super) const CUT: f64 = 0.9;
-pub(super) const CUT_EVERY: Span = Span::from_millis(150);
-/// How long a worker is avoided after one that speaks against all of it.
-pub(super) const AVOID: Span = Span::from_millis(1000);
-pub(super) const DOUBT_OVER: f64 = 10.0;
-pub(super) const DOUBTED: f64 = 0.4;
-/// Seconds over which the rate of what comes back is reckoned, and for which the most of it counts.
-pub(super) const RATE_OVER: f64 = 2.0;
-pub(super) const CARRIED_OVER: f64 = 8.0;
-pub(super) const COLD_BURST: f64 = 2.0;
-/// No worker is taken for less slow than this when two are drawn: one that holds nothing only seems fast.
-pub(super) const SEEMS_FAST: f64 = 0.7;
-/// How much sooner a worker is drawn to which a connection is at hand, unless it is so much slower than usual.
-pub(super) const AT_HAND: f64 = 1000.0;
-pub(super) const TOO_SLOW_AT_HAND: f64 = 1.5;
-/// Workers over this many times the mean cost are not drawn; a little over 1 for the rounding.
-pub(super) const NO_BUSIER: f64 = 1.0001;
+/// An attempt is late over this fraction of the latency objective. Where more than that fraction of them is late, the
+/// concurrency limit is cut; under half of it the limit grows.
+const LATE_PART: f64 = 0.4;
+const MAX_LATE_FRACTION: f64 = 0.2;
+/// Attempts in flight per worker, by all gatekeepers together, that are always allowed: long work alone idles no worker.
+const MIN_CONCURRENCY: f64 = 4.0;
+/// Attempts in flight may exceed the limit by this multiple of what their mean over so many seconds lies below it.
+const BURST_ROOM: f64 = 4.0;
+const MEAN_WINDOW_S: f64 = 2.0;
+/// What a cut leaves of the limit, and the least time between two cuts.
+const LIMIT_CUT: f64 = 0.9;
+const LIMIT_CUT_INTERVAL: Span = Span::from_millis(150);
+/// How long a worker is ejected after a failure that speaks against all of it.
+const EJECTION_TIME: Span = Span::from_millis(1000);
+/// The seconds that a failure rate decays over, and the rate that makes a worker unhealthy.
+pub(super) const FAILURE_WINDOW_S: f64 = 10.0;
+const MAX_FAILURE_RATE: f64 = 0.4;
+/// The seconds that the rate of successes is measured over, and that its peak decays over.
+const RATE_WINDOW_S: f64 = 2.0;
+const PEAK_WINDOW_S: f64 = 8.0;
+/// Attempts that a cold worker may get at once.
+const COLD_BURST: f64 = 2.0;
+/// No worker counts as faster than this when it is drawn: one with nothing in flight only seems fast.
+const MIN_RELATIVE_LATENCY: f64 = 0.7;
+/// How much likelier a worker is drawn that a connection is open to, unless it is slower than this.
+const CONNECTED_PREFERENCE: f64 = 1000.0;
+const MAX_CONNECTED_LATENCY: f64 = 1.5;
+/// Workers over this multiple of the mean cost are not drawn; a little over 1 for rounding.
+const MAX_RELATIVE_COST: f64 = 1.0001;
+
+/// A worker that may be drawn.
+#[derive(Clone, Copy)]
+struct Candidate {
+    id: WorkerId,
+    cost: f64,
+    weight: f64,
+}
 
 impl Gatekeeper {
-    /// Two drawn at random; the one that this gatekeeper's own counts favour.
-    pub(super) fn pick(&mut self, now: Time, invocation: &Invocation) -> Option<WorkerId> {
-        // What comes in by chance spreads by the square root of its mean: a limit of few needs room for it,
-        // and one of less than one at each of hundreds holds in the mean only.
-        let limit = self.limit(now);
-        // What came while the gatekeeper stood still has a claim to what it did not send meanwhile.
-        let stood = if now == self.instance.woke_at { self.instance.stood.secs() } else { 0.0 };
-        let missed = stood / self.usual(invocation).secs().max(1e-3);
-        // What is out past its objective counts as far as answers are late too, as in a jam; where they are
-        // not, it is lost, and must not keep others from being sent.
-        let objective = |d: &Delivery| self.figures.operations[d.kind.0.0 as usize].objective;
-        let fresh = self.deliveries.values().filter(|d| now - d.sent_at < objective(d)).count();
-        let jam = (self.instance.late_share / LATE_MANY).min(1.0);
-        let out = fresh as f64 + jam * (self.deliveries.len() - fresh) as f64;
-        let room = (ROOM * (limit - self.instance.mean_out(now, out, MEAN_OVER))).clamp(-1.0, limit.sqrt());
-        if out >= limit * (1.0 + missed) + room {
+    /// Draws two workers at random and picks the one with the lower cost (power of two choices). None: all are full.
+    pub(super) fn pick_worker(&mut self, now: Time, request: &OpenRequest) -> Option<WorkerId> {
+        if self.is_full(now, request) {
             return None;
         }
-        self.share_out(now);
-        let f = &self.figures;
-        let kind = (invocation.operation, invocation.plan);
-        let fits = |id: &WorkerId, w: &Worker| {
-            let may = !w.draining && !invocation.tried.contains(id) && in_group(f, invocation, w, now);
-            may && has_cold_budget(f, w, now)
+        self.refill_slow_start(now);
+        let settings = &self.settings;
+        let work = request.work();
+        let is_eligible = |id: &WorkerId, worker: &Worker| {
+            !worker.is_draining
+                && !request.tried.contains(id)
+                && may_run_on(settings, request, worker, now)
+                && worker.has_slow_start_token(now, settings)
+        };
+        let eligible = self.workers.iter().filter(|(id, worker)| is_eligible(id, worker));
+        let (unhealthy, healthy): (Vec<_>, Vec<_>) = eligible.partition(|(_, w)| is_unhealthy(w, work, now));
+        // Where no worker is healthy, it is more likely the way there that is not.
+        let usable = if healthy.is_empty() { unhealthy } else { healthy };
+        // Two drawn from all would now and then load a busy worker while others idle: only those no busier than the mean.
+        let mean = usable.iter().map(|(_, worker)| worker.cost()).sum::<f64>() / usable.len().max(1) as f64;
+        let idle_enough = usable.into_iter().filter(|(_, worker)| worker.cost() <= mean * MAX_RELATIVE_COST);
+        let candidate = |(id, worker): (&WorkerId, &Worker)| Candidate {
+            id: *id,
+            cost: worker.cost(),
+            weight: selection_weight(settings, worker, work, now),
         };
-        let (healthy, doubtful): (Vec<_>, Vec<_>) =
-            self.workers.iter().filter(|(id, w)| fits(id, w)).partition(|(_, w)| !is_in_doubt(w, kind, now));
-        // Where every worker is in doubt, the doubt is more likely about the way there.
-        let open = if healthy.is_empty() { doubtful } else { healthy };
-        // Two drawn from all would still now and then load a busy worker while others idle: in overload
-        // that idle time is what is missing. So only workers no busier than the mean are drawn.
-        let mean = open.iter().map(|(_, w)| cost(w)).sum::<f64>() / open.len().max(1) as f64;
-        let open = open.into_iter().filter(|(_, w)| cost(w) <= mean * NO_BUSIER);
-        let open: Vec<_> = open.map(|(id, w)| (*id, cost(w), able(f, w, kind, now))).collect();
-        let (a, cost_a) = self.draw(&open)?;
-        let (b, cost_b) = self.draw(&open)?;
-        Some(if cost_b < cost_a { b } else { a })
+        let candidates: Vec<Candidate> = idle_enough.map(candidate).collect();
+        let a = self.draw_weighted(&candidates)?;
+        let b = self.draw_weighted(&candidates)?;
+        Some(if b.cost < a.cost { b.id } else { a.id })
+    }
+
+    /// Whether as many attempts are in flight as may be.
+    fn is_full(&mut self, now: Time, request: &OpenRequest) -> bool {
+        let limit = self.concurrency_limit(now);
+        // What came while the process was stalled has a claim to what it did not send meanwhile.
+        let stalled_s = if now == self.state.resumed_at { self.state.stalled.secs() } else { 0.0 };
+        let missed = stalled_s / self.typical_latency(request).secs().max(1e-3);
+        // An attempt past its objective counts as far as answers are late too, as in a jam; where they are not, it is lost
+        // and must not keep others from being sent.
+        let objective = |attempt: &Attempt| self.settings.operation(attempt.work.0).objective;
+        let in_time = self.attempts.values().filter(|a| now - a.sent_at < objective(a)).count();
+        let jam = (self.state.late_fraction / MAX_LATE_FRACTION).min(1.0);
+        let in_flight = in_time as f64 + jam * (self.attempts.len() - in_time) as f64;
+        // Arrivals scatter by the square root of their mean: a limit of few needs room for that, and one of less than one
+        // at each of hundreds holds on average only.
+        let mean = self.state.update_mean(now, in_flight, MEAN_WINDOW_S);
+        let room = (BURST_ROOM * (limit - mean)).clamp(-1.0, limit.sqrt());
+        in_flight >= limit * (1.0 + missed) + room
     }
 
-    /// One at random, by what each can do; with its cost.
-    pub(super) fn draw(&mut self, open: &[(WorkerId, f64, f64)]) -> Option<(WorkerId, f64)> {
-        let mut point = self.rng.unit() * open.iter().map(|(_, _, able)| able).sum::<f64>();
-        let drawn = open.iter().find(|(_, _, able)| {
-            point -= able;
+    /// Draws one at random, by their weights.
+    fn draw_weighted(&mut self, candidates: &[Candidate]) -> Option<Candidate> {
+        let mut point = self.rng.next_f64() * candidates.iter().map(|c| c.weight).sum::<f64>();
+        let drawn = candidates.iter().find(|candidate| {
+            point -= candidate.weight;
             point < 0.0
         });
-        drawn.or(open.last()).map(|(id, cost, _)| (*id, *cost))
+        drawn.or(candidates.last()).copied()
     }
 
-    /// How many deliveries may be out: by the latencies that come back, and the even part at the least.
-    pub(super) fn limit(&self, now: Time) -> f64 {
-        let able = self.workers.values().filter(|w| !w.draining).map(|w| warmth(&self.figures, w, now));
-        let part = able.sum::<f64>() / self.figures.gatekeepers;
-        self.instance.limit.max(LEAST_LIMIT * part)
+    /// How many attempts may be in flight: by the latencies that come back, and an even share at the least.
+    fn concurrency_limit(&self, now: Time) -> f64 {
+        let usable = self.workers.values().filter(|worker| !worker.is_draining);
+        let warm = usable.map(|worker| worker.warm_fraction(now, &self.settings)).sum::<f64>();
+        self.state.concurrency_limit.max(MIN_CONCURRENCY * (warm / self.settings.gatekeepers))
     }
 
-    /// The share of late answers counts, not their mean: a few very slow workers are for the pick to avoid.
-    pub(super) fn adapt_limit(&mut self, now: Time, operation: usize, took: f64) {
-        let limit = self.limit(now);
-        let objective = self.figures.operations[operation].objective.secs();
-        let instance = &mut self.instance;
-        let late = if took > objective * TOO_SLOW { 1.0 } else { 0.0 };
-        instance.late_share += FRESH * (late - instance.late_share);
-        if instance.late_share > LATE_MANY && now - instance.cut_at > CUT_EVERY {
-            instance.cut_at = now;
-            instance.limit = limit.min(instance.mean + 1.0) * CUT;
-        } else if instance.late_share < LATE_MANY * 0.5 && instance.mean > limit * 0.7 {
-            let step = self.workers.len() as f64 / self.figures.gatekeepers;
-            instance.limit = limit + step / limit.max(1.0);
+    /// Adapts the limit to the fraction of late answers, not to their mean: a few very slow workers are not picked anyway.
+    pub(super) fn adapt_concurrency(&mut self, now: Time, operation: OperationId, duration: f64) {
+        let limit = self.concurrency_limit(now);
+        let objective = self.settings.operation(operation).objective.secs();
+        let state = &mut self.state;
+        let late = if duration > objective * LATE_PART { 1.0 } else { 0.0 };
+        state.late_fraction += SAMPLE_WEIGHT * (late - state.late_fraction);
+        if state.late_fraction > MAX_LATE_FRACTION && now - state.limit_cut_at > LIMIT_CUT_INTERVAL {
+            state.limit_cut_at = now;
+            state.concurrency_limit = limit.min(state.mean_in_flight + 1.0) * LIMIT_CUT;
+        } else if state.late_fraction < MAX_LATE_FRACTION * 0.5 && state.mean_in_flight > limit * 0.7 {
+            let step = self.workers.len() as f64 / self.settings.gatekeepers;
+            state.concurrency_limit = limit + step / limit.max(1.0);
         }
     }
 
-    /// A cold worker may get what others of its size carry, by what it can do now, and no burst: however many
-    /// gatekeepers do the same. What they carry is what came back, not what was sent, and the most of the
-    /// last seconds: where the rest jams, the cold ones must not be starved too. Where nothing is known, one
-    /// delivery in each stated time by all gatekeepers together finds out.
-    pub(super) fn share_out(&mut self, now: Time) {
-        let f = &self.figures;
-        for w in self.workers.values_mut().filter(|w| w.started_at.is_some()) {
-            let able = (warmth(f, w, now) * f.cold_headroom).min(1.0);
-            let rate = (self.instance.carried * w.heft * able).max(f.trickle);
-            w.cold_budget.fill(now, rate, COLD_BURST);
+    /// Slow start: a cold worker may get what others of its weight carry, by what it can do now, and no burst, however many
+    /// gatekeepers do the same. What they carry is what came back, not what was sent, and its peak of the last seconds:
+    /// where the rest jams, cold workers must not be starved too. Where nothing is known, one attempt in each stated time
+    /// by all gatekeepers together finds out.
+    fn refill_slow_start(&mut self, now: Time) {
+        let settings = &self.settings;
+        for worker in self.workers.values_mut().filter(|worker| worker.started_at.is_some()) {
+            let usable = (worker.warm_fraction(now, settings) * settings.cold_headroom).min(1.0);
+            let rate = (self.state.peak_rate * worker.weight * usable).max(settings.min_cold_rate);
+            worker.slow_start.refill(now, rate, COLD_BURST);
         }
     }
 
-    /// Keeps what came back in a second, and the most of it for each part of the fleet that was able to.
-    pub(super) fn note_carried(&mut self, now: Time) {
-        let f = &self.figures;
-        let able: f64 = self.workers.values().map(|w| w.heft * warmth(f, w, now)).sum();
-        let instance = &mut self.instance;
-        let gap = now - instance.carried_at;
-        instance.carried_at = now;
-        instance.rate = instance.rate * gap.fading(RATE_OVER) + 1.0 / RATE_OVER;
-        instance.carried = (instance.carried * gap.fading(CARRIED_OVER)).max(instance.rate / able.max(1e-9));
+    /// Updates the rate of successes, and its peak for a unit of the weight that was warm.
+    pub(super) fn record_success(&mut self, now: Time) {
+        let settings = &self.settings;
+        let warm: f64 = self.workers.values().map(|w| w.weight * w.warm_fraction(now, settings)).sum();
+        let state = &mut self.state;
+        let elapsed = now - state.rate_at;
+        state.rate_at = now;
+        state.success_rate = state.success_rate * elapsed.fading(RATE_WINDOW_S) + 1.0 / RATE_WINDOW_S;
+        let rate = state.success_rate / warm.max(1e-9);
+        state.peak_rate = (state.peak_rate * elapsed.fading(PEAK_WINDOW_S)).max(rate);
+    }
+
+    /// Keeps attempts away from a worker for a while, and has its health checked then.
+    pub(super) fn eject(&mut self, now: Time, id: WorkerId, port: &mut impl Port) {
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        worker.ejected_until = now + EJECTION_TIME;
+        if self.settings.has_health_checks && !worker.is_being_checked {
+            worker.is_being_checked = true;
+            port.set_timer(EJECTION_TIME, TimerEvent::HealthCheck(id).tag());
+        }
     }
 
-    pub(super) fn avoid(&mut self, now: Time, id: WorkerId, port: &mut impl Port) {
-        let Some(w) = self.workers.get_mut(&id) else { return };
-        w.avoid_until = now + AVOID;
-        if self.figures.probes && !w.probe_out {
-            w.probe_out = true;
-            port.set_timer(AVOID, Wake::Worker(id).tag());
+    pub(super) fn check_health(&self, id: WorkerId, port: &mut impl Port) {
+        if self.workers.get(&id).is_some_and(|worker| worker.is_being_checked) {
+            port.check_health(id);
         }
     }
 
-    pub fn probed(&mut self, now: Time, id: WorkerId, outcome: Outcome, port: &mut impl Port) {
-        let Some(w) = self.workers.get_mut(&id) else { return };
-        w.probe_out = false;
+    /// A health check has ended.
+    pub fn on_health_check(&mut self, now: Time, id: WorkerId, outcome: Outcome, port: &mut impl Port) {
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        worker.is_being_checked = false;
         if outcome != Outcome::Succeeded {
-            return self.avoid(now, id, port);
+            return self.eject(now, id, port);
         }
-        w.avoid_until = now;
+        worker.ejected_until = now;
     }
 
-    pub fn listed(&mut self, now: Time, scope: Scope, list: &[Listed]) {
-        if scope != Scope::Delta {
-            self.workers.retain(|id, _| list.iter().any(|l| l.worker == *id));
+    /// The list of workers, or a change of it, has come.
+    pub fn on_worker_list(&mut self, now: Time, update: ListUpdate, list: &[WorkerInfo]) {
+        if update != ListUpdate::Delta {
+            self.workers.retain(|id, _| list.iter().any(|info| info.worker == *id));
         }
-        for l in list {
-            if l.phase == Phase::Gone {
-                self.workers.remove(&l.worker);
+        for info in list {
+            if info.phase == WorkerPhase::Removed {
+                self.workers.remove(&info.worker);
                 continue;
             }
-            let fresh = Worker {
-                started_at: l.started_at,
-                slowness: 1.0,
-                cold_budget: Store { level: self.rng.unit(), at: now },
+            let new = Worker {
+                started_at: info.started_at,
+                relative_latency: 1.0,
+                slow_start: TokenBucket { level: self.rng.next_f64(), refilled_at: now },
                 ..Worker::default()
             };
-            let mut w = match self.workers.remove(&l.worker) {
-                Some(w) if w.started_at == l.started_at => w,
-                Some(w) => Worker { out: w.out, load: w.load, ..fresh },
-                None => fresh,
+            let mut worker = match self.workers.remove(&info.worker) {
+                Some(known) if known.started_at == info.started_at => known,
+                Some(known) => Worker { in_flight: known.in_flight, load_s: known.load_s, ..new },
+                None => new,
             };
-            w.place(l);
-            self.workers.insert(l.worker, w);
+            worker.update(info);
+            self.workers.insert(info.worker, worker);
         }
     }
 }
 
-/// What is out counts by the time usual for it: a large invocation is as much as many small ones.
-pub(super) fn cost(w: &Worker) -> f64 {
-    w.load * w.slowness / w.heft
-}
-
-/// What it can do of a kind of work. Where next to nothing is out the counts tell nothing, and without this
-/// all gatekeepers would take to the same few workers that are larger or seem faster.
-pub(super) fn able(f: &Figures, w: &Worker, kind: (OperationId, PlanId), now: Time) -> f64 {
-    // A cold worker's share is drawn like a worker at hand, or at hundreds of gatekeepers it is never used.
-    let owed = warmth(f, w, now) < 1.0 && w.cold_budget.level >= 1.0;
-    let at_hand = if owed || is_at_hand(f, w, now) { AT_HAND } else { 1.0 };
-    at_hand * w.heft * ((1.0 - w.doubt(kind, now, DOUBT_OVER)) / w.slowness.max(SEEMS_FAST)).powi(2)
-}
-
-/// Whether a connection to it is open and idle. One gatekeeper among hundreds that draws from all workers meets
-/// each too seldom to know any, and pays for a connection nearly each time; with those that it has, its counts
-/// and latencies tell something. A further one is met where these are busier than the mean, doubted or slow.
-pub(super) fn is_at_hand(f: &Figures, w: &Worker, now: Time) -> bool {
-    w.used_at.is_some_and(|at| now - at < f.idle) && w.slowness < TOO_SLOW_AT_HAND
-}
-
-/// It failed lately, at work of this kind too much, or was silent for long for what is out there.
-pub(super) fn is_in_doubt(w: &Worker, kind: (OperationId, PlanId), now: Time) -> bool {
-    let is_silent = w.out > 0 && (now - w.quiet_since).secs() > SILENT * w.load / f64::from(w.out);
-    now < w.avoid_until || is_silent || w.doubt(kind, now, DOUBT_OVER) > DOUBTED
+/// The weight that a worker is drawn by, for a kind of work. Where next to nothing is in flight, costs tell nothing, and
+/// without this all gatekeepers would take to the same few workers that are larger or seem faster.
+fn selection_weight(settings: &DerivedSettings, worker: &Worker, work: WorkKind, now: Time) -> f64 {
+    // A cold worker's share is drawn as if a connection were open, or at hundreds of gatekeepers it is never used.
+    let is_owed = worker.warm_fraction(now, settings) < 1.0 && worker.slow_start.level >= 1.0;
+    let is_preferred = is_owed || is_connected(settings, worker, now);
+    let preference = if is_preferred { CONNECTED_PREFERENCE } else { 1.0 };
+    let success_rate = 1.0 - worker.failure_rate(work, now, FAILURE_WINDOW_S);
+    preference * worker.weight * (success_rate / worker.relative_latency.max(MIN_RELATIVE_LATENCY)).powi(2)
 }
 
-/// The share of its capacity that a worker is sure to have by now.
-pub(super) fn warmth(f: &Figures, w: &Worker, now: Time) -> f64 {
-    let Some(started) = w.started_at else { return 1.0 };
-    let age = (now - started).secs() / f.warm_within.secs().max(1e-3);
-    (f.start_share + (1.0 - f.start_share) * age).min(1.0)
+/// Whether a connection to it is open and idle. One gatekeeper among hundreds that draws from all workers meets each too
+/// seldom to know any, and pays for a connection nearly each time; with those that it has, its counts and latencies tell
+/// something. Another one is met where these are busier than the mean, unhealthy or slow.
+fn is_connected(settings: &DerivedSettings, worker: &Worker, now: Time) -> bool {
+    let is_open = worker.connected_at.is_some_and(|at| now - at < settings.idle_timeout);
+    is_open && worker.relative_latency < MAX_CONNECTED_LATENCY
 }
 
-pub(super) fn has_cold_budget(f: &Figures, w: &Worker, now: Time) -> bool {
-    warmth(f, w, now) >= 1.0 || w.cold_budget.level >= 1.0
+/// Whether it was ejected, failed too much lately at work of this kind, or has been silent for too long.
+pub(super) fn is_unhealthy(worker: &Worker, work: WorkKind, now: Time) -> bool {
+    let most_s = SILENCE_LATENCIES * worker.load_s / f64::from(worker.in_flight.max(1));
+    let is_silent = worker.in_flight > 0 && (now - worker.silent_since).secs() > most_s;
+    let has_failed = worker.failure_rate(work, now, FAILURE_WINDOW_S) > MAX_FAILURE_RATE;
+    now < worker.ejected_until || is_silent || has_failed
 }
 
-/// Whether the rules allow this invocation at this worker, by what may have run before.
-pub(super) fn in_group(f: &Figures, i: &Invocation, w: &Worker, now: Time) -> bool {
-    match (f.operations[i.operation.0 as usize].repeat, i.may_have_run) {
-        (Repeat::Tokened(group, window), Some((sent, zone, cell))) => {
-            now + f.margin < sent + window
-                && match group {
-                    Group::All => true,
-                    Group::Zone => w.zone == zone,
-                    Group::Cell => w.cell == cell,
+/// Whether a request that may have run on another worker may be sent to this one.
+fn may_run_on(settings: &DerivedSettings, request: &OpenRequest, worker: &Worker, now: Time) -> bool {
+    match (settings.operation(request.operation).idempotency, request.may_have_run) {
+        (Idempotency::Deduplicated(scope, window), Some((sent_at, zone, cell))) => {
+            now + settings.margin < sent_at + window
+                && match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => worker.zone == zone,
+                    DedupScope::Cell => worker.cell == cell,
                 }
         }
         _ => true,
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -1,5 +1,7 @@
-//! A multiply-with-carry generator, started from the seed that the instance is handed.
+//! Pseudo-random numbers: a multiply-with-carry generator, started from the seed that an instance is given.
 
+/// A generator. The same seed gives the same numbers in every build.
+#[derive(Clone, Debug)]
 pub struct Rng {
     word: u64,
     carry: u64,
@@ -7,17 +9,21 @@
 
 impl Rng {
     const FACTOR: u64 = 4_294_957_665;
+    /// How many numbers are discarded at the start, so that similar seeds do not give similar first numbers.
+    const DISCARDED: usize = 8;
 
+    /// A generator for a seed.
     pub fn new(seed: u64) -> Self {
-        // A zero pair would stay zero for ever; the constants only keep it away from there.
+        // A pair of zeros would stay zero for ever; the constants only keep it away from there.
         let mut rng = Rng { word: (seed & 0xffff_ffff) ^ 0x9e37_79b9, carry: (seed >> 32) | 1 };
-        for _ in 0..8 {
-            rng.draw();
+        for _ in 0..Self::DISCARDED {
+            rng.next_u32();
         }
         rng
     }
 
-    pub fn draw(&mut self) -> u32 {
+    /// A number of 32 bits.
+    pub fn next_u32(&mut self) -> u32 {
         let sum = Self::FACTOR * self.word + self.carry;
         self.word = sum & 0xffff_ffff;
         self.carry = sum >> 32;
@@ -25,7 +31,7 @@
     }
 
     /// A number from 0 to under 1.
-    pub fn unit(&mut self) -> f64 {
-        f64::from(self.draw()) / 4_294_967_296.0
+    pub fn next_f64(&mut self) -> f64 {
+        f64::from(self.next_u32()) / 4_294_967_296.0
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,268 +1,443 @@
-//! What an instance remembers, grouped by how long it lives.
+//! What a gatekeeper remembers, grouped by how long it lives.
 
 use std::collections::BTreeMap;
 
 use crate::types::{
-    CellId, CustomerId, DeliveryNo, InvId, Listed, OperationId, Phase, PlanId, Repeat, Span, Time, WorkerId,
-    ZoneId,
+    AttemptNumber, CellId, Idempotency, Operation, OperationId, Plan, PlanId, RequestId, Span, TenantId,
+    Time, WorkerId, WorkerInfo, WorkerPhase, ZoneId,
 };
 
-/// A store that fills by itself.
+/// Requests of one operation and plan: what is learnt of a worker is learnt for each of these.
+pub type WorkKind = (OperationId, PlanId);
+
+/// A token bucket. Rate and depth are given with each refill.
 #[derive(Clone, Copy, Default)]
-pub struct Store {
+pub struct TokenBucket {
+    /// The tokens that it holds; negative where more was taken than there was.
     pub level: f64,
-    pub at: Time,
+    /// When it was last refilled.
+    pub refilled_at: Time,
 }
 
-impl Store {
-    /// Brings it up to now, at a rate a second and to no more than it holds.
-    pub fn fill(&mut self, now: Time, rate: f64, most: f64) -> f64 {
-        self.level = (self.level + rate * (now - self.at).secs()).min(most);
-        self.at = now;
+impl TokenBucket {
+    /// Refills it up to now, at `rate` tokens a second and up to `depth`; returns its level.
+    pub fn refill(&mut self, now: Time, rate: f64, depth: f64) -> f64 {
+        self.level = (self.level + rate * (now - self.refilled_at).secs()).min(depth);
+        self.refilled_at = now;
         self.level
     }
 }
 
-/// For one delivery.
-pub struct Delivery {
+/// An attempt that is in flight.
+pub struct Attempt {
+    /// The worker that it was sent to.
     pub worker: WorkerId,
+    /// When it was sent.
     pub sent_at: Time,
-    pub kind: (OperationId, PlanId),
+    /// The kind of work.
+    pub work: WorkKind,
+    /// The size class of its request.
     pub size: usize,
-    /// What was usual for it, in seconds.
-    pub weight: f64,
-    pub customer: CustomerId,
+    /// The typical latency of such a request when it was sent, in seconds.
+    pub expected_s: f64,
+    /// Whose request it is.
+    pub tenant: TenantId,
 }
 
-/// Where an invocation stands.
+/// How far a request has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
-    /// Taken, and no delivery is out.
+pub enum RequestStage {
+    /// Admitted, and no attempt is in flight.
     #[default]
-    Taken,
-    /// One delivery is out.
-    Out,
-    /// Two are out.
-    Doubled,
+    Admitted,
+    /// One attempt is in flight.
+    Sent,
+    /// Two are in flight.
+    Hedged,
     /// Its answer has started; it belongs to the client.
     Streaming,
-    /// Its final answer is given, or was given for us.
+    /// Its final answer is given.
     Answered,
 }
 
-/// For one invocation.
+/// A request that is open.
 #[derive(Default)]
-pub struct Invocation {
-    pub stage: Stage,
+pub struct OpenRequest {
+    /// How far it has come.
+    pub stage: RequestStage,
+    /// What it asks for.
     pub operation: OperationId,
+    /// Its tenant's plan.
     pub plan: PlanId,
-    pub customer: CustomerId,
+    /// Whose quota it was charged to.
+    pub tenant: TenantId,
+    /// The units that it was charged.
     pub units: f64,
+    /// When it arrived.
     pub arrived_at: Time,
-    pub valid_until: Time,
-    /// The workers tried, one for each delivery, in their order.
+    /// When its client gives up.
+    pub deadline: Time,
+    /// The workers tried, one for each attempt, in their order.
     pub tried: Vec<WorkerId>,
-    /// Deliveries not proved never to have run.
+    /// How many attempts are not proved never to have run.
     pub unproven: u32,
-    /// Where and when the first delivery went that may have run, and the worker's zone and cell then.
+    /// Where and when the first attempt that may have run was sent, by the worker's zone and cell then.
     pub may_have_run: Option<(Time, ZoneId, CellId)>,
 }
 
-impl Invocation {
-    /// Every change of an invocation's stage goes through here.
-    pub fn step(&mut self, to: Stage) {
-        let legal = match self.stage {
-            Stage::Taken => matches!(to, Stage::Out | Stage::Answered),
-            Stage::Out => to != Stage::Out,
-            Stage::Doubled => matches!(to, Stage::Out | Stage::Streaming | Stage::Answered),
-            Stage::Streaming => to == Stage::Answered,
-            Stage::Answered => false,
+impl OpenRequest {
+    /// Enters a stage. Every change of stage is made here.
+    pub fn enter(&mut self, to: RequestStage) {
+        let is_legal = match self.stage {
+            RequestStage::Admitted => matches!(to, RequestStage::Sent | RequestStage::Answered),
+            RequestStage::Sent => to != RequestStage::Sent,
+            RequestStage::Hedged => {
+                matches!(to, RequestStage::Sent | RequestStage::Streaming | RequestStage::Answered)
+            }
+            RequestStage::Streaming => to == RequestStage::Answered,
+            RequestStage::Answered => false,
         };
-        debug_assert!(legal, "{:?} to {to:?}", self.stage);
+        debug_assert!(is_legal, "{:?} to {to:?}", self.stage);
         self.stage = to;
     }
+
+    /// Its kind of work.
+    pub fn work(&self) -> WorkKind {
+        (self.operation, self.plan)
+    }
+
+    /// One of its attempts is proved never to have run.
+    pub fn on_never_ran(&mut self) {
+        self.unproven -= 1;
+        if self.unproven == 0 {
+            self.may_have_run = None;
+        }
+    }
 }
 
-/// For one worker, as long as it is listed.
+/// A worker, for as long as it is listed.
 #[derive(Default)]
 pub struct Worker {
+    /// Its zone.
     pub zone: ZoneId,
+    /// Its cell.
     pub cell: CellId,
-    pub draining: bool,
-    pub heft: f64,
+    /// It takes nothing new.
+    pub is_draining: bool,
+    /// Its capacity in relation to others.
+    pub weight: f64,
+    /// When it started; None where that is long ago.
     pub started_at: Option<Time>,
-    /// Deliveries of this gatekeeper that are out.
-    pub out: u32,
-    /// The same by what is usual for each, in seconds.
-    pub load: f64,
-    /// Its latency over what is usual for the fleet.
-    pub slowness: f64,
-    /// Since when deliveries are out with no answer of any kind.
-    pub quiet_since: Time,
-    /// The share that failed of each kind of work, and when that was reckoned.
-    pub doubts: BTreeMap<(OperationId, PlanId), (f64, Time)>,
-    pub avoid_until: Time,
+    /// Attempts of this gatekeeper that are in flight there.
+    pub in_flight: u32,
+    /// The same by their expected latencies, in seconds.
+    pub load_s: f64,
+    /// Its latency in relation to what is typical for all workers.
+    pub relative_latency: f64,
+    /// Since when attempts are in flight without an answer of any kind.
+    pub silent_since: Time,
+    /// The fraction that failed of each kind of work, and when that was last updated.
+    pub failure_rates: BTreeMap<WorkKind, (f64, Time)>,
+    /// Until then it is ejected: nothing is sent to it where another worker can do it.
+    pub ejected_until: Time,
     /// When a connection to it was last left open.
-    pub used_at: Option<Time>,
-    pub probe_out: bool,
+    pub connected_at: Option<Time>,
+    /// A health check is to be made or in flight.
+    pub is_being_checked: bool,
     /// What may still be sent to it while it is cold.
-    pub cold_budget: Store,
+    pub slow_start: TokenBucket,
 }
 
 impl Worker {
     /// Takes over what the list says of it.
-    pub fn place(&mut self, l: &Listed) {
-        self.draining = l.phase == Phase::Draining;
-        self.heft = l.heft();
-        self.zone = l.zone;
-        self.cell = l.cell;
+    pub fn update(&mut self, info: &WorkerInfo) {
+        self.is_draining = info.phase == WorkerPhase::Draining;
+        self.weight = info.weight();
+        self.zone = info.zone;
+        self.cell = info.cell;
     }
 
-    /// Counts a delivery to it, with what is usual for it in seconds.
-    pub fn sent(&mut self, now: Time, weight: f64) {
-        if self.out == 0 {
-            self.quiet_since = now;
+    /// An attempt was sent to it, whose latency is expected to be `expected_s` seconds.
+    pub fn on_sent(&mut self, now: Time, expected_s: f64) {
+        if self.in_flight == 0 {
+            self.silent_since = now;
         }
-        self.out += 1;
-        self.load += weight;
+        self.in_flight += 1;
+        self.load_s += expected_s;
+    }
+
+    /// The fraction of a kind of work that failed lately. It decays over `over` seconds where nothing more is heard.
+    pub fn failure_rate(&self, work: WorkKind, now: Time, over: f64) -> f64 {
+        self.failure_rates.get(&work).map_or(0.0, |(rate, at)| rate * (now - *at).fading(over))
     }
 
-    /// The share of a kind of work that failed lately; it fades where nothing more is heard.
-    pub fn doubt(&self, kind: (OperationId, PlanId), now: Time, over: f64) -> f64 {
-        self.doubts.get(&kind).map_or(0.0, |(share, at)| share * (now - *at).fading(over))
+    /// The cost of one more attempt. What is in flight counts by its expected latency: a large request is as much as many
+    /// small ones.
+    pub fn cost(&self) -> f64 {
+        self.load_s * self.relative_latency / self.weight
     }
 
-    pub fn ended(&mut self, weight: f64) {
-        self.out = self.out.saturating_sub(1);
-        self.load = if self.out == 0 { 0.0 } else { (self.load - weight).max(0.0) };
+    /// The fraction of its capacity that it is sure to have by now.
+    pub fn warm_fraction(&self, now: Time, settings: &DerivedSettings) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let age = (now - started_at).secs() / settings.warm_up.secs().max(1e-3);
+        (settings.cold_capacity + (1.0 - settings.cold_capacity) * age).min(1.0)
+    }
+
+    /// Whether slow start lets it have another attempt.
+    pub fn has_slow_start_token(&self, now: Time, settings: &DerivedSettings) -> bool {
+        self.warm_fraction(now, settings) >= 1.0 || self.slow_start.level >= 1.0
+    }
+
+    /// An attempt has ended.
+    pub fn on_ended(&mut self, expected_s: f64) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.load_s = if self.in_flight == 0 { 0.0 } else { (self.load_s - expected_s).max(0.0) };
     }
 }
 
-/// What a shared count is known to hold for one customer and window.
+/// What the shared counter is known to hold for one tenant and window.
 #[derive(Default)]
-pub struct Shared {
+pub struct SharedCount {
+    /// The number of the window.
     pub window: u64,
     /// The last total that came back.
     pub total: f64,
     /// What a counter that came back empty had held before.
     pub lost: f64,
-    /// Known not to have been added.
+    /// What is known not to have been added.
     pub unadded: f64,
-    /// Sent in a call with no answer yet.
-    pub in_call: Option<f64>,
-    pub asked_at: Time,
+    /// What was sent in a call that has no answer yet.
+    pub in_flight: Option<f64>,
+    /// When that was sent.
+    pub called_at: Time,
 }
 
-/// For one customer, until its bucket is full and idle.
+/// A tenant, until its bucket is full and idle.
 #[derive(Default)]
-pub struct Customer {
+pub struct Tenant {
+    /// Its plan.
     pub plan: PlanId,
+    /// At how many gatekeepers its requests arrive.
     pub spread: f64,
-    /// The bucket.
-    pub tokens: Store,
-    /// This gatekeeper's part of a hard ceiling.
-    pub ceiling: Store,
-    pub out: u32,
+    /// Its quota.
+    pub tokens: TokenBucket,
+    /// This gatekeeper's share of its hard rate limit.
+    pub hard_limit: TokenBucket,
+    /// Attempts that are in flight for it.
+    pub in_flight: u32,
+    /// When its last request came.
     pub seen_at: Time,
-    /// How far apart its invocations come in here, in seconds.
-    pub gap: f64,
-    /// Let through and not yet reported.
+    /// The mean time between its requests here, in seconds.
+    pub arrival_gap_s: f64,
+    /// Units admitted here and not yet reported.
     pub unreported: f64,
-    pub report_due: bool,
-    pub shared: Shared,
-    /// What the other gatekeepers let through in a second, by the totals.
+    /// A report is due.
+    pub is_report_due: bool,
+    /// What is known of the shared count.
+    pub shared: SharedCount,
+    /// Units that the other gatekeepers admit in a second, by the totals.
     pub others_rate: f64,
-    /// Let through here since the last total, and what was charged for the others on a guess.
+    /// Units admitted here since the last total.
     pub own_since: f64,
-    pub guessed: f64,
-    pub told_at: Time,
+    /// Units charged for the other gatekeepers by estimate since then.
+    pub estimated: f64,
+    /// When the last total came.
+    pub total_at: Time,
+    /// Until then everything is throttled: the window's quota is used up.
     pub throttled_until: Time,
 }
 
-/// For the instance.
+impl Tenant {
+    /// Charges the units of a request that was admitted.
+    pub fn charge(&mut self, units: f64) {
+        self.tokens.level -= units;
+        self.hard_limit.level -= units;
+        self.own_since += units;
+        if self.is_report_due {
+            self.unreported += units;
+        }
+    }
+
+    /// Replaces what was charged for a request by the units that it took.
+    pub fn correct_charge(&mut self, charged: f64, actual: f64) {
+        self.tokens.level -= actual - charged;
+        self.unreported += actual - charged;
+    }
+
+    /// A window has begun `elapsed` ago. What was estimated for the time before it stays charged.
+    pub fn enter_window(&mut self, now: Time, window: u64, elapsed: Span) {
+        self.shared = SharedCount { window, ..SharedCount::default() };
+        self.estimated = self.estimated.min(self.others_rate * elapsed.secs());
+        self.total_at = self.total_at.max(now.saturating_sub(elapsed));
+        self.own_since = self.unreported;
+    }
+
+    /// All that was not reported goes to the counter in a call now; how much that is.
+    pub fn begin_report(&mut self, now: Time) -> f64 {
+        let amount = self.unreported + self.shared.unadded;
+        self.unreported = 0.0;
+        self.shared.unadded = 0.0;
+        self.shared.in_flight = Some(amount);
+        self.shared.called_at = now;
+        amount
+    }
+}
+
+/// What a gatekeeper remembers of itself and of the workers together.
 #[derive(Default)]
-pub struct Instance {
-    /// What may still go into further deliveries.
-    pub spare: f64,
-    /// Deliveries that succeed in a second, lately, and the most of it for a unit of heft.
-    pub rate: f64,
-    pub carried: f64,
-    pub carried_at: Time,
-    /// Calls to the counter to spare, and how many come in a second.
-    pub calls: Store,
+pub struct GatekeeperState {
+    /// Retries that may still be made.
+    pub retry_budget: f64,
+    /// Attempts that succeed in a second, lately.
+    pub success_rate: f64,
+    /// The highest of it lately, for a unit of weight of the workers.
+    pub peak_rate: f64,
+    /// When the two were updated.
+    pub rate_at: Time,
+    /// Calls to the counter that may be made now.
+    pub counter_calls: TokenBucket,
+    /// Calls to the counter that may be made in a second.
     pub call_rate: f64,
+    /// When that was last cut.
     pub call_cut_at: Time,
-    /// When the next beat is due; when the gatekeeper last found that it had stood still, and how long.
-    pub beat_due: Time,
-    pub woke_at: Time,
-    pub stood: Span,
-    /// How long the clients of each operation wait for one try, in seconds.
-    pub patience: Vec<f64>,
-    /// What is usual for each operation and size, in seconds.
-    pub usual: Vec<Vec<f64>>,
-    /// Of the deliveries that ended lately, the share that took too much of the objective.
-    pub late_share: f64,
-    /// How many deliveries may be out, and the last cut of that.
-    pub limit: f64,
-    /// How many were out lately, in the mean.
-    pub mean: f64,
+    /// When the next periodic upkeep is due.
+    pub tick_due: Time,
+    /// When it was last found that the process had stalled.
+    pub resumed_at: Time,
+    /// How long it had stalled then.
+    pub stalled: Span,
+    /// How long the clients of each operation wait for one attempt, in seconds.
+    pub client_timeout_s: Vec<f64>,
+    /// The typical latency of each operation and size class, in seconds.
+    pub typical_latency_s: Vec<Vec<f64>>,
+    /// The fraction of the attempts that ended lately which took too much of the latency objective.
+    pub late_fraction: f64,
+    /// How many attempts may be in flight.
+    pub concurrency_limit: f64,
+    /// When that was last cut.
+    pub limit_cut_at: Time,
+    /// How many attempts were in flight lately, on average.
+    pub mean_in_flight: f64,
+    /// When that was updated.
     pub mean_at: Time,
-    pub cut_at: Time,
 }
 
-impl Instance {
-    /// The running mean of what is out, by how much that is now.
-    pub fn mean_out(&mut self, now: Time, out: f64, over: f64) -> f64 {
-        self.mean += (out - self.mean) * (1.0 - (now - self.mean_at).fading(over));
+impl GatekeeperState {
+    /// Updates the mean number of attempts in flight, by how many there are now.
+    pub fn update_mean(&mut self, now: Time, in_flight: f64, over: f64) -> f64 {
+        self.mean_in_flight += (in_flight - self.mean_in_flight) * (1.0 - (now - self.mean_at).fading(over));
         self.mean_at = now;
-        self.mean
+        self.mean_in_flight
     }
 }
 
-/// What the decisions make of an operation's settings.
-pub struct OperationFigures {
+/// What the decisions derive from an operation's settings.
+pub struct OperationLimits {
+    /// The latency that an answer should stay below.
     pub objective: Span,
-    /// Whether an answer after the latency objective is still worth something.
-    pub late_pays: bool,
-    pub repeat: Repeat,
+    /// An answer after the latency objective is still worth something.
+    pub is_late_useful: bool,
+    /// Whether it may run again.
+    pub idempotency: Idempotency,
+}
+
+impl From<&Operation> for OperationLimits {
+    fn from(operation: &Operation) -> Self {
+        OperationLimits {
+            objective: operation.latency_objective,
+            is_late_useful: operation.late_value > 0.0,
+            idempotency: operation.idempotency,
+        }
+    }
 }
 
-/// What the decisions make of a plan's settings.
-pub struct PlanFigures {
-    /// None where the plan has no rate.
+/// What the decisions derive from a plan's settings.
+pub struct PlanLimits {
+    /// Units a second; None where the plan has no quota.
     pub rate: Option<f64>,
+    /// Units that may come on top of the rate at once.
     pub burst: f64,
-    pub open: u32,
-    pub ceiling_rate: f64,
-    pub ceiling_burst: f64,
+    /// How many requests may be open at once; 0 for no limit.
+    pub max_open: u32,
+    /// The hard rate limit, in units a second; 0 for none.
+    pub hard_limit_rate: f64,
+    /// Its burst, in units.
+    pub hard_limit_burst: f64,
+    /// The window that use is counted in by all gatekeepers together.
     pub window: Span,
-    pub allowance: f64,
-    pub keep: Span,
+    /// The units that all may admit in a window.
+    pub window_quota: f64,
+    /// How long the counter keeps a window's count.
+    pub retention: Span,
 }
 
-/// What the decisions make of the settings, once, at the start.
-pub struct Figures {
+impl PlanLimits {
+    /// A plan whose use is counted in windows of this length; values below zero count as zero.
+    pub fn new(plan: &Plan, window: Span, retention: Span) -> Self {
+        let (rate, burst) = (plan.rate.max(0.0), plan.burst.max(0.0));
+        PlanLimits {
+            rate: Some(rate).filter(|r| *r > 0.0),
+            burst,
+            max_open: plan.max_open,
+            hard_limit_rate: plan.hard_limit_rate.max(0.0),
+            hard_limit_burst: plan.hard_limit_burst.max(0.0),
+            window,
+            window_quota: burst + rate * window.secs(),
+            retention,
+        }
+    }
+}
+
+/// What the decisions derive from the settings, once, at the start.
+pub struct DerivedSettings {
+    /// How many gatekeepers there are.
     pub gatekeepers: f64,
+    /// An answer is on its way to the client for no longer than this.
     pub margin: Span,
-    pub operations: Vec<OperationFigures>,
-    pub plans: Vec<PlanFigures>,
-    pub counter: bool,
+    /// The operations, by their ids.
+    pub operations: Vec<OperationLimits>,
+    /// The plans, by their ids.
+    pub plans: Vec<PlanLimits>,
+    /// There is a shared counter.
+    pub has_counter: bool,
+    /// An answer of the counter after this time is late.
     pub counter_timeout: Span,
-    /// For how long an idle connection stays open.
-    pub idle: Span,
-    pub probes: bool,
-    pub cancel: bool,
-    pub retry_after: Option<Span>,
-    pub second_copies: bool,
-    pub max_deliveries: usize,
-    pub start_share: f64,
-    pub warm_within: Span,
-    /// How far over what it is sure to do a cold worker may be sent.
+    /// How long an idle connection to a worker stays open.
+    pub idle_timeout: Span,
+    /// Workers answer health checks.
+    pub has_health_checks: bool,
+    /// Attempts can be cancelled.
+    pub can_cancel: bool,
+    /// The longest time that a rejection may tell; None where it tells none.
+    pub max_retry_after: Option<Span>,
+    /// A second attempt may be made while the first is in flight.
+    pub allows_hedging: bool,
+    /// The most attempts for one request.
+    pub max_attempts: usize,
+    /// The fraction of its capacity that a worker has right after its start.
+    pub cold_capacity: f64,
+    /// How long after its start a worker has all of its capacity.
+    pub warm_up: Span,
+    /// The multiple of what a cold worker is sure to do that it may be sent.
     pub cold_headroom: f64,
-    /// Deliveries in a second that a cold worker may get in any case.
-    pub trickle: f64,
-    pub retry_subscription: Span,
+    /// Attempts in a second that a cold worker may get in any case.
+    pub min_cold_rate: f64,
+    /// How soon a failed subscription is repeated.
+    pub resubscribe_after: Span,
+}
+
+impl DerivedSettings {
+    /// An operation that is known to be configured.
+    pub fn operation(&self, id: OperationId) -> &OperationLimits {
+        &self.operations[usize::from(id.0)]
+    }
+
+    /// A plan that is known to be configured.
+    pub fn plan(&self, id: PlanId) -> &PlanLimits {
+        &self.plans[usize::from(id.0)]
+    }
 }
 
-/// The key of a delivery.
-pub type DeliveryKey = (InvId, DeliveryNo);
+/// The key of an attempt.
+pub type AttemptKey = (RequestId, AttemptNumber);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,44 +5,44 @@
 use lynxstair::types::*;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
-    Deliver(InvId, WorkerId, Time),
-    Throttle(InvId, Option<Span>),
-    Error(InvId),
-    Cancel(InvId, DeliveryNo),
-    Probe(WorkerId),
-    Add(CountName, f32),
+pub enum Output {
+    Attempt(RequestId, WorkerId, Time),
+    Throttle(RequestId, Option<Span>),
+    Fail(RequestId),
+    Cancel(RequestId, AttemptNumber),
+    HealthCheck(WorkerId),
+    Add(CounterKey, f32),
     Timer(Span, TimerTag),
     Subscribe,
 }
 
 #[derive(Default)]
-pub struct Ear(pub Vec<Said>);
+pub struct RecordingPort(pub Vec<Output>);
 
-impl Port for Ear {
-    fn deliver(&mut self, inv: InvId, worker: WorkerId, stop_at: Time) {
-        self.0.push(Said::Deliver(inv, worker, stop_at));
+impl Port for RecordingPort {
+    fn send_attempt(&mut self, request_id: RequestId, worker: WorkerId, stop_at: Time) {
+        self.0.push(Output::Attempt(request_id, worker, stop_at));
     }
-    fn throttle(&mut self, inv: InvId, retry_after: Option<Span>) {
-        self.0.push(Said::Throttle(inv, retry_after));
+    fn throttle(&mut self, request_id: RequestId, sends_retry_after: Option<Span>) {
+        self.0.push(Output::Throttle(request_id, sends_retry_after));
     }
-    fn error(&mut self, inv: InvId) {
-        self.0.push(Said::Error(inv));
+    fn fail(&mut self, request_id: RequestId) {
+        self.0.push(Output::Fail(request_id));
     }
-    fn cancel(&mut self, inv: InvId, no: DeliveryNo) {
-        self.0.push(Said::Cancel(inv, no));
+    fn cancel(&mut self, request_id: RequestId, attempt: AttemptNumber) {
+        self.0.push(Output::Cancel(request_id, attempt));
     }
-    fn probe(&mut self, worker: WorkerId) {
-        self.0.push(Said::Probe(worker));
+    fn check_health(&mut self, worker: WorkerId) {
+        self.0.push(Output::HealthCheck(worker));
     }
-    fn add_to_count(&mut self, name: CountName, _keep: Span, amount: f32) {
-        self.0.push(Said::Add(name, amount));
+    fn add_to_counter(&mut self, name: CounterKey, _keep: Span, amount: f32) {
+        self.0.push(Output::Add(name, amount));
     }
     fn set_timer(&mut self, after: Span, tag: TimerTag) {
-        self.0.push(Said::Timer(after, tag));
+        self.0.push(Output::Timer(after, tag));
     }
     fn subscribe(&mut self) {
-        self.0.push(Said::Subscribe);
+        self.0.push(Output::Subscribe);
     }
 }
 
@@ -51,12 +51,12 @@
 }
 
 pub fn settings() -> Settings {
-    let operation = |repeat| Operation {
+    let operation = |idempotency| Operation {
         latency_objective: Span::from_millis(1000),
         integration_timeout: Span::from_millis(4000),
-        late_share: 0.0,
+        late_value: 0.0,
         billed_value: 1.0,
-        repeat,
+        idempotency,
     };
     let window = Span::from_millis(5000);
     let plan = Plan { rate: 2.0, burst: 8.0, price: 1.0, ..Plan::default() };
@@ -64,126 +64,139 @@
         gatekeepers: 2,
         step: Span::from_millis(2),
         operations: vec![
-            operation(Repeat::Idempotent),
-            operation(Repeat::NonIdempotent),
-            operation(Repeat::Tokened(Group::All, window)),
-            operation(Repeat::Tokened(Group::Zone, window)),
+            operation(Idempotency::Idempotent),
+            operation(Idempotency::NonIdempotent),
+            operation(Idempotency::Deduplicated(DedupScope::All, window)),
+            operation(Idempotency::Deduplicated(DedupScope::Zone, window)),
         ],
         plans: vec![
             plan.clone(),
-            Plan { rate: 1000.0, burst: 1000.0, ceiling_rate: 4.0, ceiling_burst: 16.0, ..plan.clone() },
+            Plan {
+                rate: 1000.0,
+                burst: 1000.0,
+                hard_limit_rate: 4.0,
+                hard_limit_burst: 16.0,
+                ..plan.clone()
+            },
             Plan { rate: 0.0, burst: 0.0, ..plan },
         ],
-        counter: true,
+        has_counter: true,
         counter_timeout: Span::from_millis(50),
-        probes: true,
-        cancel: true,
-        retry_after: true,
+        has_health_checks: true,
+        can_cancel: true,
+        sends_retry_after: true,
         max_retry_after: Span::from_millis(1000),
-        second_copies: true,
-        max_deliveries: 3,
-        start_share: 0.2,
-        warm_within: Span::from_millis(10_000),
-        fall: Span::from_millis(2000),
-        fall_multiple: 2.0,
+        allows_hedging: true,
+        max_attempts: 3,
+        cold_capacity: 0.2,
+        warm_up: Span::from_millis(10_000),
+        overload_recovery: Span::from_millis(2000),
+        overload_multiple: 2.0,
         ..Settings::default()
     }
 }
 
 pub struct World {
     pub gatekeeper: Gatekeeper,
-    pub ear: Ear,
+    pub port: RecordingPort,
     pub timers: Vec<TimerTag>,
-    /// The beats that came, one each 200 ms.
-    pub beats: u64,
+    /// The ticks that came, one each 200 ms.
+    pub ticks: u64,
 }
 
 impl World {
     /// A gatekeeper that has been told of so many warm workers, each in a zone of its own but the first two.
     pub fn new(settings: &Settings, workers: u64) -> Self {
-        let mut ear = Ear::default();
-        let mut gatekeeper = Gatekeeper::start(at(0), 7, settings, &mut ear);
-        let list: Vec<Listed> = (0..workers).map(|n| listed(n, Phase::Ready)).collect();
-        gatekeeper.listed(at(0), Scope::Cached, &list);
-        World { gatekeeper, ear, timers: Vec::new(), beats: 0 }
+        let mut port = RecordingPort::default();
+        let mut gatekeeper = Gatekeeper::new(at(0), 7, settings, &mut port);
+        let list: Vec<WorkerInfo> = (0..workers).map(|n| worker_info(n, WorkerPhase::Ready)).collect();
+        gatekeeper.on_worker_list(at(0), ListUpdate::Cached, &list);
+        World { gatekeeper, port, timers: Vec::new(), ticks: 0 }
     }
 
-    /// Time passes, and the gatekeeper's beats come when they are due.
+    /// Time passes, and the gatekeeper's ticks come when they are due.
     pub fn pass(&mut self, ms: u64) {
-        while (self.beats + 1) * 200 <= ms {
-            self.beats += 1;
-            self.gatekeeper.timer(at(self.beats * 200), Wake::Beat.tag(), &mut self.ear);
+        while (self.ticks + 1) * 200 <= ms {
+            self.ticks += 1;
+            self.gatekeeper.on_timer(at(self.ticks * 200), TimerEvent::Tick.tag(), &mut self.port);
         }
-        self.said();
+        self.outputs();
     }
 
-    pub fn invoke(
+    pub fn send(
         &mut self,
         ms: u64,
-        inv: u32,
+        request_id: u32,
         operation: u8,
         plan: u16,
         units: f32,
         spread: f32,
-    ) -> Vec<Said> {
+    ) -> Vec<Output> {
         self.pass(ms);
-        let arrival = arrival(ms, inv, operation, plan, units, spread);
-        self.gatekeeper.invoke(at(ms), &arrival, &mut self.ear);
-        self.said()
+        let request = request(ms, request_id, operation, plan, units, spread);
+        self.gatekeeper.on_request(at(ms), &request, &mut self.port);
+        self.outputs()
     }
 
-    pub fn end(&mut self, ms: u64, inv: u32, no: u8, worker: WorkerId, outcome: Outcome) -> Vec<Said> {
-        self.end_in(ms, inv, no, worker, outcome, 50)
+    pub fn end(
+        &mut self,
+        ms: u64,
+        request_id: u32,
+        attempt: u8,
+        worker: WorkerId,
+        outcome: Outcome,
+    ) -> Vec<Output> {
+        self.end_in(ms, request_id, attempt, worker, outcome, 50)
     }
 
-    /// The end of a delivery that took so long.
+    /// The end of a attempt that took so long.
     pub fn end_in(
         &mut self,
         ms: u64,
-        inv: u32,
-        no: u8,
+        request_id: u32,
+        attempt: u8,
         worker: WorkerId,
         outcome: Outcome,
-        took_ms: u64,
-    ) -> Vec<Said> {
+        duration_ms: u64,
+    ) -> Vec<Output> {
         self.pass(ms);
-        let ended = Ended {
-            inv: InvId(inv),
-            no: DeliveryNo(no),
+        let report = AttemptReport {
+            request_id: RequestId(request_id),
+            attempt: AttemptNumber(attempt),
             worker,
             outcome,
-            took: Span::from_millis(took_ms),
-            last: outcome == Outcome::Succeeded,
-            used: None,
-            actual: None,
+            duration: Span::from_millis(duration_ms),
+            is_final: outcome == Outcome::Succeeded,
+            quota_used: None,
+            actual_units: None,
             load: &[],
         };
-        self.gatekeeper.delivery_ended(at(ms), &ended, &mut self.ear);
-        self.said()
+        self.gatekeeper.on_attempt_ended(at(ms), &report, &mut self.port);
+        self.outputs()
     }
 
-    pub fn timer(&mut self, ms: u64, tag: TimerTag) -> Vec<Said> {
+    pub fn timer(&mut self, ms: u64, tag: TimerTag) -> Vec<Output> {
         self.pass(ms);
-        self.gatekeeper.timer(at(ms), tag, &mut self.ear);
-        self.said()
+        self.gatekeeper.on_timer(at(ms), tag, &mut self.port);
+        self.outputs()
     }
 
     /// What was said since; timers are kept apart.
-    pub fn said(&mut self) -> Vec<Said> {
-        let (timers, said): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.ear.0).into_iter().partition(|s| matches!(s, Said::Timer(..)));
+    pub fn outputs(&mut self) -> Vec<Output> {
+        let (timers, outputs): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.port.0).into_iter().partition(|s| matches!(s, Output::Timer(..)));
         self.timers
-            .extend(timers.iter().filter_map(|s| if let Said::Timer(_, t) = s { Some(*t) } else { None }));
-        said
+            .extend(timers.iter().filter_map(|s| if let Output::Timer(_, t) = s { Some(*t) } else { None }));
+        outputs
     }
 }
 
-/// An arrival at that time, whose client waits for three seconds.
-pub fn arrival(ms: u64, inv: u32, operation: u8, plan: u16, units: f32, spread: f32) -> Arrival {
-    Arrival {
-        inv: InvId(inv),
-        valid_until: at(ms + 3000),
-        customer: CustomerId(u64::from(plan) + 1),
+/// An request at that time, whose client waits for three seconds.
+pub fn request(ms: u64, request_id: u32, operation: u8, plan: u16, units: f32, spread: f32) -> Request {
+    Request {
+        id: RequestId(request_id),
+        deadline: at(ms + 3000),
+        tenant: TenantId(u64::from(plan) + 1),
         operation: OperationId(operation),
         plan: PlanId(plan),
         spread,
@@ -191,23 +204,23 @@
     }
 }
 
-pub fn listed(n: u64, phase: Phase) -> Listed {
-    Listed {
+pub fn worker_info(n: u64, phase: WorkerPhase) -> WorkerInfo {
+    WorkerInfo {
         worker: WorkerId(n + 1),
         zone: ZoneId(n.saturating_sub(1) as u16),
         kind: KindId(0),
         cell: CellId(0),
         phase,
-        heft: 1.0,
+        weight: 1.0,
         started_at: None,
     }
 }
 
-pub fn delivered(said: &[Said]) -> Option<WorkerId> {
-    said.iter().find_map(|s| if let Said::Deliver(_, w, _) = s { Some(*w) } else { None })
+pub fn sent_to(outputs: &[Output]) -> Option<WorkerId> {
+    outputs.iter().find_map(|s| if let Output::Attempt(_, w, _) = s { Some(*w) } else { None })
 }
 
-/// The tag of the report that is due for a customer.
-pub fn report_tag(customer: u64) -> TimerTag {
-    Wake::Report(CustomerId(customer)).tag()
+/// The tag of the report that is due for a tenant.
+pub fn report_tag(tenant: u64) -> TimerTag {
+    TimerEvent::UsageReport(TenantId(tenant)).tag()
 }
