--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -87,6 +87,9 @@
             code::WORKER_LIST => {
                 handle_worker_list(now, cursor, self.instances.get_mut(&instance), &self.lists, port)
             }
+            code::REQUEST | code::STREAM_STARTED | code::ATTEMPT_ENDED | code::EXPIRED => {
+                handle_request_event(now, code, cursor, self.instances.get_mut(&instance), port)
+            }
             _ => handle_event(now, code, cursor, self.instances.get_mut(&instance), port),
         }
     }
@@ -129,8 +132,8 @@
     Ok(())
 }
 
-/// Handles an event of one instance. What comes for an instance that is not up is read and dropped.
-fn handle_event(
+/// Handles an event of one request. What comes for an instance that is not up is read and dropped, here and below.
+fn handle_request_event(
     now: Time,
     code: u8,
     cursor: &mut Cursor,
@@ -161,12 +164,25 @@
                 gatekeeper.on_attempt_ended(now, &report, port);
             }
         }
-        code::EXPIRED => {
+        _ => {
             let request = RequestId(cursor.u32()?);
             if let Some(gatekeeper) = gatekeeper {
                 gatekeeper.on_expired(request, port);
             }
         }
+    }
+    Ok(())
+}
+
+/// Handles an event that concerns no single request.
+fn handle_event(
+    now: Time,
+    code: u8,
+    cursor: &mut Cursor,
+    gatekeeper: Option<&mut Gatekeeper>,
+    port: &mut WirePort,
+) -> Result<(), RecordError> {
+    match code {
         code::TIMER => {
             let tag = TimerTag(cursor.u64()?);
             if let Some(gatekeeper) = gatekeeper {
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -146,11 +146,11 @@
     spawn("internal connections", move || server::accept(&internal, |stream| inbound::accept(&c, stream)));
     let (c, alarms) = (controller.clone(), controller.alarms.clone());
     let handler = Arc::new(move |call: &Request| http_api::handle(&c, call));
-    spawn("control", move || server::serve(&control, &alarms, CONTROL_LIMITS, handler));
+    spawn("control", move || server::serve(&control, &alarms, CONTROL_LIMITS, &handler));
     if let Some(directory) = directory {
         let (c, alarms) = (controller.clone(), controller.alarms.clone());
         let handler = Arc::new(move |call: &Request| directory_api::handle(&c, call));
-        spawn("directory", move || server::serve(&directory, &alarms, DIRECTORY_LIMITS, handler));
+        spawn("directory", move || server::serve(&directory, &alarms, DIRECTORY_LIMITS, &handler));
     }
     Ok(())
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -135,7 +135,7 @@
 }
 
 /// Serves requests on a listener; never returns.
-pub fn serve<H>(listener: &CoIo<TcpListener>, alarms: &Arc<Alarms>, limits: ServerLimits, handler: Arc<H>)
+pub fn serve<H>(listener: &CoIo<TcpListener>, alarms: &Arc<Alarms>, limits: ServerLimits, handler: &Arc<H>)
 where
     H: Fn(&Request) -> Response + Send + Sync + 'static,
 {
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -24,7 +24,7 @@
     let listener = server::listen(on).expect("listens");
     let limits = ServerLimits { max_body: 32 << 20, max_connections: 8 };
     let long = |_: &Request| Response::json(200, vec![b'x'; LONG]);
-    spawn("calls", move || server::serve(&listener, &alarms, limits, Arc::new(long)));
+    spawn("calls", move || server::serve(&listener, &alarms, limits, &Arc::new(long)));
     for connection in ["close", "keep-alive"] {
         let mut stream = TcpStream::connect(on).expect("connects");
         write!(stream, "GET /config HTTP/1.1\r\nHost: x\r\nConnection: {connection}\r\n\r\n").expect("asks");
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -86,7 +86,7 @@
     if let Some(readiness) = readiness {
         let (p, alarms) = (proxy.clone(), proxy.alarms.clone());
         let handler = Arc::new(move |call: &Request| answer_readiness(&p, call));
-        spawn("readiness", move || server::serve(&readiness, &alarms, READINESS_LIMITS, handler));
+        spawn("readiness", move || server::serve(&readiness, &alarms, READINESS_LIMITS, &handler));
     }
     let p = proxy.clone();
     spawn("clients", move || client_reader::accept_clients(&p, &front));
