--- a/crates/cluster/src/owners.rs
+++ b/crates/cluster/src/owners.rs
@@ -10,7 +10,7 @@
 };
 use lynxstair_net::clock::Clock;
 use lynxstair_net::ticker::Ticker;
-use lynxstair_record_log::{Ledger, Repair, Writer};
+use lynxstair_record_log::{RecordLog, Repair, Writer};
 use tracing::warn;
 
 use crate::config::Config;
@@ -53,7 +53,7 @@
         let folder = config.data.join(FOLDER);
         let owner = format!("{}/{}/voter", config.fleet, config.name);
         let opened =
-            Ledger::open(&folder, &owner, failing(config)).map_err(|e| format!("voter's records: {e}"))?;
+            RecordLog::open(&folder, &owner, failing(config)).map_err(|e| format!("voter's records: {e}"))?;
         let image = Image::read(&opened.records)
             .map_err(|e| format!("voter's records: {}: {e}", folder.display()))?;
         let lost = opened.repairs.iter().any(|r| matches!(r, Repair::TornEnd { .. }));
@@ -97,7 +97,7 @@
         let (image, done) = (Arc::new(Mutex::new(image)), Arc::new(Mutex::new(Vec::new())));
         let (to_keep, told, waking) = (image.clone(), done.clone(), ticker.clone());
         let writer = Writer::start(
-            opened.ledger,
+            opened.log,
             Box::new(move |ticket, what: Result<(), _>| {
                 lock(&told).push((ticket, what.map_err(|e: lynxstair_record_log::Error| e.to_string())));
                 waking.wake_now();
@@ -139,7 +139,7 @@
         if let Err(e) = lock(&self.image).take_in(record) {
             warn!(%e, "fleet: a voter's own record");
         }
-        if !self.writer.put(ticket, record.written()) {
+        if !self.writer.append(ticket, record.written()) {
             let why = "too many records wait for the disk".to_string();
             lock(&self.done).push((ticket, Err(why)));
             self.ticker.wake_now();
--- a/crates/cluster/src/side.rs
+++ b/crates/cluster/src/side.rs
@@ -12,7 +12,7 @@
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::spawn;
 use lynxstair_net::ticker::Ticker;
-use lynxstair_record_log::{Error, Failing, Ledger, Repair, Writer};
+use lynxstair_record_log::{Error, RecordLog, Repair, WriteFault, Writer};
 use may::coroutine::yield_now;
 use may::io::{CoIo, WaitIo};
 use nix::sys::prctl::set_pdeathsig;
@@ -106,7 +106,7 @@
 
         let owner = format!("{}/{}", config.fleet, config.name);
         let opened =
-            Ledger::open(&config.data, &owner, failing(&config)).map_err(|e| format!("records: {e}"))?;
+            RecordLog::open(&config.data, &owner, failing(&config)).map_err(|e| format!("records: {e}"))?;
         for repair in &opened.repairs {
             match repair {
                 Repair::TornEnd { number, bytes } => {
@@ -138,7 +138,7 @@
         let waking = ticker.clone();
         let (to_keep, told) = (kept.clone(), done.clone());
         let writer = Writer::start(
-            opened.ledger,
+            opened.log,
             Box::new(move |waits: Option<Incarnation>, what| {
                 // Others are not waited for; that they failed shows in the status with the next that is.
                 if let Some(incarnation) = waits {
@@ -356,7 +356,7 @@
             _ => None,
         };
         lock(&self.kept).take_in(record.clone());
-        if !self.writer.put(waits, written(&record)) && waits.is_some() {
+        if !self.writer.append(waits, written(&record)) && waits.is_some() {
             self.try_again(now, record, "too many records wait for the disk".to_string());
         }
     }
@@ -463,7 +463,7 @@
 }
 
 /// A disk that fails while a file is there.
-pub(crate) fn failing(config: &Config) -> Option<Failing> {
+pub(crate) fn failing(config: &Config) -> Option<WriteFault> {
     let path = config.trial.disk_full_while.clone()?;
     Some(Arc::new(move || match path.exists() {
         true => Err(io::ErrorKind::StorageFull.into()),
--- a/crates/cluster/src/uses.rs
+++ b/crates/cluster/src/uses.rs
@@ -16,7 +16,7 @@
 
 use lynxstair::types::Time;
 use lynxstair_export::{Batch, MOST_SUMS, Stream, USE_BYTES, Use, WINDOW_SECONDS};
-use lynxstair_record_log::Failing;
+use lynxstair_record_log::WriteFault;
 use tracing::{error, info, warn};
 
 use crate::side::lock;
@@ -55,7 +55,7 @@
     folder: PathBuf,
     open: Mutex<Open>,
     sealed: Mutex<Sealed>,
-    failing: Option<Failing>,
+    failing: Option<WriteFault>,
     failed: AtomicBool,
     /// The room for uses is taken.
     full: AtomicBool,
@@ -86,7 +86,7 @@
         folder: &Path,
         gatekeeper: &str,
         drawn: u64,
-        failing: Option<Failing>,
+        failing: Option<WriteFault>,
     ) -> Result<Arc<Self>, String> {
         let why = |e: &dyn std::fmt::Display| format!("uses: {}: {e}", folder.display());
         fs::create_dir_all(folder).map_err(|e| why(&e))?;
--- a/crates/fakes/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use lynxstair_export::{Batch, Mark, Says, Shelf};
-use lynxstair_record_log::Ledger;
+use lynxstair_record_log::RecordLog;
 use serde::{Deserialize, Serialize};
 
 use crate::load::mono;
@@ -36,13 +36,13 @@
 
 struct Inside {
     shelf: Shelf,
-    ledger: Ledger,
+    log: RecordLog,
     landed: Vec<Landed>,
 }
 
 impl Inside {
     fn open(folder: &Path) -> Result<Self, String> {
-        let opened = Ledger::open(folder, "sink", None).map_err(|e| e.to_string())?;
+        let opened = RecordLog::open(folder, "sink", None).map_err(|e| e.to_string())?;
         let mut shelf = Shelf::default();
         for bytes in &opened.records {
             match serde_json::from_slice(bytes).map_err(|e| e.to_string())? {
@@ -51,7 +51,7 @@
                 Record::Mark { epoch, mark } => shelf.mark(epoch, &mark),
             }
         }
-        Ok(Inside { shelf, ledger: opened.ledger, landed: Vec::new() })
+        Ok(Inside { shelf, log: opened.log, landed: Vec::new() })
     }
 }
 
@@ -146,7 +146,7 @@
         ("GET", "/duties/export") => {
             if epoch > inside.shelf.seen {
                 let record = serde_json::to_vec(&Record::Seen { epoch }).unwrap_or_default();
-                if let Err(e) = inside.ledger.append(&record) {
+                if let Err(e) = inside.log.append(&record) {
                     return say(500, e.to_string());
                 }
             }
@@ -168,7 +168,7 @@
             if says == (Says::Taken { again: false }) {
                 let record = Record::Batch { epoch, batch: batch.clone() };
                 let record = serde_json::to_vec(&record).unwrap_or_default();
-                if let Err(e) = inside.ledger.append(&record) {
+                if let Err(e) = inside.log.append(&record) {
                     return say(500, e.to_string());
                 }
                 inside.shelf.take(epoch, &batch);
@@ -192,7 +192,7 @@
                 return say(409, serde_json::to_string(&says).unwrap_or_default());
             }
             let record = Record::Mark { epoch, mark: mark.clone() };
-            if let Err(e) = inside.ledger.append(&serde_json::to_vec(&record).unwrap_or_default()) {
+            if let Err(e) = inside.log.append(&serde_json::to_vec(&record).unwrap_or_default()) {
                 return say(500, e.to_string());
             }
             inside.shelf.mark(epoch, &mark);
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -3,21 +3,22 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::{self, JoinHandle};
 
-use crate::file::{Error, Ledger};
+use crate::error::Error;
+use crate::record_log::RecordLog;
 
-/// So many records may wait to be written.
-const WAITING: usize = 256;
-/// A file longer than so many bytes is written anew.
-const LONG: u64 = 1 << 20;
+/// How many records may wait to be written.
+const MAX_WAITING: usize = 256;
+/// A file longer than this is rewritten, in bytes.
+const REWRITE_LEN: u64 = 1 << 20;
 
-/// What became of a record, told on the writer's thread.
-pub type Written<T> = Box<dyn Fn(T, Result<(), Error>) + Send>;
+/// Is told what became of a record, by what the caller knows it by; on the writer's thread.
+pub type OnWritten<T> = Box<dyn Fn(T, Result<(), Error>) + Send>;
 
 /// What a file that grew long is to hold instead.
-type Kept = Box<dyn Fn() -> Vec<Vec<u8>> + Send>;
+pub type Retained = Box<dyn Fn() -> Vec<Vec<u8>> + Send>;
 
 enum Task<T> {
-    Put { ticket: T, recorded: Vec<u8> },
+    Append { context: T, content: Vec<u8> },
     End,
 }
 
@@ -28,21 +29,20 @@
 }
 
 impl<T: Send + 'static> Writer<T> {
-    /// Takes the ledger over. `written` is called for each record; `kept` tells what a file that grew over 1
-    /// MiB is to hold instead.
+    /// Takes the log over. `retained` says what a file that grew over 1 MiB is to hold instead.
     ///
     /// # Errors
     /// Where no thread can be had.
-    pub fn start(ledger: Ledger, written: Written<T>, kept: Kept) -> std::io::Result<Self> {
-        let (tasks, todo) = sync_channel(WAITING);
+    pub fn start(log: RecordLog, on_written: OnWritten<T>, retained: Retained) -> std::io::Result<Self> {
+        let (tasks, queue) = sync_channel(MAX_WAITING);
         let thread = thread::Builder::new().name("ledger".to_string());
-        let thread = thread.spawn(move || write(ledger, &todo, &written, &kept))?;
+        let thread = thread.spawn(move || run(log, &queue, &on_written, &retained))?;
         Ok(Writer { tasks, thread: Some(thread) })
     }
 
-    /// Has a record written. False, and nothing will be told of it, where too many wait already.
-    pub fn put(&self, ticket: T, recorded: Vec<u8>) -> bool {
-        match self.tasks.try_send(Task::Put { ticket, recorded }) {
+    /// Has a record appended. False, and nothing is reported of it, where too many wait already.
+    pub fn append(&self, context: T, content: Vec<u8>) -> bool {
+        match self.tasks.try_send(Task::Append { context, content }) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => false,
         }
@@ -57,13 +57,13 @@
     }
 }
 
-fn write<T>(mut ledger: Ledger, todo: &Receiver<Task<T>>, written: &Written<T>, kept: &Kept) {
-    while let Ok(Task::Put { ticket, recorded }) = todo.recv() {
-        let put = ledger.append(&recorded).map(drop);
-        if put.is_ok() && ledger.len() > LONG {
+fn run<T>(mut log: RecordLog, queue: &Receiver<Task<T>>, on_written: &OnWritten<T>, retained: &Retained) {
+    while let Ok(Task::Append { context, content }) = queue.recv() {
+        let result = log.append(&content).map(drop);
+        if result.is_ok() && log.len() > REWRITE_LEN {
             // The record is in the file already; where the disk has no room the long file goes on.
-            let _ = ledger.rewrite(&kept());
+            let _ = log.rewrite(&retained());
         }
-        written(ticket, put);
+        on_written(context, result);
     }
 }
--- a/crates/record-log/tests/golden.rs
+++ b/crates/record-log/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use lynxstair_record_log::Ledger;
+use lynxstair_record_log::RecordLog;
 
 const RECORDS: [&str; 2] = [r#"{"record":"began","incarnation":3}"#, "two"];
 
@@ -10,7 +10,7 @@
 fn files_keep_their_form() {
     let golden = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/ledger");
     let folder = tempfile::tempdir().expect("a folder");
-    let mut log = Ledger::open(folder.path(), "fleet/g1", None).expect("opens").ledger;
+    let mut log = RecordLog::open(folder.path(), "fleet/g1", None).expect("opens").log;
     for record in RECORDS {
         log.append(record.as_bytes()).expect("written");
     }
@@ -19,7 +19,7 @@
     assert_eq!(written, fs::read(golden).expect("golden"));
     // And a file of a build before is read.
     fs::write(folder.path().join("ledger"), fs::read(golden).expect("golden")).expect("put");
-    let opened = Ledger::open(folder.path(), "fleet/g1", None).expect("opens");
+    let opened = RecordLog::open(folder.path(), "fleet/g1", None).expect("opens");
     assert_eq!(opened.records, RECORDS.map(|record| record.as_bytes().to_vec()));
     assert!(opened.repairs.is_empty());
 }
--- a/crates/record-log/tests/ledger.rs
+++ b/crates/record-log/tests/record_log.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::channel;
 
-use lynxstair_record_log::{Error, Ledger, Opened, Repair, Writer};
+use lynxstair_record_log::{Error, Opened, RecordLog, Repair, Writer};
 use tempfile::TempDir;
 
 /// In memory where there is such a place: hundreds of files are opened, and a disk takes 50 ms to say that it
@@ -17,11 +17,11 @@
 }
 
 fn open(folder: &Path) -> Result<Opened, Error> {
-    Ledger::open(folder, "fleet/g1", None)
+    RecordLog::open(folder, "fleet/g1", None)
 }
 
 fn three(folder: &Path) -> Vec<u8> {
-    let mut ledger = open(folder).expect("opens").ledger;
+    let mut ledger = open(folder).expect("opens").log;
     for recorded in ["one", "two", "three"] {
         ledger.append(recorded.as_bytes()).expect("written");
     }
@@ -47,7 +47,7 @@
         let ends = [first, first + 51, first + 102, whole.len()];
         let torn = !ends.contains(&end);
         assert_eq!(opened.repairs.len(), usize::from(torn), "{end}: {:?}", opened.repairs);
-        let mut ledger = opened.ledger;
+        let mut ledger = opened.log;
         ledger.append(b"four").expect("written");
         drop(ledger);
         let again = open(dir.path()).expect("opens");
@@ -99,7 +99,7 @@
 fn anothers_folder_and_a_folder_in_use() {
     let dir = folder();
     three(dir.path());
-    let other = Ledger::open(dir.path(), "fleet/g2", None).map(|_| ()).expect_err("another's");
+    let other = RecordLog::open(dir.path(), "fleet/g2", None).map(|_| ()).expect_err("another's");
     assert!(other.to_string().contains("those of fleet/g1, not of fleet/g2"), "{other}");
     let held = open(dir.path()).expect("opens");
     assert!(matches!(open(dir.path()).map(|_| ()), Err(Error::InUse(_))));
@@ -117,7 +117,7 @@
         true => Err(io::ErrorKind::StorageFull.into()),
         false => Ok(()),
     };
-    let mut ledger = Ledger::open(dir.path(), "o", Some(Arc::new(failing))).expect("opens").ledger;
+    let mut ledger = RecordLog::open(dir.path(), "o", Some(Arc::new(failing))).expect("opens").log;
     ledger.append(b"one").expect("written");
     full.store(true, Ordering::SeqCst);
     assert!(ledger.append(b"two").expect_err("full").is_full());
@@ -125,7 +125,7 @@
     full.store(false, Ordering::SeqCst);
     ledger.append(b"three").expect("written");
     drop(ledger);
-    let opened = Ledger::open(dir.path(), "o", None).expect("opens");
+    let opened = RecordLog::open(dir.path(), "o", None).expect("opens");
     assert_eq!(records(&opened), ["one", "three"]);
 }
 
@@ -134,7 +134,7 @@
 fn written_anew() {
     let dir = folder();
     three(dir.path());
-    let mut ledger = open(dir.path()).expect("opens").ledger;
+    let mut ledger = open(dir.path()).expect("opens").log;
     let before = ledger.hash();
     ledger.rewrite(&[b"kept".to_vec()]).expect("written");
     assert_ne!(ledger.hash(), before);
@@ -151,14 +151,14 @@
 #[test]
 fn the_writer_tells_of_each_and_keeps_the_file_short() {
     let dir = folder();
-    let ledger = open(dir.path()).expect("opens").ledger;
+    let ledger = open(dir.path()).expect("opens").log;
     let (said, heard) = channel();
     let written = Box::new(move |ticket: u32, what: Result<(), Error>| {
         said.send((ticket, what.is_ok())).expect("heard");
     });
     let writer = Writer::start(ledger, written, Box::new(|| vec![b"kept".to_vec()])).expect("a thread");
     for ticket in 0..40 {
-        while !writer.put(ticket, vec![7; 100_000]) {
+        while !writer.append(ticket, vec![7; 100_000]) {
             std::thread::yield_now();
         }
     }
