--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -5,11 +5,11 @@
 
 use anyhow::{Context, Result, bail};
 use lynxstair_cluster::Config;
-use lynxstair_cluster::protocol::{Answer, Ask};
+use lynxstair_cluster::protocol::{Request, Response};
 
 /// Asks one thing.
-pub fn ask(addr: SocketAddrV4, ask: &Ask) -> Result<Answer> {
-    lynxstair_cluster::ask(addr, ask).context("not reached")
+pub fn ask(addr: SocketAddrV4, ask: &Request) -> Result<Response> {
+    lynxstair_cluster::request(addr, ask).context("not reached")
 }
 
 /// The addresses to ask: of a fleet file, or the one address that is given.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, bail};
 use clap::Subcommand;
 use comfy_table::{ContentArrangement, Table, presets};
-use lynxstair_cluster::protocol::{Answer, Ask};
+use lynxstair_cluster::protocol::{Request, Response};
 use lynxstair_membership::{Name, Phase, State, View};
 use serde::Serialize;
 
@@ -184,36 +184,38 @@
         Command::Watch { member, json, r#for } => watch(&member, json, r#for),
         Command::Leave { member } => {
             let addr = addresses(&member)?[0];
-            done(addr, &Ask::Leave)
+            done(addr, &Request::Leave)
+        }
+        Command::ShutOut { by, name, why } => {
+            one_of(&by, &Request::Exclude { name: Name::new(&name)?, reason: why })
         }
-        Command::ShutOut { by, name, why } => one_of(&by, &Ask::ShutOut { name: Name::new(&name)?, why }),
         Command::Owners { member, json } => owners::show(&member, json),
         Command::HandOver { by, duty, to, id } => {
             let to = Name::new(&to)?;
-            owners::operate(&by, id, |id| Ask::HandOver { id, duty: duty.clone(), to: to.clone() })
+            owners::operate(&by, id, |id| Request::HandOver { id, duty: duty.clone(), to: to.clone() })
         }
         Command::Depose { by, duty, id } => {
-            owners::operate(&by, id, |id| Ask::Depose { id, duty: duty.clone() })
+            owners::operate(&by, id, |id| Request::Depose { id, duty: duty.clone() })
         }
         Command::Voters { command: VotersCommand::Show { member, json } } => owners::voters(&member, json),
         Command::Voters { command: VotersCommand::Replace { by, old, new, id } } => {
             let (old, new) = (Name::new(&old)?, Name::new(&new)?);
-            owners::operate(&by, id, |id| Ask::Replace { id, old: old.clone(), new: new.clone() })
+            owners::operate(&by, id, |id| Request::ReplaceVoter { id, old: old.clone(), new: new.clone() })
         }
-        Command::LetIn { by, name } => one_of(&by, &Ask::LetIn { name: Name::new(&name)? }),
+        Command::LetIn { by, name } => one_of(&by, &Request::Readmit { name: Name::new(&name)? }),
     }
 }
 
-fn done(addr: SocketAddrV4, what: &Ask) -> Result<u8> {
+fn done(addr: SocketAddrV4, what: &Request) -> Result<u8> {
     match ask(addr, what).with_context(|| addr.to_string())? {
-        Answer::Done => Ok(0),
-        Answer::No { why } => bail!("{addr}: {why}"),
+        Response::Done => Ok(0),
+        Response::Refused { reason: why } => bail!("{addr}: {why}"),
         _ => bail!("{addr}: an answer to something else"),
     }
 }
 
 /// The first that can be asked.
-fn one_of(member: &str, what: &Ask) -> Result<u8> {
+fn one_of(member: &str, what: &Request) -> Result<u8> {
     let mut last = None;
     for addr in addresses(member)? {
         match done(addr, what) {
@@ -233,9 +235,11 @@
 }
 
 fn status_of(addr: SocketAddrV4) -> Result<Asked> {
-    match ask(addr, &Ask::Status)? {
-        Answer::Status { fleet, version, view, disk, .. } => Ok(Asked { fleet, version, view: *view, disk }),
-        Answer::No { why } => bail!(why),
+    match ask(addr, &Request::Status)? {
+        Response::Status { fleet, version, view, disk_error: disk, .. } => {
+            Ok(Asked { fleet, version, view: *view, disk })
+        }
+        Response::Refused { reason: why } => bail!(why),
         _ => bail!("an answer to something else"),
     }
 }
--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Result, bail};
 use comfy_table::{Table, presets};
-use lynxstair_cluster::protocol::{Answer, Ask, DutyHeld, VoterHeld};
+use lynxstair_cluster::protocol::{DutyStatus, Request, Response, VoterStatus};
 use lynxstair_leases::{DutySeen, VoterView};
 use serde::Serialize;
 
@@ -22,8 +22,8 @@
 #[derive(Serialize)]
 struct Shown {
     /// None: no majority was reached.
-    duties: Option<Vec<DutyHeld>>,
-    voters: Option<Vec<VoterHeld>>,
+    duties: Option<Vec<DutyStatus>>,
+    voters: Option<Vec<VoterStatus>>,
     leader: Option<String>,
     /// Why it is unknown.
     unknown: Option<String>,
@@ -39,15 +39,15 @@
 }
 
 /// Asks until it is known, or known to be unknown. The first member that can be asked is asked.
-fn settled(member: &str, what: &Ask) -> Result<(SocketAddrV4, Answer)> {
+fn settled(member: &str, what: &Request) -> Result<(SocketAddrV4, Response)> {
     let mut last = None;
     for addr in addresses(member)? {
         let began = Instant::now();
         loop {
             match ask(addr, what) {
-                Ok(Answer::Waits) if began.elapsed() < WAITS => thread::sleep(TURN),
-                Ok(Answer::Waits) => {
-                    return Ok((addr, Answer::Unknown { why: "no answer in time".to_string() }));
+                Ok(Response::Pending) if began.elapsed() < WAITS => thread::sleep(TURN),
+                Ok(Response::Pending) => {
+                    return Ok((addr, Response::Unknown { reason: "no answer in time".to_string() }));
                 }
                 Ok(answer) => return Ok((addr, answer)),
                 Err(e) => {
@@ -61,12 +61,12 @@
 }
 
 /// An operator's command, by an id.
-pub fn operate(member: &str, id: Option<u64>, what: impl Fn(u64) -> Ask) -> Result<u8> {
+pub fn operate(member: &str, id: Option<u64>, what: impl Fn(u64) -> Request) -> Result<u8> {
     let id = id.unwrap_or_else(new_id);
     match settled(member, &what(id))? {
-        (_, Answer::Done) => Ok(0),
-        (addr, Answer::No { why }) => bail!("{addr}: {why}"),
-        (addr, Answer::Unknown { why }) => {
+        (_, Response::Done) => Ok(0),
+        (addr, Response::Refused { reason: why }) => bail!("{addr}: {why}"),
+        (addr, Response::Unknown { reason: why }) => {
             eprintln!("lynxstair: {addr}: unknown whether it is done: {why}; ask again with --id {id}");
             Ok(1)
         }
@@ -75,18 +75,18 @@
 }
 
 fn found(member: &str) -> Result<Shown> {
-    let (by, answer) = settled(member, &Ask::Owners { id: new_id() })?;
-    let heard = match ask(by, &Ask::Own) {
-        Ok(Answer::Own { duties, .. }) => duties,
+    let (by, answer) = settled(member, &Request::Owners { id: new_id() })?;
+    let heard = match ask(by, &Request::LocalRoles) {
+        Ok(Response::LocalRoles { duties, .. }) => duties,
         _ => Vec::new(),
     };
     let shown = Shown { duties: None, voters: None, leader: None, unknown: None, by, heard };
     match answer {
-        Answer::Owners { duties, voters, leader } => {
+        Response::Owners { duties, voters, leader } => {
             Ok(Shown { duties: Some(duties), voters: Some(voters), leader: Some(leader), ..shown })
         }
-        Answer::Unknown { why } => Ok(Shown { unknown: Some(why), ..shown }),
-        Answer::No { why } => bail!("{by}: {why}"),
+        Response::Unknown { reason: why } => Ok(Shown { unknown: Some(why), ..shown }),
+        Response::Refused { reason: why } => bail!("{by}: {why}"),
         _ => bail!("{by}: an answer to something else"),
     }
 }
@@ -145,8 +145,8 @@
     let shown = found(member)?;
     let mut says: BTreeMap<String, Result<(VoterView, Option<String>), String>> = BTreeMap::new();
     for voter in shown.voters.iter().flatten() {
-        let answer = match ask(voter.addr, &Ask::Own) {
-            Ok(Answer::Own { voter, disk, .. }) => Ok((voter, disk)),
+        let answer = match ask(voter.addr, &Request::LocalRoles) {
+            Ok(Response::LocalRoles { voter, disk_error: disk, .. }) => Ok((voter, disk)),
             Ok(_) => Err("an answer to something else".to_string()),
             Err(e) => Err(format!("{e:#}")),
         };
@@ -155,7 +155,7 @@
     if json {
         #[derive(Serialize)]
         struct Said<'a> {
-            voters: &'a Option<Vec<VoterHeld>>,
+            voters: &'a Option<Vec<VoterStatus>>,
             leader: &'a Option<String>,
             unknown: &'a Option<String>,
             says: BTreeMap<&'a str, Option<&'a VoterView>>,
--- a/crates/cli/tests/owners.rs
+++ b/crates/cli/tests/owners.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_export::Says;
+use lynxstair_export::BatchReply;
 use lynxstair_fakes::{Load, Plan, Sink, ask, text};
 use serde_json::Value;
 use support::{Hand, run, until};
@@ -87,8 +87,9 @@
     until("somebody owns", || owner(&hand, 0).is_some());
     let serving: Vec<_> = (0..3).map(|n| (format!("g{}", n + 1), hand.serving(n).into())).collect();
     let taken = |sink: &Sink| -> u64 {
-        let first = sink.landed().into_iter().filter(|l| l.says == Says::Taken { again: false });
-        first.map(|l| l.batch.milli()).sum()
+        let first =
+            sink.landed().into_iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: false });
+        first.map(|l| l.batch.milli_units()).sum()
     };
     load.begin(&serving);
     until("use arrives", || taken(&sink) > 20_000);
@@ -106,7 +107,8 @@
     until("all of it is there", || taken(&sink) >= told as u64 * 1_000);
     thread::sleep(Duration::from_millis(400));
     assert_eq!(taken(&sink), told as u64 * 1_000, "once and only once");
-    let again = sink.landed().iter().filter(|l| l.says == Says::Taken { again: true }).count();
+    let again =
+        sink.landed().iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: true }).count();
     assert!(again > 0, "an answer that was lost made no batch come again");
 
     // One that is gone is named, and one whose folder was emptied for good.
@@ -137,8 +139,9 @@
         history().contains(r#""event":"gap""#)
     });
     let behind = sink.landed();
-    let behind = behind.iter().skip_while(|l| !matches!(l.says, Says::Gap { .. }));
-    let papered_over = behind.filter(|l| matches!(l.says, Says::Taken { again: false })).count();
+    let behind = behind.iter().skip_while(|l| !matches!(l.reply, BatchReply::Gap { .. }));
+    let papered_over =
+        behind.filter(|l| matches!(l.reply, BatchReply::Accepted { already_stored: false })).count();
     let streams = 3;
     assert!(papered_over < streams, "a batch was taken behind the ones that are missing");
 }
--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -1,32 +1,31 @@
-//! Asks a member at its control port: blocking, for command-line tools.
+//! The client of the control port, blocking: for command-line tools and for the exporter.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-use crate::protocol::{Answer, Ask, LONGEST_ANSWER};
+use crate::protocol::{MAX_RESPONSE_BYTES, Request, Response};
 
-const CONNECTS_WITHIN: Duration = Duration::from_millis(1_000);
-const ANSWERS_WITHIN: Duration = Duration::from_millis(3_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+const IO_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Asks one thing, and waits for the answer: a second for the connection, three for the rest.
+/// Sends one request and waits for the response: a second for the connection, three for each read and write.
 ///
 /// # Errors
-/// Where the member can't be reached or does not answer in time, or not in a way this program understands.
-pub fn ask(addr: SocketAddrV4, ask: &Ask) -> io::Result<Answer> {
-    say(&TcpStream::connect_timeout(&addr.into(), CONNECTS_WITHIN)?, ask, ANSWERS_WITHIN)
+/// The member can't be reached, does not answer in time, or sends what this program does not understand.
+pub fn request(addr: SocketAddrV4, request: &Request) -> io::Result<Response> {
+    exchange(&TcpStream::connect_timeout(&addr.into(), CONNECT_TIMEOUT)?, request, IO_TIMEOUT)
 }
 
 /// The same on a connection that is open.
-pub(crate) fn say(stream: &TcpStream, ask: &Ask, within: Duration) -> io::Result<Answer> {
-    stream.set_read_timeout(Some(within))?;
-    stream.set_write_timeout(Some(within))?;
-    let mut said = serde_json::to_vec(ask)?;
-    said.push(b'\n');
-    let mut out = stream;
-    out.write_all(&said)?;
+pub(crate) fn exchange(mut stream: &TcpStream, request: &Request, timeout: Duration) -> io::Result<Response> {
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
+    let mut bytes = serde_json::to_vec(request)?;
+    bytes.push(b'\n');
+    stream.write_all(&bytes)?;
     let mut line = String::new();
-    BufReader::new(stream.take(LONGEST_ANSWER as u64)).read_line(&mut line)?;
+    BufReader::new(stream.take(MAX_RESPONSE_BYTES as u64)).read_line(&mut line)?;
     if line.is_empty() {
         return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no answer"));
     }
--- /dev/null
+++ b/crates/cluster/src/config/error.rs
@@ -0,0 +1,72 @@
+//! Errors in TOML files, with the place in the file.
+
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
+
+use toml::Spanned;
+
+/// Why a TOML file can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub struct ConfigError {
+    /// The file.
+    pub file: PathBuf,
+    /// From 1 on; `None` where the file could not be read at all.
+    pub line: Option<usize>,
+    /// The key, where one is to blame.
+    pub key: Option<String>,
+    /// What is wrong, and what would be right.
+    pub reason: String,
+}
+
+impl ConfigError {
+    /// An error at an offset in the file's text, in bytes.
+    pub fn at(file: &Path, text: &str, offset: usize, key: Option<&str>, reason: impl Into<String>) -> Self {
+        let before = &text.as_bytes()[..offset.min(text.len())];
+        let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
+        let (file, key) = (file.to_path_buf(), key.map(str::to_string));
+        ConfigError { file, line: Some(line), key, reason: reason.into() }
+    }
+
+    /// The file could not be read.
+    pub fn unreadable(file: &Path, e: &io::Error) -> Self {
+        ConfigError { file: file.to_path_buf(), line: None, key: None, reason: e.to_string() }
+    }
+
+    /// The text is not TOML of the expected form.
+    pub fn from_toml(file: &Path, text: &str, e: &toml::de::Error) -> Self {
+        let offset = e.span().map_or(0, |span| span.start);
+        ConfigError::at(file, text, offset, None, e.message())
+    }
+
+    /// Returns the value where it is within the bounds, both included.
+    ///
+    /// # Errors
+    /// It is not.
+    pub fn check_range<T: PartialOrd + Copy + fmt::Display>(
+        (file, text): (&Path, &str),
+        key: &str,
+        value: &Spanned<T>,
+        (min, max): (T, T),
+    ) -> Result<T, Self> {
+        let number = *value.get_ref();
+        if number >= min && number <= max {
+            return Ok(number);
+        }
+        let reason = format!("{number} is not within {min} to {max}");
+        Err(ConfigError::at(file, text, value.span().start, Some(key), reason))
+    }
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.file.display())?;
+        if let Some(line) = self.line {
+            write!(f, ":{line}")?;
+        }
+        if let Some(key) = &self.key {
+            write!(f, ": {key}")?;
+        }
+        write!(f, ": {}", self.reason)
+    }
+}
--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -15,7 +15,7 @@
 "#;
 
 #[test]
-fn good_and_bad_files() {
+fn bad_files_name_line_key_and_remedy() {
     let config = Config::parse(Path::new("/etc/f/g1.toml"), GOOD).expect("good");
     assert_eq!((config.advertise, config.control), (config.bind, config.bind));
     assert_eq!(config.data, Path::new("/etc/f/g1"));
--- /dev/null
+++ b/crates/cluster/src/control_port.rs
@@ -0,0 +1,158 @@
+//! The control port's server: an operator sends one request in one line and gets one line back. Connections,
+//! bytes and time are bounded; a request that can't be understood is answered so.
+
+use std::collections::HashMap;
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, SocketAddrV4, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+
+use lynxstair::types::{Span, Time};
+use lynxstair_net::clock::Clock;
+use lynxstair_net::coroutine::spawn_then;
+use lynxstair_net::ticker::Ticker;
+use may::io::{CoIo, WaitIo};
+use tracing::warn;
+
+use crate::error::StartError;
+use crate::protocol::{MAX_REQUEST_BYTES, Request, Response};
+use crate::sync::lock;
+
+/// Most connections at once; a further one is closed at once.
+const MAX_CONNECTIONS: usize = 16;
+/// From connecting to the last byte of the response.
+const CONNECTION_TIMEOUT: Span = Span::from_millis(3_000);
+/// How often the port is looked at while nobody is connected.
+const IDLE_INTERVAL: Span = Span::from_millis(3_600_000);
+const READ_BYTES: usize = 512;
+
+/// Answers a request.
+pub(crate) trait RequestHandler: Send + Sync + 'static {
+    fn handle(&self, request: Request) -> Response;
+}
+
+struct Connection {
+    io: CoIo<TcpStream>,
+    since: Time,
+}
+
+/// The listening socket and its connections.
+pub(crate) struct ControlPort {
+    listener: CoIo<TcpListener>,
+    clock: Clock,
+    ticker: Arc<Ticker>,
+    connections: Mutex<HashMap<u64, Arc<Connection>>>,
+    next_id: AtomicU64,
+}
+
+impl ControlPort {
+    /// Listens on `addr`.
+    pub fn listen(addr: SocketAddrV4, clock: Clock, ticker: Arc<Ticker>) -> Result<Arc<Self>, StartError> {
+        let listener = TcpListener::bind(addr)
+            .and_then(|listener| Ok(CoIo::new(listener)?))
+            .map_err(|source| StartError::ControlPort { addr, source })?;
+        let (connections, next_id) = (Mutex::default(), AtomicU64::new(0));
+        Ok(Arc::new(ControlPort { listener, clock, ticker, connections, next_id }))
+    }
+
+    /// Accepts connections, for ever. Runs on a coroutine.
+    pub fn accept_all(self: &Arc<Self>, handler: &Arc<impl RequestHandler>) {
+        loop {
+            match self.listener.inner().accept() {
+                Ok((stream, _)) => self.serve(handler, stream),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.listener.wait_io();
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => {
+                    // Out of descriptors, perhaps: the next connection tries again.
+                    warn!(%e, "fleet: control port");
+                    self.listener.wait_io();
+                }
+            }
+        }
+    }
+
+    fn serve(self: &Arc<Self>, handler: &Arc<impl RequestHandler>, stream: TcpStream) {
+        if lock(&self.connections).len() >= MAX_CONNECTIONS {
+            return;
+        }
+        let Ok(io) = CoIo::new(stream) else { return };
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let connection = Arc::new(Connection { io, since: self.clock.now() });
+        lock(&self.connections).insert(id, connection.clone());
+        self.ticker.wake_by(connection.since + CONNECTION_TIMEOUT);
+        let (port, handler) = (self.clone(), handler.clone());
+        let remove = move |_| {
+            lock(&port.connections).remove(&id);
+        };
+        spawn_then("an operator", move || connection.serve(&*handler), remove);
+    }
+
+    /// Cuts off connections that took too long.
+    pub fn tick(&self, now: Time) {
+        let connections = lock(&self.connections);
+        for connection in connections.values().filter(|c| now - c.since >= CONNECTION_TIMEOUT) {
+            let _ = connection.io.inner().shutdown(Shutdown::Both);
+        }
+    }
+
+    /// How long after a tick the next one is due.
+    pub fn tick_interval(&self) -> Span {
+        if lock(&self.connections).is_empty() { IDLE_INTERVAL } else { CONNECTION_TIMEOUT }
+    }
+}
+
+impl Connection {
+    fn serve(&self, handler: &impl RequestHandler) {
+        let Some(line) = self.read_line() else { return };
+        let response = match serde_json::from_slice::<Request>(&line) {
+            Ok(request) => handler.handle(request),
+            Err(e) => Response::Refused { reason: format!("not understood: {e}") },
+        };
+        let Ok(mut bytes) = serde_json::to_vec(&response) else { return };
+        bytes.push(b'\n');
+        self.write_all(&bytes);
+        let _ = self.io.inner().shutdown(Shutdown::Write);
+    }
+
+    /// The first line; `None` where the connection ends before it does, or it is too long.
+    fn read_line(&self) -> Option<Vec<u8>> {
+        let mut line = Vec::new();
+        let mut piece = [0; READ_BYTES];
+        loop {
+            match (&mut self.io.inner()).read(&mut piece) {
+                Ok(0) => return None,
+                Ok(length) => {
+                    line.extend(&piece[..length]);
+                    if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
+                        line.truncate(end);
+                        return Some(line);
+                    }
+                    if line.len() > MAX_REQUEST_BYTES {
+                        return None;
+                    }
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.io.wait_io();
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return None,
+            }
+        }
+    }
+
+    fn write_all(&self, mut rest: &[u8]) {
+        while !rest.is_empty() {
+            match (&mut self.io.inner()).write(rest) {
+                Ok(0) => return,
+                Ok(length) => rest = &rest[length..],
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.io.wait_io();
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return,
+            }
+        }
+    }
+}
--- a/crates/cluster/src/history.rs
+++ b/crates/cluster/src/history.rs
@@ -1,4 +1,4 @@
-//! The history: what this member did, as JSON lines, for trials to judge. On a thread of its own.
+//! The history: what this member did, as JSON lines, for trials to judge. Written by a thread of its own.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -12,52 +12,64 @@
 use nix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
-/// So many lines may wait to be written; what is over is left out, and the history says so.
-const WAITING: usize = 8_192;
+use crate::error::StartError;
+
+/// Most lines that wait to be written; what is over is left out.
+const MAX_WAITING: usize = 8_192;
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
 #[derive(Serialize)]
 struct Line<'a, E: Serialize> {
-    /// The machine's monotonic clock, in nanoseconds: the same for all processes on it, whatever the wall
-    /// clock says.
-    mono: u64,
-    who: &'a str,
+    /// The machine's monotonic clock, in nanoseconds: the same for all processes on it, whatever the wall clock
+    /// says.
+    #[serde(rename = "mono")]
+    monotonic_nanos: u64,
+    #[serde(rename = "who")]
+    member: &'a str,
     run: u32,
     #[serde(flatten)]
     event: &'a E,
 }
 
-pub(crate) struct History {
+/// The history, or nothing where the fleet file names no file for one.
+pub(crate) struct History(Option<HistoryFile>);
+
+struct HistoryFile {
     lines: SyncSender<Vec<u8>>,
-    who: Name,
+    member: Name,
     run: u32,
-    /// Of the machine's monotonic clock, at a time of ours.
-    mono: u64,
-    at: Time,
+    /// The machine's monotonic clock at `opened_at`, in nanoseconds.
+    monotonic_nanos: u64,
+    opened_at: Time,
 }
 
 impl History {
-    pub fn open(path: &Path, clock: Clock, who: Name, run: u32) -> Result<Self, String> {
-        let why = |e: std::io::Error| format!("history {}: {e}", path.display());
-        let file = OpenOptions::new().create(true).append(true).open(path).map_err(why)?;
-        let (lines, todo) = sync_channel::<Vec<u8>>(WAITING);
-        let write = move || todo.iter().for_each(|line| put(&file, &line));
-        thread::Builder::new().name("history".to_string()).spawn(write).map_err(why)?;
-        let mono = clock_gettime(ClockId::CLOCK_MONOTONIC).map_err(|e| format!("clock: {e}"))?;
-        let mono = mono.tv_sec() as u64 * 1_000_000_000 + mono.tv_nsec() as u64;
-        Ok(History { lines, who, run, mono, at: clock.now() })
+    /// Opens the file and starts its thread; without a path it records nothing.
+    pub fn open(path: Option<&Path>, clock: Clock, member: Name, run: u32) -> Result<Self, StartError> {
+        let Some(path) = path else { return Ok(History(None)) };
+        let failed = |source| StartError::History { path: path.to_path_buf(), source };
+        let file = OpenOptions::new().create(true).append(true).open(path).map_err(failed)?;
+        let (lines, waiting) = sync_channel::<Vec<u8>>(MAX_WAITING);
+        let write = move || waiting.iter().for_each(|line| write_line(&file, &line));
+        thread::Builder::new().name("history".to_string()).spawn(write).map_err(failed)?;
+        let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).map_err(StartError::Clock)?;
+        let monotonic_nanos = monotonic.tv_sec() as u64 * NANOS_PER_SECOND + monotonic.tv_nsec() as u64;
+        Ok(History(Some(HistoryFile { lines, member, run, monotonic_nanos, opened_at: clock.now() })))
     }
 
-    pub fn tell<E: Serialize>(&self, at: Time, event: &E) {
-        let mono = self.mono + (at - self.at).nanos();
-        let line = Line { mono, who: self.who.as_str(), run: self.run, event };
+    /// Records an event.
+    pub fn record<E: Serialize>(&self, at: Time, event: &E) {
+        let Some(file) = &self.0 else { return };
+        let monotonic_nanos = file.monotonic_nanos + (at - file.opened_at).nanos();
+        let line = Line { monotonic_nanos, member: file.member.as_str(), run: file.run, event };
         if let Ok(mut line) = serde_json::to_vec(&line) {
             line.push(b'\n');
-            let _ = self.lines.try_send(line);
+            let _ = file.lines.try_send(line);
         }
     }
 }
 
-/// One write a line: a kill leaves whole lines, and the last one cut at the most.
-fn put(mut file: &File, line: &[u8]) {
+/// One write for each line: a kill leaves whole lines, and at most the last one cut.
+fn write_line(mut file: &File, line: &[u8]) {
     let _ = file.write_all(line);
 }
--- a/crates/cluster/src/log.rs
+++ b/crates/cluster/src/logging.rs
@@ -1,31 +1,31 @@
-//! The structured log of the control side, on standard error: text or JSON, written by a thread of its own.
+//! Log lines of the control side, on standard error as text or JSON, written by a thread of its own.
 
 use lynxstair_membership::{Event, State};
 use tracing::{info, warn};
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
-use crate::config::LogForm;
+use crate::config::LogFormat;
 
-/// So many lines may wait; what is over is left out.
-const WAITING: usize = 1_024;
+/// Most lines that wait to be written; what is over is left out.
+const MAX_WAITING: usize = 1_024;
 
-/// Begins the log. It ends when what is handed back is dropped.
-pub(crate) fn begin(form: LogForm) -> WorkerGuard {
+/// Starts the log. Dropping the guard flushes and ends it.
+pub(crate) fn start(format: LogFormat) -> WorkerGuard {
     let (lines, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING)
+        .buffered_lines_limit(MAX_WAITING)
         .thread_name("log")
         .finish(std::io::stderr());
     let log = tracing_subscriber::fmt().with_writer(lines).with_target(false);
-    // Where a program has a log already, that one is used.
-    let _ = match form {
-        LogForm::Text => tracing::subscriber::set_global_default(log.with_ansi(false).finish()),
-        LogForm::Json => tracing::subscriber::set_global_default(log.json().flatten_event(true).finish()),
+    // A program that has a log already keeps it.
+    let _ = match format {
+        LogFormat::Text => tracing::subscriber::set_global_default(log.with_ansi(false).finish()),
+        LogFormat::Json => tracing::subscriber::set_global_default(log.json().flatten_event(true).finish()),
     };
     guard
 }
 
-/// One line for each event.
-pub(crate) fn tell(event: &Event) {
+/// Logs an event of membership.
+pub(crate) fn log_membership(event: &Event) {
     match event {
         Event::Began { ident } => {
             info!(name = %ident.name, incarnation = ident.incarnation.0, addr = %ident.addr, "fleet: began");
@@ -45,8 +45,8 @@
     }
 }
 
-/// The same of ownership.
-pub(crate) fn tell_owners(event: &lynxstair_leases::Event) {
+/// Logs an event of duties and their voters.
+pub(crate) fn log_duties(event: &lynxstair_leases::Event) {
     use lynxstair_leases::{Event, Phase};
     match event {
         Event::VoterPhase { from, to, why } if *to == Phase::Aside => {
--- /dev/null
+++ b/crates/cluster/src/node.rs
@@ -0,0 +1,290 @@
+//! The control side of one gatekeeper: one socket for datagrams, one timer, one control port.
+
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::sync::Arc;
+use std::time::Duration;
+
+use lynxstair::types::{Span, Time};
+use lynxstair_leases::{Epoch, Wants};
+use lynxstair_membership::Name;
+use lynxstair_net::clock::Clock;
+use lynxstair_net::coroutine::spawn;
+use lynxstair_net::ticker::Ticker;
+use rand::TryRng;
+use rand::rngs::SysRng;
+use serde::Serialize;
+use tracing::warn;
+use tracing_appender::non_blocking::WorkerGuard;
+
+use crate::config::Config;
+use crate::control_port::{ControlPort, RequestHandler};
+use crate::datagrams::DatagramSocket;
+use crate::duties::Duties;
+use crate::error::StartError;
+use crate::exporter::Exporter;
+use crate::history::History;
+use crate::logging;
+use crate::membership::Membership;
+use crate::outputs::Outputs;
+use crate::protocol::{Request, Response, UsageCounts};
+use crate::trial::{end_with_parent, write_fault};
+use crate::usage_log::UsageLog;
+
+/// The directory of the usage log, inside the member's.
+const USAGE_DIRECTORY: &str = "uses";
+const TIMER_STEP: Span = Span::from_millis(1);
+
+/// What tells two processes of one member apart, and seeds their random choices.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RunIdentity {
+    /// Drawn at each start of the process.
+    pub run: u32,
+    pub seed: u64,
+}
+
+impl RunIdentity {
+    /// The run differs from start to start, also where the seed is configured.
+    fn draw(configured_seed: Option<u64>) -> Result<Self, StartError> {
+        let run = random()? as u32;
+        let seed = configured_seed.map_or_else(random, Ok)?;
+        Ok(RunIdentity { run, seed })
+    }
+}
+
+fn random() -> Result<u64, StartError> {
+    SysRng.try_next_u64().map_err(StartError::Randomness)
+}
+
+/// The control side of one gatekeeper.
+pub struct ClusterNode {
+    config: Config,
+    clock: Clock,
+    outputs: Outputs,
+    membership: Membership,
+    /// Where the fleet has voters.
+    duties: Option<Duties>,
+    /// Where usage is exported.
+    usage_log: Option<Arc<UsageLog>>,
+    control_port: Arc<ControlPort>,
+    /// Flushes the log when dropped.
+    _log: WorkerGuard,
+}
+
+impl ClusterNode {
+    /// Opens all it needs and starts its coroutines and threads. The caller has configured the coroutine runtime.
+    ///
+    /// # Errors
+    /// A socket, the records or a thread can't be had.
+    pub fn start(config: Config) -> Result<Arc<Self>, StartError> {
+        if let Some(parent) = config.trial.ends_with_parent {
+            end_with_parent(parent)?;
+        }
+        let log = logging::start(config.log);
+        let clock = Clock::start();
+        let identity = RunIdentity::draw(config.seed)?;
+        let outputs = open_outputs(&config, clock, identity)?;
+        let control_port = ControlPort::listen(config.control, clock, outputs.ticker.clone())?;
+        let membership = Membership::start(&config, clock, outputs.clone(), identity)?;
+        if config.trial.broken != Default::default() {
+            warn!(broken = ?config.trial.broken, "fleet: parts are taken out for a trial; not for service");
+        }
+        let start_duties =
+            |duty_config| Duties::start(&config, duty_config, clock, outputs.clone(), identity);
+        let duties = config.duties.as_ref().map(start_duties).transpose()?;
+        let usage_log = config.sink.map(|_| open_usage_log(&config)).transpose()?;
+        let node = Arc::new(ClusterNode {
+            config,
+            clock,
+            outputs,
+            membership,
+            duties,
+            usage_log,
+            control_port,
+            _log: log,
+        });
+        if let Some(sink) = node.config.sink {
+            let stall = Duration::from_millis(node.config.trial.stall_ms);
+            Exporter::start(node.clone(), sink, identity.seed, stall)
+                .map_err(|source| StartError::Thread { thread: "export", source })?;
+        }
+        node.spawn_coroutines();
+        Ok(node)
+    }
+
+    fn spawn_coroutines(self: &Arc<Self>) {
+        let node = self.clone();
+        spawn("cluster datagrams", move || {
+            let deliver = |now, from, datagram: &[u8]| node.receive(now, from, datagram);
+            node.outputs.socket.receive_all(node.clock, deliver);
+        });
+        let node = self.clone();
+        spawn("cluster timer", move || node.run_timer());
+        let node = self.clone();
+        spawn("cluster control port", move || node.control_port.accept_all(&node));
+    }
+
+    /// Tells the other members that this one leaves. Nobody waits for it: the gatekeeper ends when its requests
+    /// are answered.
+    pub fn leave(&self) {
+        let now = self.clock.now();
+        self.membership.leave(now);
+        if let Some(duties) = &self.duties {
+            duties.leave(now);
+        }
+        self.outputs.ticker.wake_now();
+    }
+
+    /// Where the usage of succeeded requests is recorded; `None`: usage is not exported.
+    pub fn usage_log(&self) -> Option<Arc<UsageLog>> {
+        self.usage_log.clone()
+    }
+
+    /// The epoch in which an effect of the duty may begin now; `None` without a lease.
+    pub(crate) fn may_begin(&self, duty: &str) -> Option<Epoch> {
+        let now = self.clock.now();
+        self.duties.as_ref().and_then(|duties| duties.may_begin(now, duty))
+    }
+
+    /// An effect was refused: a higher epoch was seen where it was to land.
+    pub(crate) fn refused(&self, duty: &str, highest_epoch: Epoch) {
+        if let Some(duties) = &self.duties {
+            duties.refused(self.clock.now(), duty, highest_epoch);
+        }
+    }
+
+    /// All members that are present as seen from here, and last this one, which has no address.
+    pub(crate) fn members(&self) -> Vec<(String, Option<SocketAddrV4>)> {
+        let view = self.membership.view(self.clock.now());
+        let others = view.members.iter().filter(|member| member.state.is_there());
+        let others = others.map(|member| (member.name.as_str().to_string(), Some(member.addr)));
+        others.chain([(self.config.name.as_str().to_string(), None)]).collect()
+    }
+
+    /// The address that this member's datagrams come from.
+    pub(crate) fn source(&self) -> Ipv4Addr {
+        *self.config.bind.ip()
+    }
+
+    pub(crate) fn record_event<E: Serialize>(&self, event: &E) {
+        self.outputs.record_event(self.clock.now(), event);
+    }
+
+    /// Where a member is, as seen from here.
+    fn address_of(&self, now: Time, name: &Name) -> Option<SocketAddrV4> {
+        if *name == self.config.name {
+            return Some(self.config.advertise);
+        }
+        let view = self.membership.view(now);
+        view.members.iter().find(|m| m.name == *name && m.state.is_there()).map(|m| m.addr)
+    }
+
+    fn receive(&self, now: Time, from: SocketAddrV4, datagram: &[u8]) {
+        match &self.duties {
+            Some(duties) if datagram.first() == Some(&lynxstair_leases::FIRST) => {
+                duties.receive(now, from, datagram);
+            }
+            _ => self.membership.receive(now, from, datagram),
+        }
+    }
+
+    fn run_timer(&self) {
+        loop {
+            let now = self.clock.now();
+            self.membership.tick(now);
+            if let Some(duties) = &self.duties {
+                duties.tick(now);
+            }
+            self.control_port.tick(now);
+            self.outputs.ticker.wake_by(now + self.control_port.tick_interval());
+            self.outputs.ticker.wait();
+        }
+    }
+
+    /// Answers an operator, or another member's exporter.
+    pub(crate) fn answer(&self, request: Request) -> Response {
+        let now = self.clock.now();
+        match request {
+            Request::Status => self.status(now),
+            Request::Leave => {
+                self.leave();
+                Response::Done
+            }
+            Request::Exclude { name, .. } if name == self.config.name => {
+                refusal("a member can't shut out itself; ask another, or have it leave")
+            }
+            Request::Exclude { name, reason } => {
+                self.membership.exclude(now, &name, &reason);
+                Response::Done
+            }
+            Request::Readmit { name } => {
+                self.membership.readmit(now, &name);
+                Response::Done
+            }
+            Request::Usage { stream, stored_up_to } => match &self.usage_log {
+                Some(usage_log) => usage_log.answer(stream.as_ref(), stored_up_to),
+                None => refusal("no use is kept here"),
+            },
+            request => match &self.duties {
+                Some(duties) => self.answer_on_duties(now, duties, request),
+                None => refusal("the fleet file names no voters: no duty has an owner"),
+            },
+        }
+    }
+
+    fn status(&self, now: Time) -> Response {
+        Response::Status {
+            fleet: self.config.fleet.clone(),
+            version: env!("CARGO_PKG_VERSION").to_string(),
+            view: Box::new(self.membership.view(now)),
+            disk_error: self.membership.disk_error(),
+            datagrams_dropped: self.outputs.socket.dropped(),
+            datagrams_unsent: self.outputs.socket.unsent(),
+        }
+    }
+
+    fn answer_on_duties(&self, now: Time, duties: &Duties, request: Request) -> Response {
+        match request {
+            Request::LocalRoles => {
+                let (voter, views) = duties.views(now);
+                let usage = self.usage_log.as_ref().map_or(UsageCounts::default(), |log| log.counts());
+                Response::LocalRoles { voter, duties: views, disk_error: duties.disk_error(), usage }
+            }
+            Request::Owners { id } => duties.query(now, id, None),
+            Request::HandOver { id, duty, to } => {
+                let to = to.as_str().to_string();
+                duties.query(now, id, Some(&Wants::HandOver { duty, to }))
+            }
+            Request::Depose { id, duty } => duties.query(now, id, Some(&Wants::Depose { duty })),
+            Request::ReplaceVoter { id, old, new } => {
+                let Some(addr) = self.address_of(now, &new) else {
+                    return refusal(&format!("{new} is not there, as seen from here"));
+                };
+                let (old, new) = (old.as_str().to_string(), new.as_str().to_string());
+                duties.query(now, id, Some(&Wants::Replace { old, new, addr }))
+            }
+            _ => refusal("not understood"),
+        }
+    }
+}
+
+impl RequestHandler for ClusterNode {
+    fn handle(&self, request: Request) -> Response {
+        self.answer(request)
+    }
+}
+
+fn refusal(reason: &str) -> Response {
+    Response::Refused { reason: reason.to_string() }
+}
+
+fn open_outputs(config: &Config, clock: Clock, identity: RunIdentity) -> Result<Outputs, StartError> {
+    let socket = DatagramSocket::bind(config.bind)?;
+    let ticker = Ticker::new(clock, TIMER_STEP).map_err(StartError::Timer)?;
+    let history = History::open(config.history.as_deref(), clock, config.name.clone(), identity.run)?;
+    Ok(Outputs { socket: Arc::new(socket), history: Arc::new(history), ticker: Arc::new(ticker) })
+}
+
+fn open_usage_log(config: &Config) -> Result<Arc<UsageLog>, StartError> {
+    let directory = config.data.join(USAGE_DIRECTORY);
+    Ok(UsageLog::start(&directory, config.name.as_str(), random()?, write_fault(config))?)
+}
--- /dev/null
+++ b/crates/cluster/src/outputs.rs
@@ -0,0 +1,36 @@
+//! Where the effects of the state machines go.
+
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+use lynxstair::types::Time;
+use lynxstair_net::ticker::Ticker;
+use serde::Serialize;
+
+use crate::datagrams::DatagramSocket;
+use crate::history::History;
+
+/// Shared by membership and duties.
+#[derive(Clone)]
+pub(crate) struct Outputs {
+    pub socket: Arc<DatagramSocket>,
+    pub history: Arc<History>,
+    pub ticker: Arc<Ticker>,
+}
+
+impl Outputs {
+    pub fn send(&self, to: SocketAddrV4, datagram: &[u8]) {
+        self.socket.send(to, datagram);
+    }
+
+    pub fn record_event<E: Serialize>(&self, now: Time, event: &E) {
+        self.history.record(now, event);
+    }
+
+    /// Has the timer tick at `deadline` at the latest.
+    pub fn wake_by(&self, deadline: Option<Time>) {
+        if let Some(deadline) = deadline {
+            self.ticker.wake_by(deadline);
+        }
+    }
+}
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -1,130 +1,216 @@
-//! What is said at the control port: one line of JSON each way, then the connection ends.
+//! The protocol of the control port: one line of JSON each way, then the connection ends.
+//!
+//! The names on the wire are older than those of the code; `serde(rename)` keeps them.
 
+use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use lynxstair_export::{Batch, Stream};
+use lynxstair_export::{Batch, StreamId};
 use lynxstair_leases::{DutySeen, Epoch, VoterView};
 use lynxstair_membership::{Name, View};
 use serde::{Deserialize, Serialize};
 
-/// The longest question, in bytes.
-pub const LONGEST_ASKED: usize = 4_096;
-/// The longest answer, in bytes: 3,000 members take about a quarter of it.
-pub const LONGEST_ANSWER: usize = 4 << 20;
+/// Longest request, in bytes.
+pub const MAX_REQUEST_BYTES: usize = 4_096;
+/// Longest response, in bytes: 3,000 members take about a quarter of it.
+pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// What is asked.
+/// A request to a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "ask", deny_unknown_fields)]
-pub enum Ask {
+pub enum Request {
+    /// The member's view of the fleet.
     Status,
-    /// The member tells others that it goes, and takes part no more. It serves on.
+    /// The member tells others that it leaves, and takes part no more. It goes on serving.
     Leave,
-    /// Takes a member out until it is let in again.
-    ShutOut {
+    /// Excludes a member until it is readmitted.
+    #[serde(rename = "shut_out")]
+    Exclude {
+        /// The member's name.
         name: Name,
-        why: String,
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    LetIn {
+    /// Readmits an excluded member.
+    #[serde(rename = "let_in")]
+    Readmit {
+        /// The member's name.
         name: Name,
     },
-    /// Who owns what, as a majority of the voters has it, and as this member has it. Asked again by the same id
-    /// until it is no longer `Waits`.
+    /// The owners of all duties, confirmed by a majority of the voters. Sent again with the same id while the
+    /// response is [`Response::Pending`].
     Owners {
+        /// Chosen by the operator.
         id: u64,
     },
-    /// What this member itself is with each duty and among the voters; it asks nobody.
-    Own,
-    /// The first batch of uses after those that the sink had; what it had is let go of. None and nought: only
-    /// whose records they are.
-    Uses {
-        stream: Option<Stream>,
-        had: u64,
+    /// The member's own part in duties and among the voters; it asks nobody.
+    #[serde(rename = "own")]
+    LocalRoles,
+    /// The first batch of usage after `stored_up_to`; those up to it are deleted. Without a stream and with 0 it
+    /// only asks which stream the member keeps.
+    #[serde(rename = "uses")]
+    Usage {
+        /// The stream.
+        stream: Option<StreamId>,
+        /// The last batch that the sink has; 0: none.
+        #[serde(rename = "had")]
+        stored_up_to: u64,
     },
-    /// The same way of asking; nothing happens twice by one id.
+    /// The owner of a duty gives it up to another member. Takes effect once for each id, as do the two below;
+    /// sent again with the same id while the response is [`Response::Pending`].
     HandOver {
+        /// Chosen by the operator.
         id: u64,
+        /// The duty's name.
         duty: String,
+        /// The member that is to have it.
         to: Name,
     },
+    /// A duty is taken from its owner.
     Depose {
+        /// Chosen by the operator.
         id: u64,
+        /// The duty's name.
         duty: String,
     },
-    /// Another member is a voter in the place of one.
-    Replace {
+    /// Another member becomes a voter in the place of one.
+    #[serde(rename = "replace")]
+    ReplaceVoter {
+        /// Chosen by the operator.
         id: u64,
+        /// The voter that goes.
         old: Name,
+        /// The member that takes its place.
         new: Name,
     },
 }
 
-/// A duty, as a majority has it.
+/// A duty, as confirmed by a majority of the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DutyHeld {
+pub struct DutyStatus {
+    /// The duty's name.
     pub duty: String,
+    /// The owner's name; `None`: nobody owns it.
     pub owner: Option<String>,
+    /// Of the owner, or of the last one.
     pub epoch: Epoch,
     /// Milliseconds since 1970 by the clock of the voter that granted it.
     pub since_unix_ms: u64,
+    /// The voter that led when it was granted.
     pub granted_by: String,
-    pub meant_for: Option<String>,
-    /// Bytes that are kept with it.
+    /// The member that the duty is being handed over to.
+    #[serde(rename = "meant_for")]
+    pub reserved_for: Option<String>,
+    /// Length of the state that is stored with the duty.
     pub state_bytes: usize,
 }
 
-/// A voter, as a majority has it.
+/// A voter, as confirmed by a majority of the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VoterHeld {
+pub struct VoterStatus {
+    /// The member's name.
     pub name: String,
+    /// Chosen by the operator.
     pub id: u64,
-    pub addr: std::net::SocketAddrV4,
+    /// Where it is reached.
+    pub addr: SocketAddrV4,
 }
 
-/// What is answered.
+/// Requests whose usage was to be recorded since the start; on the wire a pair of numbers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct UsageCounts {
+    /// All of them.
+    pub total: u64,
+    /// How many of them are recorded nowhere, for want of room.
+    pub unrecorded: u64,
+}
+
+impl From<(u64, u64)> for UsageCounts {
+    fn from((total, unrecorded): (u64, u64)) -> Self {
+        UsageCounts { total, unrecorded }
+    }
+}
+
+impl From<UsageCounts> for (u64, u64) {
+    fn from(counts: UsageCounts) -> Self {
+        (counts.total, counts.unrecorded)
+    }
+}
+
+/// A member's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "answer")]
-pub enum Answer {
+pub enum Response {
+    /// To [`Request::Status`].
     Status {
+        /// The fleet's name.
         fleet: Name,
-        /// Of the program.
+        /// Version of the program.
         version: String,
+        /// Members and links as this member sees them.
         view: Box<View>,
-        /// Records that could not be written, and why the last one could not; none: all are on disk.
-        disk: Option<String>,
-        /// Datagrams that were thrown away unread, since too many came; and those that could not be sent.
-        unread: u64,
-        unsent: u64,
+        /// Why the last record could not be written; `None`: all are on disk.
+        #[serde(rename = "disk")]
+        disk_error: Option<String>,
+        /// Datagrams that were dropped unread, since too many came.
+        #[serde(rename = "unread")]
+        datagrams_dropped: u64,
+        /// Datagrams that could not be sent.
+        #[serde(rename = "unsent")]
+        datagrams_unsent: u64,
     },
+    /// The request has taken effect.
     Done,
-    No {
-        why: String,
+    /// The request is refused.
+    #[serde(rename = "no")]
+    Refused {
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    Own {
+    /// To [`Request::LocalRoles`].
+    #[serde(rename = "own")]
+    LocalRoles {
+        /// Its voter.
         voter: VoterView,
+        /// By duty.
         duties: Vec<DutySeen>,
-        /// Why this voter's records can't be written, while they can't.
-        disk: Option<String>,
-        /// Succeeded invocations since the start whose use is to be exported, and how many of them are recorded
-        /// nowhere, for want of room.
-        #[serde(default)]
-        uses: (u64, u64),
+        /// Why the voter's last record could not be written; `None`: all are on disk.
+        #[serde(rename = "disk")]
+        disk_error: Option<String>,
+        /// How much of its usage is recorded.
+        #[serde(rename = "uses", default)]
+        usage: UsageCounts,
     },
+    /// To [`Request::Owners`].
     Owners {
-        duties: Vec<DutyHeld>,
-        voters: Vec<VoterHeld>,
+        /// By duty.
+        duties: Vec<DutyStatus>,
+        /// All voters.
+        voters: Vec<VoterStatus>,
+        /// The voter that led.
         leader: String,
     },
-    Uses {
-        stream: Stream,
+    /// To [`Request::Usage`].
+    #[serde(rename = "uses")]
+    Usage {
+        /// The stream.
+        stream: StreamId,
+        /// The batch, where one is sealed.
         batch: Option<Arc<Batch>>,
         /// Thousandths of a unit that the sink does not have yet, this batch included.
-        #[serde(default)]
-        held_milli: u64,
+        #[serde(rename = "held_milli", default)]
+        pending_milli_units: u64,
     },
-    /// Not known yet: ask again.
-    Waits,
+    /// Not known yet: send the request again.
+    #[serde(rename = "waits")]
+    Pending,
     /// No majority was reached; why, as far as it is known.
     Unknown {
-        why: String,
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
--- a/crates/export/src/tests.rs
+++ b/crates/export/src/tests.rs
@@ -1,104 +1,108 @@
 use super::*;
+use crate::progress::MAX_MISSED_ROUNDS;
 
-fn stream() -> Stream {
-    Stream { gatekeeper: "g1".to_string(), folder: 7 }
+use std::collections::BTreeMap;
+
+fn stream() -> StreamId {
+    StreamId { gatekeeper: "g1".to_string(), directory_id: 7 }
 }
 
-fn segment(milli: &[u32]) -> Vec<u8> {
-    let one = |m: &u32| Use { customer: 5, operation: 1, window: 9, milli: *m }.written();
-    milli.iter().flat_map(one).collect()
+fn segment(milli_units: &[u32]) -> Vec<u8> {
+    let record = |m: &u32| UsageRecord { tenant: 5, operation: 1, window: 9, milli_units: *m }.to_bytes();
+    milli_units.iter().flat_map(record).collect()
 }
 
 #[test]
-fn uses_and_batches() {
+fn a_segment_is_summed_and_damage_is_counted() {
     let mut bytes = segment(&[1_000, 2_000]);
-    bytes.extend(Use { customer: 6, operation: 0, window: 9, milli: 500 }.written());
-    let whole = Batch::of(stream(), 1, &bytes);
-    assert_eq!((whole.sums.len(), whole.milli(), whole.unread), (2, 3_500, 0));
-    // A kill cuts the last one short; a changed byte is told of.
-    assert_eq!(Batch::of(stream(), 1, &bytes[..bytes.len() - 1]).milli(), 3_000);
+    bytes.extend(UsageRecord { tenant: 6, operation: 0, window: 9, milli_units: 500 }.to_bytes());
+    let whole = Batch::from_segment(stream(), 1, &bytes);
+    assert_eq!((whole.sums.len(), whole.milli_units(), whole.unreadable_records), (2, 3_500, 0));
+    // A kill cuts the last record short; a changed byte is counted.
+    assert_eq!(Batch::from_segment(stream(), 1, &bytes[..bytes.len() - 1]).milli_units(), 3_000);
     bytes[20] ^= 1;
-    let spoilt = Batch::of(stream(), 1, &bytes);
-    assert_eq!((spoilt.milli(), spoilt.unread), (2_500, 1));
-    assert_ne!(spoilt.checksum(), whole.checksum());
+    let damaged = Batch::from_segment(stream(), 1, &bytes);
+    assert_eq!((damaged.milli_units(), damaged.unreadable_records), (2_500, 1));
+    assert_ne!(damaged.checksum(), whole.checksum());
 }
 
-/// What a sink says to one batch after another.
 #[test]
-fn once_and_in_order() {
-    let batch = |number, milli: u32| Batch::of(stream(), number, &segment(&[milli]));
-    let taken = |again| Says::Taken { again };
+fn a_sink_stores_each_batch_once_and_in_order() {
+    let batch = |number, milli: u32| Batch::from_segment(stream(), number, &segment(&[milli]));
+    let accepted = |already_stored| BatchReply::Accepted { already_stored };
     let steps = [
-        (4, batch(1, 10), taken(false)),
-        (4, batch(1, 10), taken(true)),
-        (4, batch(1, 11), Says::Differs),
-        (4, batch(3, 10), Says::Gap { wanted: 2 }),
-        (3, batch(2, 10), Says::Refused { seen: 4 }),
-        (5, batch(2, 10), taken(false)),
-        (4, batch(3, 10), Says::Refused { seen: 5 }),
-        (5, batch(1, 10), taken(true)),
+        (4, batch(1, 10), accepted(false)),
+        (4, batch(1, 10), accepted(true)),
+        (4, batch(1, 11), BatchReply::Conflict),
+        (4, batch(3, 10), BatchReply::Gap { expected: 2 }),
+        (3, batch(2, 10), BatchReply::Fenced { highest_epoch: 4 }),
+        (5, batch(2, 10), accepted(false)),
+        (4, batch(3, 10), BatchReply::Fenced { highest_epoch: 5 }),
+        (5, batch(1, 10), accepted(true)),
     ];
-    let mut shelf = Shelf::default();
-    for (n, (epoch, batch, wanted)) in steps.iter().enumerate() {
-        let says = shelf.look(*epoch, batch);
-        assert_eq!(says, *wanted, "step {n}");
-        if says == taken(false) {
-            shelf.take(*epoch, batch);
+    let mut sink = SinkState::default();
+    for (step, (epoch, batch, expected)) in steps.iter().enumerate() {
+        let reply = sink.check(*epoch, batch);
+        assert_eq!(reply, *expected, "step {step}");
+        if reply == accepted(false) {
+            sink.store(*epoch, batch);
         }
     }
-    assert_eq!(shelf.streams[&stream()].milli, 20);
-    assert!(!shelf.see(4) && shelf.see(6) && !shelf.see(5));
+    assert_eq!(sink.positions[&stream()].milli_units, 20);
+    assert!(!sink.observe_epoch(4) && sink.observe_epoch(6) && !sink.observe_epoch(5));
 }
 
-/// A stream that is not heard for long is told of once, and once more when it is heard again; one whose
-/// gatekeeper has another folder at once.
+/// A stream that goes unanswered for long is reported once, and once more when it is answered again; one whose
+/// gatekeeper has another directory at once.
 #[test]
-fn what_may_be_missing_is_told() {
-    let other = Stream { gatekeeper: "g1".to_string(), folder: 8 };
-    let mut carrier = Carrier::default();
-    carrier.acts_in(1);
-    carrier.shelf_is(BTreeMap::new());
-    let told = |carrier: &mut Carrier| -> Vec<(u64, bool, Option<u64>)> {
-        let marks = carrier.after_a_turn();
-        marks.iter().for_each(|m| carrier.marked(m));
-        marks.into_iter().map(|m| (m.stream.folder, m.known, m.last_known_milli)).collect()
+fn incomplete_streams_are_reported_once() {
+    let other = StreamId { gatekeeper: "g1".to_string(), directory_id: 8 };
+    let mut progress = ExportProgress::default();
+    progress.begin_epoch(1);
+    progress.set_sink_positions(BTreeMap::new(), Vec::new());
+    let reported = |progress: &mut ExportProgress| -> Vec<(u64, bool, Option<u64>)> {
+        let statuses = progress.finish_round();
+        statuses.iter().for_each(|status| progress.status_stored(status));
+        let parts = |s: StreamStatus| (s.stream.directory_id, s.complete, s.last_pending_milli_units);
+        statuses.into_iter().map(parts).collect()
     };
-    carrier.heard_of(&stream(), 500);
-    for turn in 1..=UNHEARD_TURNS {
-        assert_eq!(told(&mut carrier), [], "turn {turn}");
+    progress.observe(&stream(), 500);
+    for round in 1..=MAX_MISSED_ROUNDS {
+        assert_eq!(reported(&mut progress), [], "round {round}");
     }
-    assert_eq!(told(&mut carrier), [(7, false, Some(500))]);
-    assert_eq!(told(&mut carrier), []);
-    carrier.heard_of(&stream(), 700);
-    assert_eq!(told(&mut carrier), [(7, true, Some(700))]);
-    carrier.heard_of(&other, 0);
-    assert_eq!(told(&mut carrier), [(7, false, Some(700))]);
-    carrier.heard_of(&other, 0);
-    assert_eq!(told(&mut carrier), []);
-    // The next owner never heard of it, and the sink has it for unknown already.
-    carrier.acts_in(2);
-    carrier.shelf_is([(stream(), Shelved::default())].into());
-    carrier.unknown_are(vec![stream()]);
-    carrier.heard_of(&other, 0);
-    assert_eq!(told(&mut carrier), []);
+    assert_eq!(reported(&mut progress), [(7, false, Some(500))]);
+    assert_eq!(reported(&mut progress), []);
+    progress.observe(&stream(), 700);
+    assert_eq!(reported(&mut progress), [(7, true, Some(700))]);
+    progress.observe(&other, 0);
+    assert_eq!(reported(&mut progress), [(7, false, Some(700))]);
+    progress.observe(&other, 0);
+    assert_eq!(reported(&mut progress), []);
+    // The next owner never heard of it, and the sink holds it for incomplete already.
+    progress.begin_epoch(2);
+    progress.set_sink_positions([(stream(), StreamPosition::default())].into(), vec![stream()]);
+    progress.observe(&other, 0);
+    assert_eq!(reported(&mut progress), []);
 }
 
 #[test]
-fn a_carrier_knows_nothing_before_it_asked() {
-    let batch = |number| Batch::of(stream(), number, &segment(&[10]));
-    let mut carrier = Carrier::default();
-    carrier.acts_in(3);
-    assert!(!carrier.is_next(&batch(1)) && carrier.has(&stream()).is_none());
-    carrier.shelf_is(BTreeMap::new());
-    assert!(carrier.is_next(&batch(1)));
-    assert!(carrier.heard(&batch(1), &Says::Taken { again: false }));
-    assert!(!carrier.is_next(&batch(1)) && carrier.is_next(&batch(2)));
-    // A gap is kept in sight until what is missing comes.
-    assert!(!carrier.is_next(&batch(4)) && carrier.gaps[&stream()] == (2, 4));
-    assert!(carrier.is_next(&batch(2)) && carrier.gaps.is_empty());
-    // Its epoch is over, or the sink was set back: it asks anew.
-    assert!(!carrier.heard(&batch(2), &Says::Refused { seen: 9 }) && !carrier.knows_shelf());
-    carrier.shelf_is(BTreeMap::new());
-    carrier.acts_in(4);
-    assert!(!carrier.knows_shelf());
+fn an_owner_sends_nothing_before_it_asked_the_sink() {
+    let batch = |number| Batch::from_segment(stream(), number, &segment(&[10]));
+    let mut progress = ExportProgress::default();
+    progress.begin_epoch(3);
+    assert!(!progress.is_next(&batch(1)) && progress.stored_up_to(&stream()).is_none());
+    progress.set_sink_positions(BTreeMap::new(), Vec::new());
+    assert!(progress.is_next(&batch(1)));
+    assert!(progress.apply_reply(&batch(1), &BatchReply::Accepted { already_stored: false }));
+    assert!(!progress.is_next(&batch(1)) && progress.is_next(&batch(2)));
+    // A gap is kept until what is missing comes.
+    assert!(!progress.is_next(&batch(4)));
+    assert_eq!(progress.gap(&stream()), Some(BatchGap { expected: 2, offered: 4 }));
+    assert!(progress.is_next(&batch(2)) && progress.gap(&stream()).is_none());
+    // Its epoch is over, or the sink was restored from an earlier copy: it asks anew.
+    let fenced = BatchReply::Fenced { highest_epoch: 9 };
+    assert!(!progress.apply_reply(&batch(2), &fenced) && !progress.has_sink_positions());
+    progress.set_sink_positions(BTreeMap::new(), Vec::new());
+    progress.begin_epoch(4);
+    assert!(!progress.has_sink_positions());
 }
--- /dev/null
+++ b/crates/export/src/usage.rs
@@ -0,0 +1,70 @@
+//! The usage record: the units of one succeeded request, in the fixed-size form that a gatekeeper appends to disk.
+//!
+//! | bytes | content, integers big-endian |
+//! | --- | --- |
+//! | 0 | version of this layout |
+//! | 1 | operation |
+//! | 2 and 3 | zero |
+//! | 4 to 11 | tenant |
+//! | 12 to 15 | window |
+//! | 16 to 19 | thousandths of a unit |
+//! | 20 to 27 | zero |
+//! | 28 to 31 | CRC-32 of all bytes before |
+
+use std::ops::Range;
+
+/// Length of a record on disk, in bytes.
+pub const USAGE_RECORD_BYTES: usize = 32;
+/// Length of a window, in seconds since 1970.
+pub const WINDOW_SECONDS: u64 = 60;
+
+const LAYOUT_VERSION: u8 = 1;
+const VERSION_AT: usize = 0;
+const OPERATION_AT: usize = 1;
+const TENANT_AT: Range<usize> = 4..12;
+const WINDOW_AT: Range<usize> = 12..16;
+const MILLI_UNITS_AT: Range<usize> = 16..20;
+const CHECKSUM_AT: Range<usize> = 28..USAGE_RECORD_BYTES;
+
+/// The units of one succeeded request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UsageRecord {
+    /// The tenant's hash.
+    pub tenant: u64,
+    /// The operation's index.
+    pub operation: u8,
+    /// Whole windows since 1970 at the time of the final response.
+    pub window: u32,
+    /// Thousandths of a unit.
+    pub milli_units: u32,
+}
+
+impl UsageRecord {
+    /// The record as it is stored.
+    pub fn to_bytes(&self) -> [u8; USAGE_RECORD_BYTES] {
+        let mut bytes = [0; USAGE_RECORD_BYTES];
+        bytes[VERSION_AT] = LAYOUT_VERSION;
+        bytes[OPERATION_AT] = self.operation;
+        bytes[TENANT_AT].copy_from_slice(&self.tenant.to_be_bytes());
+        bytes[WINDOW_AT].copy_from_slice(&self.window.to_be_bytes());
+        bytes[MILLI_UNITS_AT].copy_from_slice(&self.milli_units.to_be_bytes());
+        let checksum = crc32fast::hash(&bytes[..CHECKSUM_AT.start]).to_be_bytes();
+        bytes[CHECKSUM_AT].copy_from_slice(&checksum);
+        bytes
+    }
+
+    /// The record in `bytes`; `None` where length, version or checksum do not match.
+    pub fn from_bytes(bytes: &[u8]) -> Option<UsageRecord> {
+        let bytes: &[u8; USAGE_RECORD_BYTES] = bytes.try_into().ok()?;
+        let checksum = crc32fast::hash(&bytes[..CHECKSUM_AT.start]).to_be_bytes();
+        if bytes[VERSION_AT] != LAYOUT_VERSION || bytes[CHECKSUM_AT] != checksum {
+            return None;
+        }
+        Some(UsageRecord {
+            operation: bytes[OPERATION_AT],
+            tenant: u64::from_be_bytes(bytes[TENANT_AT].try_into().ok()?),
+            window: u32::from_be_bytes(bytes[WINDOW_AT].try_into().ok()?),
+            milli_units: u32::from_be_bytes(bytes[MILLI_UNITS_AT].try_into().ok()?),
+        })
+    }
+}
--- a/crates/export/tests/golden.rs
+++ b/crates/export/tests/golden.rs
@@ -3,7 +3,9 @@
 use std::fmt::Debug;
 use std::fs;
 
-use lynxstair_export::{Batch, Mark, Says, Shelved, Stream, Sum, USE_BYTES, Use};
+use lynxstair_export::{
+    Batch, BatchReply, StreamId, StreamPosition, StreamStatus, USAGE_RECORD_BYTES, UsageRecord, UsageSum,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -20,24 +22,29 @@
 
 #[test]
 fn messages_to_the_sink_keep_their_names() {
-    let stream = Stream { gatekeeper: "g1".to_string(), folder: 7 };
-    let sums = vec![Sum { customer: 5, operation: 1, window: 29_000_000, milli: 2_500 }];
-    check("batch.json", &Batch { stream: stream.clone(), number: 3, sums, unread: 1 });
-    let mark = Mark { stream, known: false, why: "not heard".to_string(), last_known_milli: Some(9) };
-    check("mark.json", &mark);
-    check("shelved.json", &Shelved { number: 3, checksum: 4, milli: 5 });
-    check("taken.json", &Says::Taken { again: true });
-    check("refused.json", &Says::Refused { seen: 2 });
-    check("gap.json", &Says::Gap { wanted: 2 });
-    check("differs.json", &Says::Differs);
+    let stream = StreamId { gatekeeper: "g1".to_string(), directory_id: 7 };
+    let sums = vec![UsageSum { tenant: 5, operation: 1, window: 29_000_000, milli_units: 2_500 }];
+    check("batch.json", &Batch { stream: stream.clone(), number: 3, sums, unreadable_records: 1 });
+    let status = StreamStatus {
+        stream,
+        complete: false,
+        reason: "not heard".to_string(),
+        last_pending_milli_units: Some(9),
+    };
+    check("mark.json", &status);
+    check("shelved.json", &StreamPosition { number: 3, checksum: 4, milli_units: 5 });
+    check("taken.json", &BatchReply::Accepted { already_stored: true });
+    check("refused.json", &BatchReply::Fenced { highest_epoch: 2 });
+    check("gap.json", &BatchReply::Gap { expected: 2 });
+    check("differs.json", &BatchReply::Conflict);
 }
 
 #[test]
 fn records_of_use_keep_their_form() {
-    let used = Use { customer: 0xb4d6_5521, operation: 2, window: 29_000_000, milli: 1_500 };
-    let bytes: [u8; USE_BYTES] = used.written();
+    let record = UsageRecord { tenant: 0xb4d6_5521, operation: 2, window: 29_000_000, milli_units: 1_500 };
+    let bytes: [u8; USAGE_RECORD_BYTES] = record.to_bytes();
     let path = golden("use.bin");
     let stored = fs::read(&path).expect("golden");
     assert_eq!(&bytes[..], &stored[..]);
-    assert_eq!(Use::read(&stored), Some(used));
+    assert_eq!(UsageRecord::from_bytes(&stored), Some(record));
 }
--- a/crates/fakes/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use lynxstair_export::{Batch, Mark, Says, Shelf};
+use lynxstair_export::{Batch, BatchReply, SinkState, StreamStatus};
 use lynxstair_record_log::RecordLog;
 use serde::{Deserialize, Serialize};
 
@@ -19,23 +19,34 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 enum Record {
-    Seen { epoch: u64 },
-    Batch { epoch: u64, batch: Batch },
-    Mark { epoch: u64, mark: Mark },
+    Seen {
+        epoch: u64,
+    },
+    Batch {
+        epoch: u64,
+        batch: Batch,
+    },
+    #[serde(rename = "mark")]
+    Status {
+        epoch: u64,
+        #[serde(rename = "mark")]
+        status: StreamStatus,
+    },
 }
 
-/// Something that came to a sink, in the order in which it came.
+/// A batch that came to a sink, and what the sink replied.
 #[derive(Clone, Debug, Serialize)]
 pub struct Landed {
     /// By `mono`.
     pub at: u64,
     pub epoch: u64,
     pub batch: Batch,
-    pub says: Says,
+    #[serde(rename = "says")]
+    pub reply: BatchReply,
 }
 
 struct Inside {
-    shelf: Shelf,
+    state: SinkState,
     log: RecordLog,
     landed: Vec<Landed>,
 }
@@ -43,15 +54,17 @@
 impl Inside {
     fn open(folder: &Path) -> Result<Self, String> {
         let opened = RecordLog::open(folder, "sink", None).map_err(|e| e.to_string())?;
-        let mut shelf = Shelf::default();
+        let mut state = SinkState::default();
         for bytes in &opened.records {
             match serde_json::from_slice(bytes).map_err(|e| e.to_string())? {
-                Record::Seen { epoch } => shelf.seen = shelf.seen.max(epoch),
-                Record::Batch { epoch, batch } => shelf.take(epoch, &batch),
-                Record::Mark { epoch, mark } => shelf.mark(epoch, &mark),
+                Record::Seen { epoch } => {
+                    state.observe_epoch(epoch);
+                }
+                Record::Batch { epoch, batch } => state.store(epoch, &batch),
+                Record::Status { epoch, status } => state.store_status(epoch, &status),
             }
         }
-        Ok(Inside { shelf, log: opened.log, landed: Vec::new() })
+        Ok(Inside { state, log: opened.log, landed: Vec::new() })
     }
 }
 
@@ -122,8 +135,8 @@
     }
 
     /// Streams of which something may be missing.
-    pub fn unknown(&self) -> Vec<Mark> {
-        locked(&self.inside).shelf.unknown.values().cloned().collect()
+    pub fn unknown(&self) -> Vec<StreamStatus> {
+        locked(&self.inside).state.incomplete.values().cloned().collect()
     }
 
     /// All that came so far, since it was opened.
@@ -144,18 +157,18 @@
     let mut inside = locked(inside);
     match (method, path) {
         ("GET", "/duties/export") => {
-            if epoch > inside.shelf.seen {
+            if epoch > inside.state.highest_epoch {
                 let record = serde_json::to_vec(&Record::Seen { epoch }).unwrap_or_default();
                 if let Err(e) = inside.log.append(&record) {
                     return say(500, e.to_string());
                 }
             }
-            if !inside.shelf.see(epoch) && !no_refusal {
-                let says = Says::Refused { seen: inside.shelf.seen };
-                return say(409, serde_json::to_string(&says).unwrap_or_default());
+            if !inside.state.observe_epoch(epoch) && !no_refusal {
+                let reply = BatchReply::Fenced { highest_epoch: inside.state.highest_epoch };
+                return say(409, serde_json::to_string(&reply).unwrap_or_default());
             }
-            let streams: Vec<_> = inside.shelf.streams.iter().collect();
-            let unknown: Vec<_> = inside.shelf.unknown.keys().collect();
+            let streams: Vec<_> = inside.state.positions.iter().collect();
+            let unknown: Vec<_> = inside.state.incomplete.keys().collect();
             say(200, serde_json::to_string(&(streams, unknown)).unwrap_or_default())
         }
         ("POST", "/duties/export/batches") => {
@@ -163,40 +176,43 @@
                 return say(400, "no batch".to_string());
             };
             // Whoever comes with a lower epoch is let in where refusal is taken out.
-            let by = if no_refusal { inside.shelf.seen.max(epoch) } else { epoch };
-            let says = inside.shelf.look(by, &batch);
-            if says == (Says::Taken { again: false }) {
+            let by = if no_refusal { inside.state.highest_epoch.max(epoch) } else { epoch };
+            let reply = inside.state.check(by, &batch);
+            if reply == (BatchReply::Accepted { already_stored: false }) {
                 let record = Record::Batch { epoch, batch: batch.clone() };
                 let record = serde_json::to_vec(&record).unwrap_or_default();
                 if let Err(e) = inside.log.append(&record) {
                     return say(500, e.to_string());
                 }
-                inside.shelf.take(epoch, &batch);
+                inside.state.store(epoch, &batch);
             }
-            let status = match says {
-                Says::Taken { .. } => 200,
-                Says::Refused { .. } => 409,
-                Says::Gap { .. } => 412,
-                Says::Differs => 422,
+            let status = match reply {
+                BatchReply::Accepted { .. } => 200,
+                BatchReply::Fenced { .. } => 409,
+                BatchReply::Gap { .. } => 412,
+                BatchReply::Conflict => 422,
             };
-            let body = serde_json::to_string(&says).unwrap_or_default();
-            inside.landed.push(Landed { at: mono(), epoch, batch, says });
+            let body = serde_json::to_string(&reply).unwrap_or_default();
+            inside.landed.push(Landed { at: mono(), epoch, batch, reply });
             say(status, body)
         }
         ("POST", "/duties/export/marks") => {
-            let Ok(mark) = serde_json::from_slice::<Mark>(&message.body) else {
+            let Ok(status) = serde_json::from_slice::<StreamStatus>(&message.body) else {
                 return say(400, "no mark".to_string());
             };
-            if epoch < inside.shelf.seen && !no_refusal {
-                let says = Says::Refused { seen: inside.shelf.seen };
-                return say(409, serde_json::to_string(&says).unwrap_or_default());
+            if epoch < inside.state.highest_epoch && !no_refusal {
+                let reply = BatchReply::Fenced { highest_epoch: inside.state.highest_epoch };
+                return say(409, serde_json::to_string(&reply).unwrap_or_default());
             }
-            let record = Record::Mark { epoch, mark: mark.clone() };
+            let record = Record::Status { epoch, status: status.clone() };
             if let Err(e) = inside.log.append(&serde_json::to_vec(&record).unwrap_or_default()) {
                 return say(500, e.to_string());
             }
-            inside.shelf.mark(epoch, &mark);
-            say(200, serde_json::to_string(&Says::Taken { again: false }).unwrap_or_default())
+            inside.state.store_status(epoch, &status);
+            say(
+                200,
+                serde_json::to_string(&BatchReply::Accepted { already_stored: false }).unwrap_or_default(),
+            )
         }
         _ => say(404, "nothing here".to_string()),
     }
--- a/crates/fault-injection/src/file.rs
+++ b/crates/fault-injection/src/file.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use lynxstair_cluster::{DUTIES, Invalid};
+use lynxstair_cluster::{ConfigError, DUTIES};
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
@@ -251,8 +251,8 @@
 }
 
 impl Reader<'_> {
-    fn invalid(&self, at: usize, key: &str, why: impl Into<String>) -> Invalid {
-        Invalid::at(self.file, self.text, at, Some(key), why)
+    fn invalid(&self, at: usize, key: &str, why: impl Into<String>) -> ConfigError {
+        ConfigError::at(self.file, self.text, at, Some(key), why)
     }
 
     fn within<T: PartialOrd + Copy + std::fmt::Display>(
@@ -261,11 +261,11 @@
         value: &Spanned<T>,
         least: T,
         most: T,
-    ) -> Result<T, Invalid> {
-        Invalid::unless_within((self.file, self.text), key, value, (least, most))
+    ) -> Result<T, ConfigError> {
+        ConfigError::check_range((self.file, self.text), key, value, (least, most))
     }
 
-    fn one(&mut self, at: usize, key: &str, word: &str) -> Result<Vec<usize>, Invalid> {
+    fn one(&mut self, at: usize, key: &str, word: &str) -> Result<Vec<usize>, ConfigError> {
         let all: Vec<usize> = (0..self.gatekeepers).collect();
         let number = |text: &str| text.parse::<usize>().ok().filter(|n| *n >= 1);
         if let Some(n) = word.strip_prefix('g').and_then(number).filter(|n| *n <= self.gatekeepers) {
@@ -311,7 +311,7 @@
         Err(self.invalid(at, key, why))
     }
 
-    fn who(&mut self, key: &str, value: &Spanned<Value>) -> Result<Vec<usize>, Invalid> {
+    fn who(&mut self, key: &str, value: &Spanned<Value>) -> Result<Vec<usize>, ConfigError> {
         let at = value.span().start;
         let words: Vec<&str> = match value.get_ref() {
             Value::String(word) => vec![word],
@@ -327,7 +327,7 @@
         Ok(all.into_iter().collect())
     }
 
-    fn links(&mut self, fault: &FaultText, needed: bool) -> Result<Links, Invalid> {
+    fn links(&mut self, fault: &FaultText, needed: bool) -> Result<Links, ConfigError> {
         if needed && fault.from.is_none() && fault.to.is_none() {
             let why = "missing; cut and flap name from, to or both";
             return Err(self.invalid(fault.kind.span().start, "from", why));
@@ -348,7 +348,7 @@
         Ok(Links(links))
     }
 
-    fn fault(&mut self, text: &FaultText, at: usize, seconds: f64) -> Result<Fault, Invalid> {
+    fn fault(&mut self, text: &FaultText, at: usize, seconds: f64) -> Result<Fault, ConfigError> {
         let kind = text.kind.get_ref().as_str();
         let keys: &[&str] = match kind {
             "pause" | "disk_full" => &["lasts", "who"],
@@ -449,8 +449,8 @@
     ///
     /// # Errors
     /// Where it can't be read or played: file, line, key, and what would be right.
-    pub fn read(file: &Path, seed: Option<u64>) -> Result<Self, Invalid> {
-        let text = std::fs::read_to_string(file).map_err(|e| Invalid::unread(file, &e))?;
+    pub fn read(file: &Path, seed: Option<u64>) -> Result<Self, ConfigError> {
+        let text = std::fs::read_to_string(file).map_err(|e| ConfigError::unreadable(file, &e))?;
         Trial::parse(file, &text, seed)
     }
 
@@ -458,10 +458,10 @@
     ///
     /// # Errors
     /// As `read`.
-    pub fn parse(file: &Path, text: &str, seed: Option<u64>) -> Result<Self, Invalid> {
+    pub fn parse(file: &Path, text: &str, seed: Option<u64>) -> Result<Self, ConfigError> {
         let mut reader =
             Reader { file, text, gatekeepers: 0, halls: 1, voters: None, chance: Pcg64Mcg::seed_from_u64(0) };
-        let parsed: FileText = toml::from_str(text).map_err(|e| Invalid::toml(file, text, &e))?;
+        let parsed: FileText = toml::from_str(text).map_err(|e| ConfigError::from_toml(file, text, &e))?;
         let seconds = reader.within("seconds", &parsed.seconds, 0.1, LONGEST_SECONDS)?;
         let most = MOST_GATEKEEPERS as i64;
         let gatekeepers = reader.within("gatekeepers", &parsed.gatekeepers, 1, most)?;
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use lynxstair_export::Says;
+use lynxstair_export::BatchReply;
 use lynxstair_fakes::{Answered, Delivered, Landed};
 use serde::Serialize;
 use serde_json::Value;
@@ -280,11 +280,11 @@
         detections,
         invocations: counted(seen),
         effects: seen.landed.as_ref().map(|landed| {
-            let with = |is: fn(&Says) -> bool| landed.iter().filter(|l| is(&l.says)).count();
+            let with = |is: fn(&BatchReply) -> bool| landed.iter().filter(|l| is(&l.reply)).count();
             Effects {
-                taken: with(|s| *s == Says::Taken { again: false }),
-                again: with(|s| *s == Says::Taken { again: true }),
-                refused: with(|s| matches!(s, Says::Refused { .. })),
+                taken: with(|s| *s == BatchReply::Accepted { already_stored: false }),
+                again: with(|s| *s == BatchReply::Accepted { already_stored: true }),
+                refused: with(|s| matches!(s, BatchReply::Fenced { .. })),
             }
         }),
         cpu: seen.cpu,
@@ -588,7 +588,7 @@
 
     fn effects(&mut self, landed: &[Landed]) {
         let mut last: Option<&Landed> = None;
-        for one in landed.iter().filter(|l| matches!(l.says, Says::Taken { .. })) {
+        for one in landed.iter().filter(|l| matches!(l.reply, BatchReply::Accepted { .. })) {
             if let Some(before) = last.filter(|b| b.epoch > one.epoch) {
                 let what =
                     format!("an effect of epoch {} was taken after one of {}", one.epoch, before.epoch);
@@ -603,10 +603,10 @@
     fn exported(&mut self, landed: &[Landed]) {
         let seen = self.seen;
         let mut sums: BTreeMap<(&str, u64), (u64, u64, u64)> = BTreeMap::new();
-        for one in landed.iter().filter(|l| l.says == Says::Taken { again: false }) {
+        for one in landed.iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: false }) {
             for sum in &one.batch.sums {
-                let key = (one.batch.stream.gatekeeper.as_str(), sum.customer);
-                sums.entry(key).or_default().0 += sum.milli;
+                let key = (one.batch.stream.gatekeeper.as_str(), sum.tenant);
+                sums.entry(key).or_default().0 += sum.milli_units;
             }
         }
         for one in &seen.answered {
--- a/crates/fault-injection/src/judge/tests.rs
+++ b/crates/fault-injection/src/judge/tests.rs
@@ -1,4 +1,4 @@
-use lynxstair_export::{Batch, Stream, Sum};
+use lynxstair_export::{Batch, BatchReply, StreamId, UsageSum};
 
 use super::*;
 
@@ -31,10 +31,10 @@
 
 /// One unit of customer 5 at g1.
 fn landed(epoch: u64, number: u64, at: u64) -> Landed {
-    let stream = Stream { gatekeeper: "g1".to_string(), folder: 1 };
-    let sums = vec![Sum { customer: 5, operation: 0, window: 1, milli: 1_000 }];
-    let batch = Batch { stream, number, sums, unread: 0 };
-    Landed { at: at * SECOND, epoch, batch, says: Says::Taken { again: number > 1 } }
+    let stream = StreamId { gatekeeper: "g1".to_string(), directory_id: 1 };
+    let sums = vec![UsageSum { tenant: 5, operation: 0, window: 1, milli_units: 1_000 }];
+    let batch = Batch { stream, number, sums, unreadable_records: 0 };
+    Landed { at: at * SECOND, epoch, batch, reply: BatchReply::Accepted { already_stored: number > 1 } }
 }
 
 fn owns(at: f64, epoch: u64) -> String {
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 
 use lynxstair_cluster::DUTIES;
-use lynxstair_cluster::protocol::{Answer, Ask};
-use lynxstair_export::Says;
+use lynxstair_cluster::protocol::{Request, Response};
+use lynxstair_export::BatchReply;
 use lynxstair_fakes::{Load, Message, Plan, Sink, ask, config_named, free_port, mono};
 use lynxstair_leases::{DutySeen, Hold};
 use lynxstair_membership::{Broken, Phase, State};
@@ -430,9 +430,12 @@
         let told = answered.iter().filter(|a| a.status == Some(200) && runs(&a.gatekeeper)).count() as u64;
         let began = Instant::now();
         loop {
-            let taken = sink.landed().into_iter().filter(|l| l.says == Says::Taken { again: false });
+            let taken = sink
+                .landed()
+                .into_iter()
+                .filter(|l| l.reply == BatchReply::Accepted { already_stored: false });
             let taken: u64 =
-                taken.filter(|l| runs(&l.batch.stream.gatekeeper)).map(|l| l.batch.milli()).sum();
+                taken.filter(|l| runs(&l.batch.stream.gatekeeper)).map(|l| l.batch.milli_units()).sum();
             if taken >= told * 1_000 || began.elapsed() > EXPORTED_WITHIN {
                 break;
             }
@@ -809,15 +812,17 @@
 
 /// What a member answers: its phase, and whom it sees as there.
 fn status(addr: SocketAddrV4) -> Option<(Phase, BTreeSet<String>)> {
-    let Answer::Status { view, .. } = lynxstair_cluster::ask(addr, &Ask::Status).ok()? else { return None };
+    let Response::Status { view, .. } = lynxstair_cluster::request(addr, &Request::Status).ok()? else {
+        return None;
+    };
     let there = view.members.iter().filter(|m| matches!(m.state, State::Alive | State::Suspected));
     Some((view.phase, there.map(|m| m.name.as_str().to_string()).collect()))
 }
 
 /// What a member is with each duty.
 fn duties(addr: SocketAddrV4) -> Option<Vec<DutySeen>> {
-    match lynxstair_cluster::ask(addr, &Ask::Own).ok()? {
-        Answer::Own { duties, .. } => Some(duties),
+    match lynxstair_cluster::request(addr, &Request::LocalRoles).ok()? {
+        Response::LocalRoles { duties, .. } => Some(duties),
         _ => None,
     }
 }
--- a/crates/gatekeeper/src/error.rs
+++ b/crates/gatekeeper/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-use lynxstair_cluster::Invalid;
+use lynxstair_cluster::StartError;
 use lynxstair_net::server::ListenError;
 
 use crate::config::ConfigError;
@@ -14,9 +14,9 @@
     /// The configuration can't be used.
     Config(ConfigError),
     /// The file of the cluster can't be used.
-    ClusterFile(Invalid),
+    ClusterFile(lynxstair_cluster::ConfigError),
     /// The control side can't be started.
-    Cluster(String),
+    Cluster(StartError),
     /// The address for clients can't be listened on.
     Listen(ListenError),
     /// The system refuses signals.
@@ -32,7 +32,7 @@
         match self {
             GatekeeperError::Config(source) => source.fmt(f),
             GatekeeperError::ClusterFile(source) => source.fmt(f),
-            GatekeeperError::Cluster(why) => f.write_str(why),
+            GatekeeperError::Cluster(source) => source.fmt(f),
             GatekeeperError::Listen(source) => source.fmt(f),
             GatekeeperError::Signals(source) => write!(f, "signals: {source}"),
             GatekeeperError::Timer(source) => write!(f, "timer: {source}"),
@@ -48,7 +48,8 @@
             GatekeeperError::ClusterFile(source) => Some(source),
             GatekeeperError::Listen(source) => Some(source),
             GatekeeperError::Signals(source) | GatekeeperError::Timer(source) => Some(source),
-            GatekeeperError::Cluster(_) | GatekeeperError::TimerEnded => None,
+            GatekeeperError::Cluster(source) => Some(source),
+            GatekeeperError::TimerEnded => None,
         }
     }
 }
--- a/crates/gatekeeper/src/forwarder.rs
+++ b/crates/gatekeeper/src/forwarder.rs
@@ -9,7 +9,7 @@
 
 use lynxstair::state::AttemptKey;
 use lynxstair::types::{Outcome, Time, WorkerId};
-use lynxstair_cluster::Uses;
+use lynxstair_cluster::UsageLog;
 use lynxstair_dispatch::{Cancellation, Dispatcher, FinalReply, NextStep};
 use lynxstair_net::clock::Clock;
 use lynxstair_net::connection::ReadOutcome;
@@ -38,7 +38,7 @@
     /// The connection that carries each attempt in flight.
     in_flight: Mutex<HashMap<AttemptKey, Arc<WorkerConnection>>>,
     /// Where the use of succeeded requests is recorded, in a cluster that exports it.
-    pub usage_log: OnceLock<Arc<Uses>>,
+    pub usage_log: OnceLock<Arc<UsageLog>>,
 }
 
 /// A worker's complete reply at the front of its connection's buffer.
@@ -163,7 +163,7 @@
             // Before the client can have it: what it is told is on record, however this process ends.
             if let Some(usage_log) = self.usage_log.get() {
                 let usage = &assignment.usage;
-                usage_log.note(self.clock.now(), usage.tenant.0, usage.operation.0, usage.units);
+                usage_log.record(self.clock.now(), usage.tenant.0, usage.operation.0, usage.units);
             }
             write_reply(out, &head, body, keep_alive)
         });
--- a/crates/gatekeeper/src/startup.rs
+++ b/crates/gatekeeper/src/startup.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::channel;
 
 use lynxstair::types::Span;
-use lynxstair_cluster::Side;
+use lynxstair_cluster::ClusterNode;
 use lynxstair_dispatch::Dispatcher;
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::{configure_runtime, spawn};
@@ -51,8 +51,8 @@
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(GatekeeperError::Signals)?;
     let gatekeeper = Arc::new(build(&config)?);
     gatekeeper.discovery.restore(&config.known);
-    let side = cluster.map(Side::start).transpose().map_err(GatekeeperError::Cluster)?;
-    if let Some(usage_log) = side.as_ref().and_then(|side| side.uses_kept()) {
+    let cluster_node = cluster.map(ClusterNode::start).transpose().map_err(GatekeeperError::Cluster)?;
+    if let Some(usage_log) = cluster_node.as_ref().and_then(|cluster_node| cluster_node.usage_log()) {
         let _ = gatekeeper.forwarder.usage_log.set(usage_log);
     }
     let (end, ended) = channel();
@@ -68,8 +68,8 @@
     }
     gatekeeper.lifecycle.enter(Phase::Draining);
     gatekeeper.ticker.wake_now();
-    if let Some(side) = &side {
-        side.leave();
+    if let Some(cluster_node) = &cluster_node {
+        cluster_node.leave();
     }
     ended.recv().map_err(|_| GatekeeperError::TimerEnded)
 }
