--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -9,7 +9,7 @@
 use anyhow::{Result, bail};
 use comfy_table::{Table, presets};
 use lynxstair_cluster::protocol::{DutyStatus, Request, Response, VoterStatus};
-use lynxstair_leases::{DutySeen, VoterView};
+use lynxstair_leases::{DutyView, VoterView};
 use serde::Serialize;
 
 use crate::ask::{addresses, ask};
@@ -30,7 +30,7 @@
     /// Who was asked.
     by: SocketAddrV4,
     /// What the member that was asked last heard of each duty; true some time ago.
-    heard: Vec<DutySeen>,
+    heard: Vec<DutyView>,
 }
 
 fn new_id() -> u64 {
@@ -171,7 +171,7 @@
     for voter in shown.voters.iter().flatten() {
         let said = match &says[&voter.name] {
             Ok((view, _)) if view.id.0 != voter.id => {
-                format!("{:?}, as another identity: {}", view.phase, view.why)
+                format!("{:?}, as another identity: {}", view.phase, view.reason)
             }
             Ok((view, disk)) => {
                 let leads = if shown.leader.as_ref() == Some(&voter.name) { ", leads" } else { "" };
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -76,7 +76,7 @@
     if !program.exists() {
         bail!("{}: no such program; build it, or name it by --program", program.display());
     }
-    let (mut broken, mut broken_ownership) = (Broken::default(), lynxstair_leases::Broken::default());
+    let (mut broken, mut broken_ownership) = (Broken::default(), lynxstair_leases::DisabledParts::default());
     for part in &args.without {
         match part {
             Part::Suspicion => broken.no_suspicion = true,
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -39,7 +39,7 @@
     /// Parts of membership that are taken out, to show that trials miss them.
     pub broken: Broken,
     /// The same of duties and their voters.
-    pub broken_ownership: lynxstair_leases::Broken,
+    pub broken_ownership: lynxstair_leases::DisabledParts,
     /// While this file exists, writing records fails as on a full disk.
     pub disk_full_while: Option<PathBuf>,
     /// The owner of the duty `export` pauses so many milliseconds between its check and its write.
--- a/crates/cluster/src/config/checks.rs
+++ b/crates/cluster/src/config/checks.rs
@@ -80,13 +80,13 @@
         let settings: [(TimeSetting, u64); 4] = [
             (("ownership.tick_ms", &table.tick_ms, &mut times.tick), 5),
             (("ownership.lease_ms", &table.lease_ms, &mut times.lease), 100),
-            (("ownership.renew_ms", &table.renew_ms, &mut times.renew), 10),
-            (("ownership.stand_ms", &table.claim_ms, &mut times.stand), 10),
+            (("ownership.renew_ms", &table.renew_ms, &mut times.renew_interval), 10),
+            (("ownership.stand_ms", &table.claim_ms, &mut times.claim_interval), 10),
         ];
         for (setting, min) in settings {
             self.set_time(setting, (min, MAX_DUTY_TIME))?;
         }
-        if times.lease.nanos() < 3 * times.renew.nanos() {
+        if times.lease.nanos() < 3 * times.renew_interval.nanos() {
             let offset = offset_of_first([&table.lease_ms, &table.renew_ms]);
             let reason = "must be at least three times ownership.renew_ms: two answers may be lost";
             return Err(self.error(offset, "ownership.lease_ms", reason.to_string()));
--- a/crates/cluster/src/datagrams.rs
+++ b/crates/cluster/src/datagrams.rs
@@ -17,7 +17,7 @@
 /// Most datagrams taken in a second, with a burst of as many. What is over is read and dropped.
 const MAX_PER_SECOND: u64 = 4_000;
 /// Longer than any datagram of the protocols, so that one that is too long is seen to be.
-const BUFFER_BYTES: usize = lynxstair_leases::LARGEST + 1;
+const BUFFER_BYTES: usize = lynxstair_leases::MAX_DATAGRAM_BYTES + 1;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
 /// The socket. Nothing waits on a send: what can't go at once is dropped and counted, and the protocols repeat.
--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -6,8 +6,8 @@
 
 use lynxstair::types::Time;
 use lynxstair_leases::{
-    Broken, Came, Do, DutySeen, Epoch, ForHolder, Holder, HolderStart, Image, Record, Start, Voter,
-    VoterView, Wants,
+    Action, AdminCommand, DisabledParts, DutyView, Epoch, HolderConfig, HolderMessage, LeaseHolder,
+    PersistentState, QueryStatus, Record, Voter, VoterConfig, VoterView,
 };
 use lynxstair_net::clock::Clock;
 use lynxstair_record_log::{RecordLog, Repair, Writer};
@@ -27,7 +27,7 @@
 
 struct State {
     voter: Voter,
-    holder: Holder,
+    holder: LeaseHolder,
 }
 
 /// The end of a write, by its ticket.
@@ -39,7 +39,7 @@
     outputs: Outputs,
     writer: Writer<u64>,
     /// What the file amounts to with the records on their way: the writer rewrites the file from it.
-    image: Arc<Mutex<Image>>,
+    persisted: Arc<Mutex<PersistentState>>,
     completions: Arc<Mutex<Vec<Completion>>>,
     disk_error: Mutex<Option<String>>,
 }
@@ -57,36 +57,36 @@
         let owner = format!("{}/{}/voter", config.fleet, config.name);
         let opened =
             RecordLog::open(&directory, &owner, write_fault(config)).map_err(StartError::VoterRecords)?;
-        let image = Image::read(&opened.records)
-            .map_err(|reason| StartError::UnknownVoterRecord { directory, reason })?;
+        let persisted = PersistentState::decode(&opened.records)
+            .map_err(|source| StartError::UnknownVoterRecord { directory, source })?;
         for repair in &opened.repairs {
             warn!(?repair, "fleet: a voter's records were mended");
         }
-        if config.trial.broken_ownership != Broken::default() {
+        if config.trial.broken_ownership != DisabledParts::default() {
             let broken = config.trial.broken_ownership;
             warn!(?broken, "fleet: parts are taken out for a trial; not for service");
         }
         let has_lost_records = opened.repairs.iter().any(|r| matches!(r, Repair::TornEnd { .. }));
         let now = clock.now();
         let state = State {
-            voter: Voter::begin(
+            voter: Voter::new(
                 now,
-                voter_start(config, duty_config, identity, image.clone(), has_lost_records),
+                voter_start(config, duty_config, identity, persisted.clone(), has_lost_records),
             ),
-            holder: Holder::begin(now, holder_start(config, duty_config, identity)),
+            holder: LeaseHolder::new(now, holder_start(config, duty_config, identity)),
         };
-        let image = Arc::new(Mutex::new(image));
+        let persisted = Arc::new(Mutex::new(persisted));
         let completions = Arc::new(Mutex::new(Vec::new()));
-        let (rewritten, completed, ticker) = (image.clone(), completions.clone(), outputs.ticker.clone());
+        let (rewritten, completed, ticker) = (persisted.clone(), completions.clone(), outputs.ticker.clone());
         let on_written = move |ticket, result: Result<(), lynxstair_record_log::Error>| {
             lock(&completed).push((ticket, result.map_err(|e| e.to_string())));
             ticker.wake_now();
         };
-        let rewrite = move || lock(&rewritten).records().iter().map(Record::written).collect();
+        let rewrite = move || lock(&rewritten).to_records().iter().map(Record::to_bytes).collect();
         let writer = Writer::start(opened.log, Box::new(on_written), Box::new(rewrite))
             .map_err(|source| StartError::Thread { thread: "a voter's records", source })?;
         let (state, disk_error) = (Mutex::new(state), Mutex::default());
-        Ok(Duties { state, outputs, writer, image, completions, disk_error })
+        Ok(Duties { state, outputs, writer, persisted, completions, disk_error })
     }
 
     /// Has the state machines do something and carries out what they ask for. The lock is held for the state
@@ -95,16 +95,16 @@
         let (value, actions, deadline) = {
             let mut state = lock(&self.state);
             let value = step(&mut state);
-            let mut actions = state.voter.take();
-            actions.extend(state.holder.take());
-            let deadline = state.voter.next_due().into_iter().chain(state.holder.next_due()).min();
+            let mut actions = state.voter.take_actions();
+            actions.extend(state.holder.take_actions());
+            let deadline = state.voter.next_deadline().into_iter().chain(state.holder.next_deadline()).min();
             (value, actions, deadline)
         };
         for action in actions {
             match action {
-                Do::Send { to, datagram } => self.outputs.send(to, &datagram),
-                Do::Write { ticket, record } => self.write(ticket, &record),
-                Do::Tell(event) => {
+                Action::Send { to, datagram } => self.outputs.send(to, &datagram),
+                Action::Write { ticket, record } => self.write(ticket, &record),
+                Action::Emit(event) => {
                     logging::log_duties(&event);
                     self.outputs.record_event(now, &event);
                 }
@@ -115,10 +115,10 @@
     }
 
     fn write(&self, ticket: u64, record: &Record) {
-        if let Err(e) = lock(&self.image).take_in(record) {
+        if let Err(e) = lock(&self.persisted).apply(record) {
             warn!(%e, "fleet: a voter's own record");
         }
-        if !self.writer.append(ticket, record.written()) {
+        if !self.writer.append(ticket, record.to_bytes()) {
             let why = "too many records wait for the disk".to_string();
             lock(&self.completions).push((ticket, Err(why)));
             self.outputs.ticker.wake_now();
@@ -129,7 +129,7 @@
         for (ticket, result) in std::mem::take(&mut *lock(&self.completions)) {
             *lock(&self.disk_error) = result.as_ref().err().cloned();
             let result = result.as_ref().copied().map_err(String::as_str);
-            self.update(now, |state| state.voter.written(now, ticket, result));
+            self.update(now, |state| state.voter.on_written(now, ticket, result));
         }
         self.update(now, |state| {
             state.voter.tick(now);
@@ -138,9 +138,11 @@
     }
 
     pub fn receive(&self, now: Time, from: SocketAddrV4, datagram: &[u8]) {
-        self.update(now, |state| match state.voter.heard(now, from, datagram) {
-            Ok(Some(ForHolder::Answer { number, answer })) => state.holder.heard(now, number, answer),
-            Ok(Some(ForHolder::Hint { duty })) => state.holder.hinted(now, &duty),
+        self.update(now, |state| match state.voter.receive(now, from, datagram) {
+            Ok(Some(HolderMessage::Response { number, response })) => {
+                state.holder.on_response(now, number, response)
+            }
+            Ok(Some(HolderMessage::DutyChanged { duty })) => state.holder.on_duty_changed(now, &duty),
             // The voter counts what it drops.
             Ok(None) | Err(_) => {}
         });
@@ -153,7 +155,7 @@
 
     /// An effect was refused: a higher epoch was seen where it was to land.
     pub fn refused(&self, now: Time, duty: &str, highest_epoch: Epoch) {
-        self.update(now, |state| state.holder.refused(now, duty, highest_epoch));
+        self.update(now, |state| state.holder.on_refused(now, duty, highest_epoch));
     }
 
     pub fn leave(&self, now: Time) {
@@ -161,7 +163,7 @@
     }
 
     /// This member's voter and its claims.
-    pub fn views(&self, now: Time) -> (VoterView, Vec<DutySeen>) {
+    pub fn views(&self, now: Time) -> (VoterView, Vec<DutyView>) {
         let state = lock(&self.state);
         (state.voter.view(now), state.holder.view(now))
     }
@@ -172,11 +174,11 @@
     }
 
     /// Asks the voters on behalf of an operator, who sends the request again while the response is pending.
-    pub fn query(&self, now: Time, id: u64, command: Option<&Wants>) -> Response {
-        match self.update(now, |state| state.holder.question(now, id, command)) {
-            Came::Waits => Response::Pending,
-            Came::Unknown(reason) => Response::Unknown { reason },
-            Came::Answered(answer) => to_response(answer),
+    pub fn query(&self, now: Time, id: u64, command: Option<&AdminCommand>) -> Response {
+        match self.update(now, |state| state.holder.query(now, id, command)) {
+            QueryStatus::Pending => Response::Pending,
+            QueryStatus::Unknown(reason) => Response::Unknown { reason },
+            QueryStatus::Answered(response) => to_response(response),
         }
     }
 }
@@ -185,44 +187,44 @@
     config: &Config,
     duty_config: &DutyConfig,
     identity: RunIdentity,
-    image: Image,
+    state: PersistentState,
     has_lost_records: bool,
-) -> Start {
-    Start {
+) -> VoterConfig {
+    VoterConfig {
         fleet: config.fleet.as_str().to_string(),
         name: config.name.as_str().to_string(),
         addr: config.advertise,
-        named: duty_config.voters.clone(),
-        image,
-        lost: has_lost_records,
+        initial_voters: duty_config.voters.clone(),
+        state,
+        has_lost_records,
         // An identity that is drawn again after the records were lost must be another one.
         seed: identity.seed ^ u64::from(identity.run) << 32,
         times: duty_config.times,
-        broken: config.trial.broken_ownership,
+        disabled: config.trial.broken_ownership,
     }
 }
 
-fn holder_start(config: &Config, duty_config: &DutyConfig, identity: RunIdentity) -> HolderStart {
-    HolderStart {
+fn holder_start(config: &Config, duty_config: &DutyConfig, identity: RunIdentity) -> HolderConfig {
+    HolderConfig {
         fleet: config.fleet.as_str().to_string(),
         name: config.name.as_str().to_string(),
         voters: duty_config.voters.iter().map(|(_, addr)| *addr).collect(),
         duties: duty_config.duties.clone(),
         seed: identity.seed,
-        stand: u64::from(identity.run),
+        incarnation: u64::from(identity.run),
         times: duty_config.times,
-        broken: config.trial.broken_ownership,
+        disabled: config.trial.broken_ownership,
     }
 }
 
 /// What the voters answered, as an operator is told.
-fn to_response(answer: lynxstair_leases::Answer) -> Response {
-    use lynxstair_leases::Answer;
-    match answer {
-        Answer::Done => Response::Done,
-        Answer::No { why } => Response::Refused { reason: why },
-        Answer::Book { duties, voters, leader } => Response::Owners {
-            duties: duties.into_iter().map(|(duty, held)| duty_status(duty, held)).collect(),
+fn to_response(response: lynxstair_leases::Response) -> Response {
+    use lynxstair_leases::Response as VoterResponse;
+    match response {
+        VoterResponse::Done => Response::Done,
+        VoterResponse::Refused { reason } => Response::Refused { reason },
+        VoterResponse::Table { duties, voters, leader } => Response::Owners {
+            duties: duties.into_iter().map(|(duty, lease)| duty_status(duty, lease)).collect(),
             voters: voters.into_iter().map(voter_status).collect(),
             leader,
         },
@@ -230,18 +232,18 @@
     }
 }
 
-fn duty_status(duty: String, held: lynxstair_leases::Held) -> DutyStatus {
+fn duty_status(duty: String, lease: lynxstair_leases::Lease) -> DutyStatus {
     DutyStatus {
         duty,
-        owner: held.owner.map(|owner| owner.name),
-        epoch: held.epoch,
-        since_unix_ms: held.since / 1_000_000,
-        granted_by: held.by,
-        reserved_for: held.meant_for,
-        state_bytes: held.state.len(),
+        owner: lease.owner.map(|owner| owner.name),
+        epoch: lease.epoch,
+        since_unix_ms: lease.granted_at / 1_000_000,
+        granted_by: lease.granted_by,
+        reserved_for: lease.reserved_for,
+        state_bytes: lease.state.len(),
     }
 }
 
-fn voter_status(voter: lynxstair_leases::VoterAt) -> VoterStatus {
+fn voter_status(voter: lynxstair_leases::VoterInfo) -> VoterStatus {
     VoterStatus { name: voter.name, id: voter.id.0, addr: voter.addr }
 }
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -55,12 +55,12 @@
     #[error("voter's records: {0}")]
     VoterRecords(#[source] lynxstair_record_log::Error),
     /// The records of the voter hold one that can't be understood.
-    #[error("voter's records: {}: {reason}", directory.display())]
+    #[error("voter's records: {}: {source}", directory.display())]
     UnknownVoterRecord {
         /// Where they are.
         directory: PathBuf,
         /// Which one, and why.
-        reason: String,
+        source: lynxstair_leases::RecordError,
     },
     /// The history file.
     #[error("history {}: {source}", path.display())]
--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -49,17 +49,17 @@
 pub(crate) fn log_duties(event: &lynxstair_leases::Event) {
     use lynxstair_leases::{Event, Phase};
     match event {
-        Event::VoterPhase { from, to, why } if *to == Phase::Aside => {
-            warn!(?from, ?to, %why, "fleet: voter");
+        Event::VoterPhase { from, to, reason } if *to == Phase::Suspended => {
+            warn!(?from, ?to, why = %reason, "fleet: voter");
         }
-        Event::VoterPhase { from, to, why } => info!(?from, ?to, %why, "fleet: voter"),
-        Event::Leads { term, leads } => info!(term, leads, "fleet: leads the voters"),
+        Event::VoterPhase { from, to, reason } => info!(?from, ?to, why = %reason, "fleet: voter"),
+        Event::Leadership { term, is_leader } => info!(term, leads = is_leader, "fleet: leads the voters"),
         Event::Granted { duty, owner, epoch, .. } => info!(%duty, %owner, epoch = epoch.0, "fleet: granted"),
         Event::Released { duty, owner, epoch } => info!(%duty, %owner, epoch = epoch.0, "fleet: released"),
         Event::Voters { names } => info!(names = %names.join(", "), "fleet: voters"),
         Event::Owns { duty, epoch } => info!(%duty, epoch = epoch.0, "fleet: owns"),
-        Event::OwnsNoMore { duty, epoch, why } => {
-            info!(%duty, epoch = epoch.0, %why, "fleet: owns no more");
+        Event::OwnsNoMore { duty, epoch, reason } => {
+            info!(%duty, epoch = epoch.0, why = %reason, "fleet: owns no more");
         }
     }
 }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_leases::{Epoch, Wants};
+use lynxstair_leases::{AdminCommand, Epoch};
 use lynxstair_membership::Name;
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::spawn;
@@ -180,7 +180,7 @@
 
     fn receive(&self, now: Time, from: SocketAddrV4, datagram: &[u8]) {
         match &self.duties {
-            Some(duties) if datagram.first() == Some(&lynxstair_leases::FIRST) => {
+            Some(duties) if datagram.first() == Some(&lynxstair_leases::FIRST_BYTE) => {
                 duties.receive(now, from, datagram);
             }
             _ => self.membership.receive(now, from, datagram),
@@ -252,15 +252,15 @@
             Request::Owners { id } => duties.query(now, id, None),
             Request::HandOver { id, duty, to } => {
                 let to = to.as_str().to_string();
-                duties.query(now, id, Some(&Wants::HandOver { duty, to }))
+                duties.query(now, id, Some(&AdminCommand::HandOver { duty, to }))
             }
-            Request::Depose { id, duty } => duties.query(now, id, Some(&Wants::Depose { duty })),
+            Request::Depose { id, duty } => duties.query(now, id, Some(&AdminCommand::Depose { duty })),
             Request::ReplaceVoter { id, old, new } => {
                 let Some(addr) = self.address_of(now, &new) else {
                     return refusal(&format!("{new} is not there, as seen from here"));
                 };
                 let (old, new) = (old.as_str().to_string(), new.as_str().to_string());
-                duties.query(now, id, Some(&Wants::Replace { old, new, addr }))
+                duties.query(now, id, Some(&AdminCommand::ReplaceVoter { old, new, addr }))
             }
             _ => refusal("not understood"),
         }
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use lynxstair_export::{Batch, StreamId};
-use lynxstair_leases::{DutySeen, Epoch, VoterView};
+use lynxstair_leases::{DutyView, Epoch, VoterView};
 use lynxstair_membership::{Name, View};
 use serde::{Deserialize, Serialize};
 
@@ -176,7 +176,7 @@
         /// Its voter.
         voter: VoterView,
         /// By duty.
-        duties: Vec<DutySeen>,
+        duties: Vec<DutyView>,
         /// Why the voter's last record could not be written; `None`: all are on disk.
         #[serde(rename = "disk")]
         disk_error: Option<String>,
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -6,8 +6,8 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_leases::{
-    Broken, Came, Do, Epoch, Event, ForHolder, Holder, HolderStart, Image, Phase, Record, Start, Times,
-    Voter, Wants,
+    Action, AdminCommand, DisabledParts, Epoch, Event, HolderConfig, HolderMessage, LeaseHolder,
+    PersistentState, Phase, QueryStatus, Record, Times, Voter, VoterConfig,
 };
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -34,13 +34,13 @@
     /// The first so many.
     pub voters: usize,
     pub times: Times,
-    pub broken: Broken,
+    pub broken: DisabledParts,
     pub seed: u64,
 }
 
 impl Default for OwnersPlan {
     fn default() -> Self {
-        let (times, broken) = (Times::default(), Broken::default());
+        let (times, broken) = (Times::default(), DisabledParts::default());
         OwnersPlan { members: 5, voters: 3, times, broken, seed: 1 }
     }
 }
@@ -55,7 +55,7 @@
 
 struct Process {
     voter: Voter,
-    holder: Holder,
+    holder: LeaseHolder,
     stopped: bool,
     buffer: VecDeque<(SocketAddrV4, Vec<u8>)>,
     wakes_at: Option<Time>,
@@ -213,33 +213,33 @@
         let named: Vec<_> = (0..self.plan.voters).map(|v| (name(v), address(v))).collect();
         let (seed, stand) = (self.chance.next_u64(), self.chance.next_u64());
         let now = self.clock(who);
-        let image = Image::read(&self.nodes[who].disk).expect("its own records");
+        let image = PersistentState::decode(&self.nodes[who].disk).expect("its own records");
         let (times, broken) = (self.plan.times, self.plan.broken);
-        let voter = Voter::begin(
+        let voter = Voter::new(
             now,
-            Start {
+            VoterConfig {
                 fleet: "f".to_string(),
                 name: name(who),
                 addr: address(who),
-                named: named.clone(),
-                image,
-                lost,
+                initial_voters: named.clone(),
+                state: image,
+                has_lost_records: lost,
                 seed,
                 times,
-                broken,
+                disabled: broken,
             },
         );
-        let holder = Holder::begin(
+        let holder = LeaseHolder::new(
             now,
-            HolderStart {
+            HolderConfig {
                 fleet: "f".to_string(),
                 name: name(who),
                 voters: named.into_iter().map(|(_, a)| a).collect(),
                 duties: vec![DUTY.to_string()],
                 seed,
-                stand,
+                incarnation: stand,
                 times,
-                broken,
+                disabled: broken,
             },
         );
         let node = &mut self.nodes[who];
@@ -336,13 +336,13 @@
     }
 
     /// An operator asks by way of a member.
-    pub fn question(&mut self, who: usize, id: u64, wants: Option<&Wants>) -> Option<Came> {
+    pub fn question(&mut self, who: usize, id: u64, wants: Option<&AdminCommand>) -> Option<QueryStatus> {
         let now = self.clock(who);
-        if matches!(wants, Some(Wants::Depose { .. })) {
+        if matches!(wants, Some(AdminCommand::Depose { .. })) {
             // Whenever it comes to that: a question is given up after five seconds.
             self.deposed_until = self.now + ms(5_000) + self.plan.times.lease;
         }
-        let came = self.nodes[who].process.as_mut().map(|p| p.holder.question(now, id, wants));
+        let came = self.nodes[who].process.as_mut().map(|p| p.holder.query(now, id, wants));
         self.after(who);
         came
     }
@@ -362,7 +362,7 @@
 
     pub fn leader(&self) -> Option<usize> {
         let leads =
-            |w: &usize| self.nodes[*w].process.as_ref().is_some_and(|p| !p.stopped && p.voter.leads());
+            |w: &usize| self.nodes[*w].process.as_ref().is_some_and(|p| !p.stopped && p.voter.is_leader());
         (0..self.nodes.len()).rev().find(leads)
     }
 
@@ -441,7 +441,7 @@
                     return self.later(ms(1), Next::Written { who, run, ticket, ok });
                 }
                 untold = untold.saturating_sub(usize::from(ok));
-                process.voter.written(clock, ticket, if ok { Ok(()) } else { Err("the disk fails") });
+                process.voter.on_written(clock, ticket, if ok { Ok(()) } else { Err("the disk fails") });
                 self.nodes[who].untold = untold;
                 self.after(who);
             }
@@ -451,7 +451,7 @@
                     self.place.refused += 1;
                     let (now, seen) = (self.clock(who), self.place.seen);
                     if let Some(process) = self.nodes[who].process.as_mut().filter(|p| !p.stopped) {
-                        process.holder.refused(now, DUTY, seen);
+                        process.holder.on_refused(now, DUTY, seen);
                     }
                     return;
                 }
@@ -467,7 +467,7 @@
                     process.effects = process.effects.max(number);
                     if number > process.last_kept {
                         process.last_kept = number;
-                        process.holder.keep(now, DUTY, &number.to_be_bytes());
+                        process.holder.store(now, DUTY, &number.to_be_bytes());
                     }
                 }
                 self.after(who);
@@ -511,10 +511,10 @@
     fn after(&mut self, who: usize) {
         let (run, ahead) = (self.nodes[who].runs, self.nodes[who].ahead);
         let Some(process) = self.nodes[who].process.as_mut() else { return };
-        let mut todo = process.voter.take();
-        todo.extend(process.holder.take());
+        let mut todo = process.voter.take_actions();
+        todo.extend(process.holder.take_actions());
         for one in todo {
-            if !matches!(one, Do::Tell(_)) {
+            if !matches!(one, Action::Emit(_)) {
                 match self.nodes[who].dies_at.as_mut() {
                     Some(0) => {
                         self.nodes[who].dies_at = None;
@@ -525,17 +525,17 @@
                 }
             }
             match one {
-                Do::Send { to, datagram } => self.send(who, member_at(to), datagram),
-                Do::Write { ticket, record } => self.write(who, run, ticket, &record),
-                Do::Tell(event) => self.heard_of(who, event),
+                Action::Send { to, datagram } => self.send(who, member_at(to), datagram),
+                Action::Write { ticket, record } => self.write(who, run, ticket, &record),
+                Action::Emit(event) => self.heard_of(who, event),
             }
         }
         let now = self.now;
         let Some(process) = self.nodes[who].process.as_mut().filter(|p| !p.stopped) else { return };
-        if let Some(kept) = process.holder.kept(DUTY).and_then(|k| k.try_into().ok()) {
+        if let Some(kept) = process.holder.acknowledged_state(DUTY).and_then(|k| k.try_into().ok()) {
             self.promised = self.promised.max(u64::from_be_bytes(kept));
         }
-        let due = process.voter.next_due().into_iter().chain(process.holder.next_due()).min();
+        let due = process.voter.next_deadline().into_iter().chain(process.holder.next_deadline()).min();
         let Some(due) = due else { return };
         let at = now.max(Time::default() + (due - (Time::default() + ahead)));
         if process.wakes_at.is_none_or(|w| at < w || w <= now) {
@@ -557,8 +557,8 @@
     fn write(&mut self, who: usize, run: u32, ticket: u64, record: &Record) {
         let node = &mut self.nodes[who];
         let ok = !node.disk_fails;
-        if ok && *record != Record::Try {
-            node.disk.push(record.written());
+        if ok && *record != Record::Probe {
+            node.disk.push(record.to_bytes());
             node.untold += 1;
         }
         let takes = node.disk_takes;
@@ -567,8 +567,8 @@
 
     fn heard_of(&mut self, who: usize, event: Event) {
         match &event {
-            Event::Granted { owner, stand, epoch, .. } => {
-                let to = (owner.clone(), *stand);
+            Event::Granted { owner, incarnation, epoch, .. } => {
+                let to = (owner.clone(), *incarnation);
                 let before = self.granted.insert(*epoch, to.clone());
                 if before.as_ref().is_some_and(|b| *b != to) {
                     let what = format!("{epoch:?} was given to {before:?} and to {to:?}");
@@ -600,9 +600,11 @@
 }
 
 fn hear(process: &mut Process, now: Time, from: SocketAddrV4, datagram: &[u8]) {
-    match process.voter.heard(now, from, datagram) {
-        Ok(Some(ForHolder::Answer { number, answer })) => process.holder.heard(now, number, answer),
-        Ok(Some(ForHolder::Hint { duty })) => process.holder.hinted(now, &duty),
+    match process.voter.receive(now, from, datagram) {
+        Ok(Some(HolderMessage::Response { number, response })) => {
+            process.holder.on_response(now, number, response)
+        }
+        Ok(Some(HolderMessage::DutyChanged { duty })) => process.holder.on_duty_changed(now, &duty),
         Ok(None) | Err(_) => {}
     }
 }
@@ -628,7 +630,7 @@
     if takes == Takes::KillLeader {
         // The worst case: who owns it also leads the voters.
         let leader = fleet.leader()?;
-        let wants = Wants::HandOver { duty: DUTY.to_string(), to: name(leader) };
+        let wants = AdminCommand::HandOver { duty: DUTY.to_string(), to: name(leader) };
         fleet.question(leader, 1, Some(&wants));
         fleet.until(ms(5_000), |f| f.owners() == [leader])?;
         fleet.run(ms(wait));
@@ -640,7 +642,7 @@
         Takes::CutOff => (0..members).filter(|o| *o != owner).for_each(|o| fleet.network.cut_both(owner, o)),
         Takes::HandOver => {
             let to = (owner + 1) % members;
-            let wants = Wants::HandOver { duty: DUTY.to_string(), to: name(to) };
+            let wants = AdminCommand::HandOver { duty: DUTY.to_string(), to: name(to) };
             fleet.question(to, 2, Some(&wants));
         }
     }
--- a/crates/emulator/tests/ownership.rs
+++ b/crates/emulator/tests/ownership.rs
@@ -5,7 +5,7 @@
 
 use lynxstair::types::Span;
 use lynxstair_emulator::owners::{DUTY, Owners, OwnersPlan};
-use lynxstair_leases::{Answer, Broken, Came, Epoch, Event, Phase, Wants};
+use lynxstair_leases::{AdminCommand, DisabledParts, Epoch, Event, Phase, QueryStatus, Response};
 use rayon::prelude::*;
 
 fn ms(n: u64) -> Span {
@@ -34,14 +34,14 @@
 }
 
 /// What becomes of an operator's question, by way of a member.
-fn asked(fleet: &mut Owners, by: usize, id: u64, wants: Option<&Wants>) -> Came {
+fn asked(fleet: &mut Owners, by: usize, id: u64, wants: Option<&AdminCommand>) -> QueryStatus {
     for _ in 0..800 {
         match fleet.question(by, id, wants) {
-            Some(Came::Waits) | None => fleet.run(ms(10)),
+            Some(QueryStatus::Pending) | None => fleet.run(ms(10)),
             Some(came) => return came,
         }
     }
-    Came::Waits
+    QueryStatus::Pending
 }
 
 #[test]
@@ -113,11 +113,11 @@
         fleet.run(ms(4_000));
         assert_eq!(fleet.owners(), Vec::<usize>::new(), "seed {seed}");
         let came = asked(&mut fleet, 3, 77, None);
-        assert!(matches!(came, Came::Unknown(_)), "seed {seed}: {came:?}");
+        assert!(matches!(came, QueryStatus::Unknown(_)), "seed {seed}: {came:?}");
         fleet.start(0);
         fleet.start(1);
         owned_again(&mut fleet, &format!("seed {seed}"));
-        assert!(matches!(asked(&mut fleet, 3, 78, None), Came::Answered(Answer::Book { .. })));
+        assert!(matches!(asked(&mut fleet, 3, 78, None), QueryStatus::Answered(Response::Table { .. })));
     });
 }
 
@@ -157,7 +157,7 @@
                 fleet.start(1);
             }
             fleet.run(ms(100));
-            assert_eq!(fleet.phase(1), Some(Phase::Blank), "{what}");
+            assert_eq!(fleet.phase(1), Some(Phase::NoTable), "{what}");
             let voting = fleet.until(ms(8_000), |f| f.phase(1) == Some(Phase::Voting));
             assert!(voting.is_some(), "{what}: not taken in");
             fleet.run(ms(2_000));
@@ -188,7 +188,7 @@
 }
 
 fn is_drawing(event: &Event) -> bool {
-    matches!(event, Event::VoterPhase { to: Phase::Drawing, why, .. } if why.contains("promises"))
+    matches!(event, Event::VoterPhase { to: Phase::NewIdentity, reason, .. } if reason.contains("promises"))
 }
 
 /// A disk that fails makes a voter step aside and say so; with room again it comes back.
@@ -199,7 +199,7 @@
         let leader = fleet.leader().expect("one leads");
         fleet.fail_disk(leader, true);
         fleet.run(ms(4_000));
-        assert_eq!(fleet.phase(leader), Some(Phase::Aside), "seed {seed}");
+        assert_eq!(fleet.phase(leader), Some(Phase::Suspended), "seed {seed}");
         owned_again(&mut fleet, &format!("seed {seed}"));
         fleet.fail_disk(leader, false);
         assert!(fleet.until(ms(3_000), |f| f.phase(leader) == Some(Phase::Voting)).is_some(), "seed {seed}");
@@ -217,8 +217,11 @@
         fleet.kill(owner);
         let owned = fleet.until(ms(60_000), |f| f.owners().len() == 1);
         assert!(owned.is_some(), "seed {seed}: no owner with slow disks");
-        let led =
-            fleet.events.iter().filter(|(_, _, e)| matches!(e, Event::Leads { leads: true, .. })).count();
+        let led = fleet
+            .events
+            .iter()
+            .filter(|(_, _, e)| matches!(e, Event::Leadership { is_leader: true, .. }))
+            .count();
         assert!(led < 12, "seed {seed}: {led} elections");
         whole(&fleet, &format!("seed {seed}"));
     });
@@ -230,7 +233,7 @@
     seeds(12).for_each(|seed| {
         let mut fleet = fleet(seed);
         let led = |f: &Owners| {
-            f.events.iter().filter(|(_, _, e)| matches!(e, Event::Leads { leads: true, .. })).count()
+            f.events.iter().filter(|(_, _, e)| matches!(e, Event::Leadership { is_leader: true, .. })).count()
         };
         let before = led(&fleet);
         for turn in 0..60 {
@@ -253,30 +256,42 @@
         let mut fleet = fleet(seed);
         let owner = fleet.owners()[0];
         let to = (owner + 1) % 5;
-        let wants = Wants::HandOver { duty: DUTY.to_string(), to: format!("g{}", to + 1) };
-        assert_eq!(asked(&mut fleet, 2, 1, Some(&wants)), Came::Answered(Answer::Done), "seed {seed}");
+        let wants = AdminCommand::HandOver { duty: DUTY.to_string(), to: format!("g{}", to + 1) };
+        assert_eq!(
+            asked(&mut fleet, 2, 1, Some(&wants)),
+            QueryStatus::Answered(Response::Done),
+            "seed {seed}"
+        );
         let took = fleet.until(ms(3_000), |f| f.owners() == [to]);
         assert!(took.is_some(), "seed {seed}: {:?}, not {to}", fleet.owners());
         fleet.run(ms(300));
         let epoch = fleet.place.seen;
         // By the same id, from elsewhere: nothing happens again.
-        assert_eq!(asked(&mut fleet, 4, 1, Some(&wants)), Came::Answered(Answer::Done), "seed {seed}");
+        assert_eq!(
+            asked(&mut fleet, 4, 1, Some(&wants)),
+            QueryStatus::Answered(Response::Done),
+            "seed {seed}"
+        );
         fleet.run(ms(1_000));
         let (owners, seen) = (fleet.owners(), fleet.place.seen);
         assert!(owners == [to] && seen == epoch, "seed {seed}: {owners:?}, {seen:?}, {epoch:?}");
         // Two at once.
-        let depose = Wants::Depose { duty: DUTY.to_string() };
+        let depose = AdminCommand::Depose { duty: DUTY.to_string() };
         fleet.question(1, 8, Some(&depose));
         fleet.question(3, 9, Some(&depose));
         let one = asked(&mut fleet, 1, 8, Some(&depose));
         let other = asked(&mut fleet, 3, 9, Some(&depose));
-        let done = |c: &Came| *c == Came::Answered(Answer::Done);
+        let done = |c: &QueryStatus| *c == QueryStatus::Answered(Response::Done);
         assert!(done(&one) || done(&other), "seed {seed}: {one:?}, {other:?}");
         owned_again(&mut fleet, &format!("seed {seed}"));
         assert_ne!(fleet.owners(), [to], "seed {seed}: the one deposed has it at once");
-        let nobody = Wants::Depose { duty: "nothing".to_string() };
+        let nobody = AdminCommand::Depose { duty: "nothing".to_string() };
         let came = asked(&mut fleet, 1, 10, Some(&nobody));
-        assert_eq!(came, Came::Answered(Answer::No { why: "no such duty".to_string() }), "seed {seed}");
+        assert_eq!(
+            came,
+            QueryStatus::Answered(Response::Refused { reason: "no such duty".to_string() }),
+            "seed {seed}"
+        );
     });
 }
 
@@ -291,9 +306,9 @@
                 fleet.kill(2);
             }
             let addr = fleet.address_of(3);
-            let wants = Wants::Replace { old: "g3".to_string(), new: "g4".to_string(), addr };
+            let wants = AdminCommand::ReplaceVoter { old: "g3".to_string(), new: "g4".to_string(), addr };
             let came = asked(&mut fleet, 4, 5, Some(&wants));
-            assert_eq!(came, Came::Answered(Answer::Done), "{what}");
+            assert_eq!(came, QueryStatus::Answered(Response::Done), "{what}");
             fleet.run(ms(1_500));
             if !dead {
                 fleet.kill(2);
@@ -302,7 +317,7 @@
             fleet.run(ms(2_000));
             owned_again(&mut fleet, &what);
             match asked(&mut fleet, 4, 6, None) {
-                Came::Answered(Answer::Book { voters, .. }) => {
+                QueryStatus::Answered(Response::Table { voters, .. }) => {
                     let mut names: Vec<_> = voters.iter().map(|v| v.name.as_str()).collect();
                     names.sort_unstable();
                     assert_eq!(names, ["g1", "g2", "g4"], "{what}");
@@ -310,9 +325,13 @@
                 }
                 other => panic!("{what}: {other:?}"),
             }
-            let unknown = Wants::Replace { old: "g3".to_string(), new: "g5".to_string(), addr };
+            let unknown = AdminCommand::ReplaceVoter { old: "g3".to_string(), new: "g5".to_string(), addr };
             let came = asked(&mut fleet, 4, 7, Some(&unknown));
-            assert_eq!(came, Came::Answered(Answer::No { why: "g3 is no voter".to_string() }), "{what}");
+            assert_eq!(
+                came,
+                QueryStatus::Answered(Response::Refused { reason: "g3 is no voter".to_string() }),
+                "{what}"
+            );
         }
     });
 }
@@ -337,7 +356,7 @@
 
 /// Faults at random for half a minute. Nothing that must hold may break; and with no more than one disk lost
 /// there is an owner again in the end.
-fn random(seed: u64, broken: Broken) -> Owners {
+fn random(seed: u64, broken: DisabledParts) -> Owners {
     let mut fleet = Owners::started(OwnersPlan { seed, broken, ..OwnersPlan::default() });
     fleet.run(ms(2_000));
     let members = fleet.members();
@@ -373,7 +392,7 @@
             11 => fleet.fail_disk(who, true),
             12 => fleet.network.mend_all(),
             _ => {
-                let wants = Wants::Depose { duty: DUTY.to_string() };
+                let wants = AdminCommand::Depose { duty: DUTY.to_string() };
                 let id = fleet.draw(1 << 40);
                 fleet.question(other, id, Some(&wants));
             }
@@ -403,7 +422,7 @@
         fleet.resume(who);
     }
     fleet.run(ms(6_000));
-    if broken == Broken::default() {
+    if broken == DisabledParts::default() {
         whole(&fleet, &format!("seed {seed}"));
         owned_again(&mut fleet, &format!("seed {seed}"));
     }
@@ -413,7 +432,7 @@
 #[test]
 fn random_faults() {
     let many = std::env::var("LYNXSTAIR_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(200);
-    seeds(many).for_each(|seed| drop(random(seed, Broken::default())));
+    seeds(many).for_each(|seed| drop(random(seed, DisabledParts::default())));
 }
 
 /// Crash at each point where somebody writes or sends: two of them, one after another, at any such point.
@@ -456,7 +475,7 @@
 #[test]
 fn runs_are_repeatable() {
     seeds(6).for_each(|seed| {
-        let (one, other) = (random(seed, Broken::default()), random(seed, Broken::default()));
+        let (one, other) = (random(seed, DisabledParts::default()), random(seed, DisabledParts::default()));
         assert_eq!(one.events, other.events, "seed {seed}");
         assert_eq!(one.datagrams, other.datagrams, "seed {seed}");
     });
@@ -466,11 +485,19 @@
 #[test]
 fn broken_variants_are_found() {
     let cases = [
-        ("votes_forgotten", Broken { votes_forgotten: true, ..Broken::default() }, "epoch-has-one-owner"),
-        ("no_waiting_for_disk", Broken { no_waiting_for_disk: true, ..Broken::default() }, "kept-is-kept"),
-        ("no_epochs", Broken { no_epochs: true, ..Broken::default() }, "epoch-has-one-owner"),
-        ("no_leases", Broken { no_leases: true, ..Broken::default() }, "leases-apart"),
-        ("no_refusal", Broken { no_refusal: true, ..Broken::default() }, "effects-in-order"),
+        (
+            "votes_forgotten",
+            DisabledParts { votes_forgotten: true, ..DisabledParts::default() },
+            "epoch-has-one-owner",
+        ),
+        (
+            "no_waiting_for_disk",
+            DisabledParts { no_waiting_for_disk: true, ..DisabledParts::default() },
+            "kept-is-kept",
+        ),
+        ("no_epochs", DisabledParts { no_epochs: true, ..DisabledParts::default() }, "epoch-has-one-owner"),
+        ("no_leases", DisabledParts { no_leases: true, ..DisabledParts::default() }, "leases-apart"),
+        ("no_refusal", DisabledParts { no_refusal: true, ..DisabledParts::default() }, "effects-in-order"),
     ];
     for (what, broken, rule) in cases {
         let found = seeds(300).find_any(|seed| random(*seed, broken).broke.iter().any(|b| b.rule == rule));
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -19,7 +19,7 @@
 use lynxstair_cluster::protocol::{Request, Response};
 use lynxstair_export::BatchReply;
 use lynxstair_fakes::{Load, Message, Plan, Sink, ask, config_named, free_port, mono};
-use lynxstair_leases::{DutySeen, Hold};
+use lynxstair_leases::{DutyView, HolderState};
 use lynxstair_membership::{Broken, Phase, State};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -71,7 +71,7 @@
     /// Histories, logs and records are left in a folder of the trial's name in here; none: nothing is left.
     pub keep: Option<&'a Path>,
     pub broken: Broken,
-    pub broken_ownership: lynxstair_leases::Broken,
+    pub broken_ownership: lynxstair_leases::DisabledParts,
     /// Told to stop from outside.
     pub stop: &'a AtomicBool,
 }
@@ -820,7 +820,7 @@
 }
 
 /// What a member is with each duty.
-fn duties(addr: SocketAddrV4) -> Option<Vec<DutySeen>> {
+fn duties(addr: SocketAddrV4) -> Option<Vec<DutyView>> {
     match lynxstair_cluster::request(addr, &Request::LocalRoles).ok()? {
         Response::LocalRoles { duties, .. } => Some(duties),
         _ => None,
@@ -829,9 +829,9 @@
 
 /// What a member says that it owns, and in which epoch.
 fn owns(addr: SocketAddrV4) -> Option<BTreeMap<String, u64>> {
-    let owned = duties(addr)?.into_iter().filter_map(|d| match d.hold {
-        Hold::Owns { epoch } => Some((d.duty, epoch.0)),
-        Hold::Stands => None,
+    let owned = duties(addr)?.into_iter().filter_map(|d| match d.state {
+        HolderState::Owner { epoch } => Some((d.duty, epoch.0)),
+        HolderState::Claiming => None,
     });
     Some(owned.collect())
 }
--- /dev/null
+++ b/crates/leases/src/envelope.rs
@@ -0,0 +1,106 @@
+//! The datagram's envelope: version, fleet and checksum. What can't be decoded is dropped and counted, never
+//! answered.
+//!
+//! | bytes | content |
+//! | --- | --- |
+//! | 0 | `O`: no datagram of membership begins with it |
+//! | 1 | version of this layout |
+//! | 2 to 9 | hash of the fleet's name, big-endian |
+//! | 10 to 13 | CRC-32 of all other bytes, big-endian |
+//! | 14 on | the message, by postcard |
+
+use std::ops::Range;
+
+use serde::{Deserialize, Serialize};
+
+use crate::identity::hash;
+use crate::message::Message;
+
+/// First byte of each datagram.
+pub const FIRST_BYTE: u8 = b'O';
+/// Longest datagram, in bytes; all but snapshots are far shorter.
+pub const MAX_DATAGRAM_BYTES: usize = 16_384;
+
+const VERSION: u8 = 1;
+const FLEET_AT: Range<usize> = 2..10;
+const CHECKSUM_AT: Range<usize> = 10..14;
+const HEADER_BYTES: usize = 14;
+
+/// Why a datagram was dropped.
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
+)]
+#[serde(rename_all = "snake_case")]
+pub enum DecodeError {
+    /// Too short or too long.
+    #[error("its length is not that of a datagram")]
+    Length,
+    /// Another protocol or layout.
+    #[error("another protocol or version")]
+    Version,
+    /// Another fleet.
+    #[error("another fleet")]
+    Fleet,
+    /// Damaged on the way.
+    #[error("its checksum differs")]
+    Checksum,
+    /// No message.
+    #[error("no message")]
+    Malformed,
+}
+
+/// Encodes and decodes the datagrams of one fleet.
+#[derive(Clone, Copy, Debug)]
+pub struct Envelope {
+    fleet_hash: u64,
+}
+
+impl Envelope {
+    /// The envelope of a fleet.
+    pub fn new(fleet: &str) -> Self {
+        Envelope { fleet_hash: hash(&[fleet.as_bytes()]) }
+    }
+
+    /// The datagram; `None` where it would be too long to send.
+    pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
+        let body = postcard::to_allocvec(message).ok()?;
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+        bytes.extend([FIRST_BYTE, VERSION]);
+        bytes.extend(self.fleet_hash.to_be_bytes());
+        bytes.extend([0; CHECKSUM_AT.end - CHECKSUM_AT.start]);
+        bytes.extend(body);
+        let checksum = checksum(&bytes);
+        bytes[CHECKSUM_AT].copy_from_slice(&checksum);
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
+    }
+
+    /// The message in a datagram.
+    ///
+    /// # Errors
+    /// The datagram is to be dropped.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Message, DecodeError> {
+        if bytes.len() <= HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DecodeError::Length);
+        }
+        if bytes[0] != FIRST_BYTE || bytes[1] != VERSION {
+            return Err(DecodeError::Version);
+        }
+        if bytes[FLEET_AT] != self.fleet_hash.to_be_bytes() {
+            return Err(DecodeError::Fleet);
+        }
+        if bytes[CHECKSUM_AT] != checksum(bytes) {
+            return Err(DecodeError::Checksum);
+        }
+        postcard::from_bytes(&bytes[HEADER_BYTES..]).map_err(|_| DecodeError::Malformed)
+    }
+}
+
+fn checksum(bytes: &[u8]) -> [u8; 4] {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&bytes[..CHECKSUM_AT.start]);
+    hasher.update(&bytes[CHECKSUM_AT.end..]);
+    hasher.finalize().to_be_bytes()
+}
+
+#[cfg(test)]
+mod tests;
