--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -187,7 +187,7 @@
             done(addr, &Request::Leave)
         }
         Command::ShutOut { by, name, why } => {
-            one_of(&by, &Request::Exclude { name: Name::new(&name)?, reason: why })
+            one_of(&by, &Request::ShutOut { name: Name::new(&name)?, reason: why })
         }
         Command::Owners { member, json } => owners::show(&member, json),
         Command::HandOver { by, duty, to, id } => {
@@ -202,7 +202,7 @@
             let (old, new) = (Name::new(&old)?, Name::new(&new)?);
             owners::operate(&by, id, |id| Request::ReplaceVoter { id, old: old.clone(), new: new.clone() })
         }
-        Command::LetIn { by, name } => one_of(&by, &Request::Readmit { name: Name::new(&name)? }),
+        Command::LetIn { by, name } => one_of(&by, &Request::LetIn { name: Name::new(&name)? }),
     }
 }
 
@@ -258,13 +258,14 @@
             });
             for (addr, answer) in some.iter().zip(answers) {
                 if let Ok(one) = &answer {
-                    found.extend(one.view.members.iter().filter(|m| !m.last.is_over()).map(|m| m.addr));
+                    found
+                        .extend(one.view.members.iter().filter(|m| !m.last_state.is_final()).map(|m| m.addr));
                 }
                 asked.insert(*addr, answer);
             }
         }
         // By the address at which it is known; one that is asked at another one answers who it is.
-        let me: BTreeSet<_> = asked.values().flatten().map(|a| a.view.me.addr).collect();
+        let me: BTreeSet<_> = asked.values().flatten().map(|a| a.view.local.addr).collect();
         to_ask = found.into_iter().filter(|a| !asked.contains_key(a) && !me.contains(a)).collect();
         if asked.len() == first.len() && asked.values().all(Result::is_err) {
             let why = asked.iter().map(|(a, e)| format!("{a}: {:#}", e.as_ref().err().expect("all failed")));
@@ -278,11 +279,11 @@
     let mut members: BTreeMap<Name, Member> = BTreeMap::new();
     let answers = || asked.values().flatten();
     for one in answers() {
-        let me = &one.view.me;
+        let me = &one.view.local;
         for seen in &one.view.members {
             let member = members.entry(seen.name.clone()).or_insert_with(|| Member {
                 name: seen.name.clone(),
-                hall: seen.hall.clone(),
+                hall: seen.zone.clone(),
                 addr: seen.addr,
                 incarnation: 0,
                 says: None,
@@ -296,16 +297,16 @@
                 by: me.name.clone(),
                 incarnation: seen.incarnation.0,
                 for_ms: seen.for_ms,
-                why: seen.why.clone(),
+                why: seen.reason.clone(),
             };
             member.seen.entry(seen.state).or_default().push(by);
         }
     }
     for one in answers() {
-        let me = &one.view.me;
+        let me = &one.view.local;
         let member = members.entry(me.name.clone()).or_insert_with(|| Member {
             name: me.name.clone(),
-            hall: me.hall.clone(),
+            hall: me.zone.clone(),
             addr: me.addr,
             incarnation: 0,
             says: None,
@@ -319,7 +320,7 @@
         (member.incarnation, member.addr) = (me.incarnation.0, me.addr);
         member.says = Some(Said {
             phase: one.view.phase,
-            why: one.view.phase_why.clone(),
+            why: one.view.phase_reason.clone(),
             version: one.version.clone(),
             doubt_ms: one.view.doubt.map(|(_, ms)| ms),
             disk: one.disk.clone(),
@@ -328,7 +329,7 @@
     for member in members.values_mut().filter(|m| m.says.is_none()) {
         let failed = asked.get(&member.addr).and_then(|a| a.as_ref().err());
         let why = failed.map_or_else(|| "not asked: it is over".to_string(), |e| format!("{e:#}"));
-        let gone = member.seen.iter().filter(|(state, _)| !state.is_there());
+        let gone = member.seen.iter().filter(|(state, _)| !state.is_present());
         let for_ms = gone.flat_map(|(_, seen)| seen).map(|s| s.for_ms).max();
         member.unreached = Some(Unreached { why, for_ms });
     }
@@ -350,7 +351,7 @@
             .filter(|(_, seen)| seen.iter().any(|s| members.get(&s.by).is_some_and(is_in)))
             .map(|(state, _)| *state)
             .collect();
-        if is_in(member) { by_in.iter().all(|s| s.is_there()) } else { by_in.iter().all(|s| s.is_over()) }
+        if is_in(member) { by_in.iter().all(|s| s.is_present()) } else { by_in.iter().all(|s| s.is_final()) }
     })
 }
 
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result, bail};
 use clap::ValueEnum;
 use lynxstair_fault_injection::{RULES, Stage, Trial, Verdict, drawn, play, shortened};
-use lynxstair_membership::Broken;
+use lynxstair_membership::DisabledParts;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 /// Parts that can be taken out, to see that trials miss them.
@@ -76,7 +76,8 @@
     if !program.exists() {
         bail!("{}: no such program; build it, or name it by --program", program.display());
     }
-    let (mut broken, mut broken_ownership) = (Broken::default(), lynxstair_leases::DisabledParts::default());
+    let (mut broken, mut broken_ownership) =
+        (DisabledParts::default(), lynxstair_leases::DisabledParts::default());
     for part in &args.without {
         match part {
             Part::Suspicion => broken.no_suspicion = true,
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-use lynxstair_membership::{Broken, Name, Times};
+use lynxstair_membership::{DisabledParts, Name, Times};
 use serde::Deserialize;
 
 use self::checks::Checker;
@@ -37,7 +37,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct TrialSwitches {
     /// Parts of membership that are taken out, to show that trials miss them.
-    pub broken: Broken,
+    pub broken: DisabledParts,
     /// The same of duties and their voters.
     pub broken_ownership: lynxstair_leases::DisabledParts,
     /// While this file exists, writing records fails as on a full disk.
--- a/crates/cluster/src/config/checks.rs
+++ b/crates/cluster/src/config/checks.rs
@@ -109,33 +109,33 @@
     pub fn membership_times(&self, table: &TimesTable) -> Result<Times, ConfigError> {
         let mut times = Times::default();
         let settings: [TimeSetting; 8] = [
-            ("times.probe_ms", &table.probe_ms, &mut times.probe),
-            ("times.answer_ms", &table.answer_ms, &mut times.answer),
-            ("times.suspicion_ms", &table.suspicion_ms, &mut times.suspicion),
-            ("times.gossip_ms", &table.gossip_ms, &mut times.gossip),
-            ("times.late_ms", &table.late_ms, &mut times.late),
-            ("times.quiet_ms", &table.quiet_ms, &mut times.quiet),
-            ("times.join_ms", &table.join_ms, &mut times.join),
-            ("times.exchange_ms", &table.exchange_ms, &mut times.exchange),
+            ("times.probe_ms", &table.probe_ms, &mut times.probe_interval),
+            ("times.answer_ms", &table.answer_ms, &mut times.probe_timeout),
+            ("times.suspicion_ms", &table.suspicion_ms, &mut times.suspicion_timeout),
+            ("times.gossip_ms", &table.gossip_ms, &mut times.gossip_interval),
+            ("times.late_ms", &table.late_ms, &mut times.pause_threshold),
+            ("times.quiet_ms", &table.quiet_ms, &mut times.isolation_threshold),
+            ("times.join_ms", &table.join_ms, &mut times.join_interval),
+            ("times.exchange_ms", &table.exchange_ms, &mut times.exchange_interval),
         ];
         for setting in settings {
             self.set_time(setting, MEMBERSHIP_TIME_RANGE)?;
         }
         if let Some(most) = &table.most_members {
             let most = self.in_range("times.most_members", most, MAX_MEMBERS_RANGE)?;
-            times.most_members = most as usize;
+            times.max_members = most as usize;
         }
         self.check_membership_times(&times, table)?;
         Ok(times)
     }
 
     fn check_membership_times(&self, times: &Times, table: &TimesTable) -> Result<(), ConfigError> {
-        if times.probe.nanos() < 2 * times.answer.nanos() {
+        if times.probe_interval.nanos() < 2 * times.probe_timeout.nanos() {
             let offset = offset_of_first([&table.probe_ms, &table.answer_ms]);
             let reason = "must be at least twice times.answer_ms: others are asked in what is left";
             return Err(self.error(offset, "times.probe_ms", reason.to_string()));
         }
-        if times.quiet.nanos() < 2 * times.probe.nanos() {
+        if times.isolation_threshold.nanos() < 2 * times.probe_interval.nanos() {
             let offset = offset_of_first([&table.quiet_ms, &table.probe_ms]);
             let reason = "must be at least twice times.probe_ms: nobody may be heard for one";
             return Err(self.error(offset, "times.quiet_ms", reason.to_string()));
--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -19,7 +19,7 @@
     let config = Config::parse(Path::new("/etc/f/g1.toml"), GOOD).expect("good");
     assert_eq!((config.advertise, config.control), (config.bind, config.bind));
     assert_eq!(config.data, Path::new("/etc/f/g1"));
-    assert_eq!(config.times.probe.nanos(), 500_000_000);
+    assert_eq!(config.times.probe_interval.nanos(), 500_000_000);
     let bad = [
         ("\"g1\"\nhall", "\"G 1\"\nhall", "f.toml:3: name: \"G 1\" is no name"),
         ("127.0.0.1:7101\"\nseeds", "localhost\"\nseeds", "f.toml:5: bind: \"localhost\" is no address"),
--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -27,21 +27,21 @@
 /// Logs an event of membership.
 pub(crate) fn log_membership(event: &Event) {
     match event {
-        Event::Began { ident } => {
-            info!(name = %ident.name, incarnation = ident.incarnation.0, addr = %ident.addr, "fleet: began");
+        Event::Began { identity } => {
+            info!(name = %identity.name, incarnation = identity.incarnation.0, addr = %identity.addr, "fleet: began");
         }
-        Event::Phase { from, to, why } => info!(?from, ?to, %why, "fleet: phase"),
-        Event::Member { name, addr, from, to, incarnation, why, .. } => match to {
+        Event::Phase { from, to, reason } => info!(?from, ?to, why = %reason, "fleet: phase"),
+        Event::Member { name, addr, from, to, incarnation, reason, .. } => match to {
             State::Failed | State::ShutOut => {
-                warn!(%name, %addr, ?from, ?to, incarnation = incarnation.0, ?why, "fleet: member");
+                warn!(%name, %addr, ?from, ?to, incarnation = incarnation.0, why = ?reason, "fleet: member");
             }
-            _ => info!(%name, %addr, ?from, ?to, incarnation = incarnation.0, ?why, "fleet: member"),
+            _ => info!(%name, %addr, ?from, ?to, incarnation = incarnation.0, why = ?reason, "fleet: member"),
         },
-        Event::Stood { ms } => warn!(ms, "fleet: stood still"),
-        Event::DoubtBegan { why } => warn!(?why, "fleet: doubts itself, accuses nobody"),
+        Event::Paused { ms } => warn!(ms, "fleet: stood still"),
+        Event::DoubtBegan { reason } => warn!(why = ?reason, "fleet: doubts itself, accuses nobody"),
         Event::DoubtEnded { ms } => info!(ms, "fleet: doubts itself no more"),
         Event::Link { to, state } => info!(%to, ?state, "fleet: link"),
-        Event::TurnedAway { name, addr, why } => warn!(%name, %addr, %why, "fleet: turned away"),
+        Event::JoinRefused { name, addr, reason } => warn!(%name, %addr, why = %reason, "fleet: turned away"),
     }
 }
 
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 
 use lynxstair::types::{Span, Time};
-use lynxstair_membership::{Do, Incarnation, Name, Record, Room, Start, View};
+use lynxstair_membership::{Action, Incarnation, Membership, MembershipConfig, Name, Record, View};
 use lynxstair_net::clock::Clock;
 use lynxstair_record_log::{Error, RecordLog, Repair, Writer};
 use tracing::{error, info, warn};
@@ -34,8 +34,8 @@
     retry: Option<(Time, Record)>,
 }
 
-pub(crate) struct Membership {
-    room: Mutex<Room>,
+pub(crate) struct MembershipService {
+    membership: Mutex<Membership>,
     outputs: Outputs,
     writer: Writer<Option<Incarnation>>,
     /// What the file amounts to with the records on their way: the writer rewrites the file from it.
@@ -44,7 +44,7 @@
     disk: Mutex<DiskState>,
 }
 
-impl Membership {
+impl MembershipService {
     /// Opens the records, and starts the state machine and the writer's thread.
     pub fn start(
         config: &Config,
@@ -59,7 +59,7 @@
         let records = MembershipRecords::decode(&opened.records).map_err(|source| {
             StartError::UnknownMembershipRecord { directory: config.data.clone(), source }
         })?;
-        let room = Room::begin(clock.now(), start_state(config, identity, &records));
+        let membership = Membership::new(clock.now(), membership_config(config, identity, &records));
         let records = Arc::new(Mutex::new(records));
         let completions = Arc::new(Mutex::new(Vec::new()));
         let (rewritten, completed, ticker) = (records.clone(), completions.clone(), outputs.ticker.clone());
@@ -77,17 +77,17 @@
         let writer =
             Writer::start(opened.log, Box::new(on_written), Box::new(move || lock(&rewritten).encode()))
                 .map_err(|source| StartError::Thread { thread: "records", source })?;
-        let (room, disk) = (Mutex::new(room), Mutex::default());
-        Ok(Membership { room, outputs, writer, records, completions, disk })
+        let (membership, disk) = (Mutex::new(membership), Mutex::default());
+        Ok(MembershipService { membership, outputs, writer, records, completions, disk })
     }
 
     /// Has the state machine do something and carries out what it asks for. The lock is held for the state
     /// machine only.
-    fn update(&self, now: Time, step: impl FnOnce(&mut Room)) {
+    fn update(&self, now: Time, step: impl FnOnce(&mut Membership)) {
         let (actions, deadline) = {
-            let mut room = lock(&self.room);
-            step(&mut room);
-            (room.take(), room.next_due())
+            let mut membership = lock(&self.membership);
+            step(&mut membership);
+            (membership.take_actions(), membership.next_deadline())
         };
         for action in actions {
             self.carry_out(now, action);
@@ -95,11 +95,11 @@
         self.outputs.wake_by(deadline);
     }
 
-    fn carry_out(&self, now: Time, action: Do) {
+    fn carry_out(&self, now: Time, action: Action) {
         match action {
-            Do::Send { to, datagram } => self.outputs.send(to, &datagram),
-            Do::Write(record) => self.write(now, record),
-            Do::Tell(event) => {
+            Action::Send { to, datagram } => self.outputs.send(to, &datagram),
+            Action::Write(record) => self.write(now, record),
+            Action::Emit(event) => {
                 logging::log_membership(&event);
                 self.outputs.record_event(now, &event);
             }
@@ -133,7 +133,7 @@
                     if lock(&self.disk).error.take().is_some() {
                         info!("fleet: records are written again");
                     }
-                    self.update(now, |room| room.written(now, incarnation));
+                    self.update(now, |membership| membership.on_written(now, incarnation));
                 }
                 Err(e) => self.retry_later(now, Record::Began { incarnation }, e.to_string()),
             }
@@ -148,27 +148,27 @@
 
     pub fn tick(&self, now: Time) {
         self.handle_completions(now);
-        self.update(now, |room| room.tick(now));
+        self.update(now, |membership| membership.tick(now));
     }
 
     pub fn receive(&self, now: Time, from: SocketAddrV4, datagram: &[u8]) {
-        self.update(now, |room| room.heard(now, from, datagram));
+        self.update(now, |membership| membership.receive(now, from, datagram));
     }
 
     pub fn leave(&self, now: Time) {
-        self.update(now, |room| room.leave(now));
+        self.update(now, |membership| membership.leave(now));
     }
 
-    pub fn exclude(&self, now: Time, name: &Name, reason: &str) {
-        self.update(now, |room| room.shut_out(now, name, reason));
+    pub fn shut_out(&self, now: Time, name: &Name, reason: &str) {
+        self.update(now, |membership| membership.shut_out(now, name, reason));
     }
 
-    pub fn readmit(&self, now: Time, name: &Name) {
-        self.update(now, |room| room.let_in(now, name));
+    pub fn let_in(&self, now: Time, name: &Name) {
+        self.update(now, |membership| membership.let_in(now, name));
     }
 
     pub fn view(&self, now: Time) -> View {
-        lock(&self.room).view(now)
+        lock(&self.membership).view(now)
     }
 
     /// Why the last record could not be written; `None`: all are on disk.
@@ -177,20 +177,24 @@
     }
 }
 
-fn start_state(config: &Config, identity: RunIdentity, records: &MembershipRecords) -> Start {
-    Start {
+fn membership_config(
+    config: &Config,
+    identity: RunIdentity,
+    records: &MembershipRecords,
+) -> MembershipConfig {
+    MembershipConfig {
         fleet: config.fleet.clone(),
         name: config.name.clone(),
-        hall: config.zone.clone(),
+        zone: config.zone.clone(),
         addr: config.advertise,
         seeds: config.seeds.clone(),
         run: identity.run,
         seed: identity.seed,
-        last: records.last_incarnation,
-        known: records.known_members.clone(),
+        last_incarnation: records.last_incarnation,
+        known_members: records.known_members.clone(),
         notices: records.notices(),
         times: config.times,
-        broken: config.trial.broken,
+        disabled: config.trial.broken,
     }
 }
 
--- a/crates/cluster/src/membership_records.rs
+++ b/crates/cluster/src/membership_records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxstair_membership::{Incarnation, Known, Notice, Record};
+use lynxstair_membership::{Incarnation, KnownMember, Notice, Record};
 
 /// A record that this program does not know; a newer one wrote it.
 #[derive(Debug, thiserror::Error)]
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct MembershipRecords {
     pub last_incarnation: Option<Incarnation>,
-    pub known_members: Vec<Known>,
+    pub known_members: Vec<KnownMember>,
     /// The last notice of each member.
     notices: BTreeMap<String, Notice>,
 }
--- a/crates/cluster/src/membership_records/tests.rs
+++ b/crates/cluster/src/membership_records/tests.rs
@@ -7,7 +7,9 @@
     let name = Name::new("g2").expect("a name");
     let records = [
         Record::Began { incarnation: Incarnation(3) },
-        Record::Notice { notice: Notice::ShutOut { name: name.clone(), number: 1, why: Reason::new("w") } },
+        Record::Notice {
+            notice: Notice::ShutOut { name: name.clone(), number: 1, reason: Reason::new("w") },
+        },
         Record::Began { incarnation: Incarnation(4) },
         Record::Notice { notice: Notice::LetIn { name, number: 2 } },
     ];
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -24,7 +24,7 @@
 use crate::exporter::Exporter;
 use crate::history::History;
 use crate::logging;
-use crate::membership::Membership;
+use crate::membership::MembershipService;
 use crate::outputs::Outputs;
 use crate::protocol::{Request, Response, UsageCounts};
 use crate::trial::{end_with_parent, write_fault};
@@ -60,7 +60,7 @@
     config: Config,
     clock: Clock,
     outputs: Outputs,
-    membership: Membership,
+    membership: MembershipService,
     /// Where the fleet has voters.
     duties: Option<Duties>,
     /// Where usage is exported.
@@ -84,7 +84,7 @@
         let identity = RunIdentity::draw(config.seed)?;
         let outputs = open_outputs(&config, clock, identity)?;
         let control_port = ControlPort::listen(config.control, clock, outputs.ticker.clone())?;
-        let membership = Membership::start(&config, clock, outputs.clone(), identity)?;
+        let membership = MembershipService::start(&config, clock, outputs.clone(), identity)?;
         if config.trial.broken != Default::default() {
             warn!(broken = ?config.trial.broken, "fleet: parts are taken out for a trial; not for service");
         }
@@ -155,7 +155,7 @@
     /// All members that are present as seen from here, and last this one, which has no address.
     pub(crate) fn members(&self) -> Vec<(String, Option<SocketAddrV4>)> {
         let view = self.membership.view(self.clock.now());
-        let others = view.members.iter().filter(|member| member.state.is_there());
+        let others = view.members.iter().filter(|member| member.state.is_present());
         let others = others.map(|member| (member.name.as_str().to_string(), Some(member.addr)));
         others.chain([(self.config.name.as_str().to_string(), None)]).collect()
     }
@@ -175,7 +175,7 @@
             return Some(self.config.advertise);
         }
         let view = self.membership.view(now);
-        view.members.iter().find(|m| m.name == *name && m.state.is_there()).map(|m| m.addr)
+        view.members.iter().find(|m| m.name == *name && m.state.is_present()).map(|m| m.addr)
     }
 
     fn receive(&self, now: Time, from: SocketAddrV4, datagram: &[u8]) {
@@ -209,15 +209,15 @@
                 self.leave();
                 Response::Done
             }
-            Request::Exclude { name, .. } if name == self.config.name => {
+            Request::ShutOut { name, .. } if name == self.config.name => {
                 refusal("a member can't shut out itself; ask another, or have it leave")
             }
-            Request::Exclude { name, reason } => {
-                self.membership.exclude(now, &name, &reason);
+            Request::ShutOut { name, reason } => {
+                self.membership.shut_out(now, &name, &reason);
                 Response::Done
             }
-            Request::Readmit { name } => {
-                self.membership.readmit(now, &name);
+            Request::LetIn { name } => {
+                self.membership.let_in(now, &name);
                 Response::Done
             }
             Request::Usage { stream, stored_up_to } => match &self.usage_log {
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -23,18 +23,16 @@
     Status,
     /// The member tells others that it leaves, and takes part no more. It goes on serving.
     Leave,
-    /// Excludes a member until it is readmitted.
-    #[serde(rename = "shut_out")]
-    Exclude {
+    /// Shuts a member out until it is let in again.
+    ShutOut {
         /// The member's name.
         name: Name,
         /// Why, for people.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Readmits an excluded member.
-    #[serde(rename = "let_in")]
-    Readmit {
+    /// Lets a member in that is shut out.
+    LetIn {
         /// The member's name.
         name: Name,
     },
--- a/crates/cluster/src/usage_log.rs
+++ b/crates/cluster/src/usage_log.rs
@@ -397,3 +397,6 @@
     file.write_all(&unwritten.concat())?;
     file.sync_all()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -2,7 +2,7 @@
 //! side.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_membership::{Broken, Event, State, Times};
+use lynxstair_membership::{DisabledParts, Event, State, Times};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -18,10 +18,10 @@
 }
 
 impl Care {
-    fn broken(self) -> Broken {
+    fn broken(self) -> DisabledParts {
         match self {
-            Care::With => Broken::default(),
-            Care::Without => Broken { no_lateness: true, no_relays: true, ..Broken::default() },
+            Care::With => DisabledParts::default(),
+            Care::Without => DisabledParts { no_lateness: true, no_relays: true, ..DisabledParts::default() },
         }
     }
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of members on a virtual clock: each a room of `lynxstair-membership` with a disk, a socket's
+//! A fleet of members on a virtual clock: each a state machine of `lynxstair-membership` with a disk, a socket's
 //! buffer and an address.
 
 use std::collections::{HashMap, VecDeque};
@@ -6,8 +6,8 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_membership::{
-    Broken, Do, Event, Ident, Incarnation, Known, Name, Notice, Phase, Record, Room, Start, State, Times,
-    View,
+    Action, DisabledParts, Event, Identity, Incarnation, KnownMember, Membership, MembershipConfig, Name,
+    Notice, Phase, Record, State, Times, View,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub last: Option<Incarnation>,
-    pub known: Vec<Known>,
+    pub known: Vec<KnownMember>,
     pub notices: Vec<Notice>,
 }
 
@@ -41,7 +41,7 @@
 
 /// A member's process.
 struct Process {
-    room: Room,
+    membership: Membership,
     stopped: bool,
     buffer: VecDeque<(SocketAddrV4, Vec<u8>)>,
     buffered: usize,
@@ -73,13 +73,20 @@
     /// The first so many are seeds.
     pub seeds: usize,
     pub times: Times,
-    pub broken: Broken,
+    pub broken: DisabledParts,
     pub seed: u64,
 }
 
 impl Default for Plan {
     fn default() -> Self {
-        Plan { members: 6, halls: 2, seeds: 2, times: Times::default(), broken: Broken::default(), seed: 1 }
+        Plan {
+            members: 6,
+            halls: 2,
+            seeds: 2,
+            times: Times::default(),
+            broken: DisabledParts::default(),
+            seed: 1,
+        }
     }
 }
 
@@ -149,8 +156,8 @@
     /// All running, each of them knowing all, as after a long quiet time.
     pub fn settled(plan: Plan) -> Self {
         let mut fleet = Fleet::new(plan);
-        let probe = fleet.plan.times.probe;
-        let all: Vec<Ident> = (0..fleet.nodes.len()).map(|who| fleet.begin(who)).collect();
+        let probe = fleet.plan.times.probe_interval;
+        let all: Vec<Identity> = (0..fleet.nodes.len()).map(|who| fleet.begin(who)).collect();
         let mut at = Vec::new();
         for _ in 0..fleet.nodes.len() {
             at.push(fleet.now + probe.times(fleet.chance.random()));
@@ -159,8 +166,8 @@
         fleet.nodes.par_iter_mut().enumerate().for_each(|(who, node)| {
             let Some(process) = node.process.as_mut() else { return };
             let at = at[who] + node.ahead;
-            process.room.written(at, all[who].incarnation);
-            process.room.settle(at, &all);
+            process.membership.on_written(at, all[who].incarnation);
+            process.membership.settle(at, &all);
             process.wakes_at = None;
             node.disk.last = Some(all[who].incarnation);
         });
@@ -193,7 +200,7 @@
 
     /// Who is there, as one sees it.
     pub fn view(&self, who: usize) -> Option<View> {
-        self.room(who).map(|room| room.view(self.clock(who)))
+        self.membership(who).map(|membership| membership.view(self.clock(who)))
     }
 
     pub fn members(&self) -> usize {
@@ -208,8 +215,8 @@
         self.nodes[who].process.is_some()
     }
 
-    pub fn room(&self, who: usize) -> Option<&Room> {
-        self.nodes[who].process.as_ref().map(|p| &p.room)
+    pub fn membership(&self, who: usize) -> Option<&Membership> {
+        self.nodes[who].process.as_ref().map(|p| &p.membership)
     }
 
     pub fn disk(&mut self, who: usize) -> &mut Disk {
@@ -226,30 +233,35 @@
         self.history.clear();
     }
 
-    fn begin(&mut self, who: usize) -> Ident {
+    fn begin(&mut self, who: usize) -> Identity {
         let seeds: Vec<_> = (0..self.plan.seeds.min(self.nodes.len())).map(|n| self.nodes[n].addr).collect();
         let node = &mut self.nodes[who];
         node.runs += 1;
-        let room = Room::begin(
+        let membership = Membership::new(
             self.now + node.ahead,
-            Start {
+            MembershipConfig {
                 fleet: name("f", 1),
                 name: node.name.clone(),
-                hall: node.hall.clone(),
+                zone: node.hall.clone(),
                 addr: node.addr,
                 seeds,
                 run: self.chance.random(),
                 seed: self.chance.random(),
-                last: node.disk.last,
-                known: node.disk.known.clone(),
+                last_incarnation: node.disk.last,
+                known_members: node.disk.known.clone(),
                 notices: node.disk.notices.clone(),
                 times: self.plan.times,
-                broken: self.plan.broken,
+                disabled: self.plan.broken,
             },
         );
-        let me = room.me().clone();
-        node.process =
-            Some(Process { room, stopped: false, buffer: VecDeque::new(), buffered: 0, wakes_at: None });
+        let me = membership.local().clone();
+        node.process = Some(Process {
+            membership,
+            stopped: false,
+            buffer: VecDeque::new(),
+            buffered: 0,
+            wakes_at: None,
+        });
         me
     }
 
@@ -310,11 +322,11 @@
         process.stopped = false;
         process.wakes_at = None;
         if timers_first {
-            process.room.tick(clock);
+            process.membership.tick(clock);
         }
         process.buffered = 0;
         for (from, datagram) in std::mem::take(&mut process.buffer) {
-            process.room.heard(clock, from, &datagram);
+            process.membership.receive(clock, from, &datagram);
         }
         self.plan_next(now, Next::Wakes { who, run });
         self.after(who);
@@ -323,16 +335,16 @@
     pub fn leave(&mut self, who: usize) {
         let now = self.clock(who);
         if let Some(process) = self.nodes[who].process.as_mut() {
-            process.room.leave(now);
+            process.membership.leave(now);
         }
         self.after(who);
     }
 
     /// Has one member do something, and carries out what comes of it.
-    pub fn at(&mut self, who: usize, acts: impl FnOnce(&mut Room, Time)) {
+    pub fn at(&mut self, who: usize, acts: impl FnOnce(&mut Membership, Time)) {
         let now = self.clock(who);
         if let Some(process) = self.nodes[who].process.as_mut() {
-            acts(&mut process.room, now);
+            acts(&mut process.membership, now);
         }
         self.after(who);
     }
@@ -387,7 +399,7 @@
                     process.buffer.push_back((from, datagram));
                     return;
                 }
-                process.room.heard(now + ahead, from, &datagram);
+                process.membership.receive(now + ahead, from, &datagram);
                 self.after(who);
             }
             Next::Wakes { who, run } => {
@@ -401,7 +413,7 @@
                     return;
                 }
                 process.wakes_at = None;
-                process.room.tick(now + ahead);
+                process.membership.tick(now + ahead);
                 self.after(who);
             }
             Next::Written { who, run, incarnation } => {
@@ -416,7 +428,7 @@
                     self.plan_next(at, Next::Written { who, run, incarnation });
                     return;
                 }
-                process.room.written(now + node.ahead, incarnation);
+                process.membership.on_written(now + node.ahead, incarnation);
                 self.after(who);
             }
         }
@@ -427,19 +439,19 @@
         let now = self.now;
         let (addr, run, ahead) = (self.nodes[who].addr, self.nodes[who].runs, self.nodes[who].ahead);
         let Some(process) = self.nodes[who].process.as_mut() else { return };
-        for todo in process.room.take() {
+        for todo in process.membership.take_actions() {
             match todo {
-                Do::Send { to, datagram } => self.send(who, addr, to, datagram),
-                Do::Write(Record::Began { incarnation }) => {
+                Action::Send { to, datagram } => self.send(who, addr, to, datagram),
+                Action::Write(Record::Began { incarnation }) => {
                     self.plan_next(now + DISK, Next::Written { who, run, incarnation });
                 }
-                Do::Write(Record::Members { known }) => self.nodes[who].disk.known = known,
-                Do::Write(Record::Notice { notice }) => self.nodes[who].disk.notices.push(notice),
-                Do::Tell(event) => self.history.push(Happened { at: now, who, event }),
+                Action::Write(Record::Members { known }) => self.nodes[who].disk.known = known,
+                Action::Write(Record::Notice { notice }) => self.nodes[who].disk.notices.push(notice),
+                Action::Emit(event) => self.history.push(Happened { at: now, who, event }),
             }
         }
         let Some(process) = self.nodes[who].process.as_mut() else { return };
-        let due = process.room.next_due().map(|at| at.saturating_sub(ahead));
+        let due = process.membership.next_deadline().map(|at| at.saturating_sub(ahead));
         if let Some(at) = due
             && process.wakes_at.is_none_or(|set| at < set)
         {
@@ -463,16 +475,16 @@
     /// How one sees another.
     pub fn sees(&self, who: usize, other: usize) -> Option<State> {
         let other = &self.nodes[other].name;
-        self.room(who)?.state_of(other).map(|(state, _)| state)
+        self.membership(who)?.state_of(other).map(|(state, _)| state)
     }
 
     /// Everybody who runs is in, and sees exactly those who run as there.
     pub fn all_agree(&self) -> bool {
         let running: Vec<_> = (0..self.nodes.len()).filter(|n| self.runs(*n)).collect();
         running.iter().all(|&who| {
-            self.room(who).is_some_and(|r| r.phase() == Phase::In)
+            self.membership(who).is_some_and(|r| r.phase() == Phase::In)
                 && (0..self.nodes.len()).filter(|&other| other != who).all(|other| {
-                    let there = self.sees(who, other).is_some_and(State::is_there);
+                    let there = self.sees(who, other).is_some_and(State::is_present);
                     there == self.runs(other)
                 })
         })
--- a/crates/emulator/tests/membership.rs
+++ b/crates/emulator/tests/membership.rs
@@ -5,7 +5,7 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_emulator::fleet::{Fleet, Happened, Plan};
 use lynxstair_emulator::network::Faults;
-use lynxstair_membership::{Broken, Event, Incarnation, LinkState, Name, Phase, State, Why};
+use lynxstair_membership::{ChangeReason, DisabledParts, Event, Incarnation, LinkState, Name, Phase, State};
 use rayon::prelude::*;
 
 const AGREE: Span = Span::from_millis(5_000);
@@ -28,9 +28,9 @@
             let seen: Vec<_> = view.members.iter().map(|m| format!("{} {:?}", m.name, m.state)).collect();
             eprintln!(
                 "{} {:?} ({}) {:?}: {}",
-                view.me.name,
+                view.local.name,
                 view.phase,
-                view.phase_why,
+                view.phase_reason,
                 view.doubt,
                 seen.join(", ")
             );
@@ -54,12 +54,12 @@
     let mut began: HashMap<(usize, Name), Incarnation> = HashMap::new();
     for h in fleet.history() {
         match &h.event {
-            Event::Began { ident } => {
+            Event::Began { identity: ident } => {
                 *lives.entry(h.who).or_default() = ident.run;
                 let last = began.insert((h.who, ident.name.clone()), ident.incarnation);
                 assert!(last < Some(ident.incarnation), "{what}: {h:?} after {last:?}");
             }
-            Event::Member { name, from, was, to, incarnation, .. } => {
+            Event::Member { name, from, from_incarnation: was, to, incarnation, .. } => {
                 let run = lives.get(&h.who).copied().unwrap_or_default();
                 let key = (h.who, run, name.clone());
                 if let Some(held) = held.insert(key, (*to, *incarnation)) {
@@ -387,15 +387,15 @@
         let began = fleet.now();
         let second = fleet.copy(3);
         fleet.run(ms(20_000));
-        let room = fleet.room(second).expect("runs");
-        assert_eq!(room.phase(), Phase::Refused, "seed {seed}");
-        assert!(fleet.view(second).expect("runs").phase_why.contains("borne by 127."), "seed {seed}");
+        let membership = fleet.membership(second).expect("runs");
+        assert_eq!(membership.phase(), Phase::Refused, "seed {seed}");
+        assert!(fleet.view(second).expect("runs").phase_reason.contains("borne by 127."), "seed {seed}");
         never_failed(&fleet, began, &[0, 1, 2, 3, 4], &format!("seed {seed}: a name used twice"));
-        let told = fleet.history().iter().any(|h| matches!(h.event, Event::TurnedAway { .. }));
+        let told = fleet.history().iter().any(|h| matches!(h.event, Event::JoinRefused { .. }));
         assert!(told, "seed {seed}");
         // Once the first one is gone, the second may be it.
         fleet.kill(3);
-        let taken = fleet.until(ms(15_000), |f| f.room(second).is_some_and(|r| r.phase() == Phase::In));
+        let taken = fleet.until(ms(15_000), |f| f.membership(second).is_some_and(|r| r.phase() == Phase::In));
         assert!(taken.is_some(), "seed {seed}");
     });
 }
@@ -407,7 +407,7 @@
         let mut fleet = fleet(5, seed);
         let began = fleet.now();
         fleet.leave(2);
-        let over = fleet.until(ms(1_000), |f| f.room(2).is_some_and(|r| r.is_over()));
+        let over = fleet.until(ms(1_000), |f| f.membership(2).is_some_and(|r| r.is_over()));
         assert!(over.is_some(), "seed {seed}");
         fleet.kill(2);
         fleet.run(ms(5_000));
@@ -431,7 +431,7 @@
         fleet.kill(4);
         fleet.run(ms(4_000));
         let g3 = fleet.name_of(2).clone();
-        fleet.at(0, |room, now| room.shut_out(now, &g3, "does not hold what all hold"));
+        fleet.at(0, |membership, now| membership.shut_out(now, &g3, "does not hold what all hold"));
         fleet.run(ms(3_000));
         for who in [0, 1, 3] {
             assert_eq!(fleet.sees(who, 2), Some(State::ShutOut), "seed {seed}: {who}");
@@ -441,18 +441,18 @@
         fleet.run(ms(3_000));
         fleet.start(2);
         fleet.run(ms(10_000));
-        let room = fleet.room(2).expect("runs");
-        assert_eq!(room.phase(), Phase::ShutOut, "seed {seed}");
-        assert_eq!(fleet.view(2).expect("runs").phase_why, "does not hold what all hold");
+        let membership = fleet.membership(2).expect("runs");
+        assert_eq!(membership.phase(), Phase::ShutOut, "seed {seed}");
+        assert_eq!(fleet.view(2).expect("runs").phase_reason, "does not hold what all hold");
         assert!([0, 1, 3, 4].iter().all(|w| fleet.sees(*w, 2) != Some(State::Alive)), "seed {seed}");
-        fleet.at(1, |room, now| room.let_in(now, &g3));
+        fleet.at(1, |membership, now| membership.let_in(now, &g3));
         fleet.run(ms(3_000));
         agrees(&mut fleet, &format!("seed {seed}: let in"));
         // Once more, without a restart.
-        fleet.at(0, |room, now| room.shut_out(now, &g3, "once more"));
+        fleet.at(0, |membership, now| membership.shut_out(now, &g3, "once more"));
         fleet.run(ms(3_000));
         assert_eq!(fleet.sees(1, 2), Some(State::ShutOut), "seed {seed}");
-        fleet.at(3, |room, now| room.let_in(now, &g3));
+        fleet.at(3, |membership, now| membership.let_in(now, &g3));
         fleet.run(ms(3_000));
         agrees(&mut fleet, &format!("seed {seed}: let in once more"));
         kept(&fleet, "shut out");
@@ -466,10 +466,10 @@
     let junk: Vec<Vec<u8>> = (0..300usize)
         .map(|n| (0..n * 5).map(|i| (i.wrapping_mul(2_654_435_761).wrapping_add(n) >> 7) as u8).collect())
         .collect();
-    let before = fleet.room(0).expect("runs").counters().clone();
+    let before = fleet.membership(0).expect("runs").counters().clone();
     junk.into_iter().for_each(|bytes| fleet.inject(1, 0, bytes));
     fleet.run(ms(5));
-    let after = fleet.room(0).expect("runs").counters().clone();
+    let after = fleet.membership(0).expect("runs").counters().clone();
     let dropped: u64 = after.dropped.values().sum::<u64>() - before.dropped.values().sum::<u64>();
     assert_eq!(dropped, 300);
     assert!(after.datagrams_out - before.datagrams_out < 20, "nothing of it is answered");
@@ -494,7 +494,7 @@
 /// Each part that is taken out is missed: by what must hold with it.
 #[test]
 fn broken_variants_are_found() {
-    let variant = |broken: Broken| {
+    let variant = |broken: DisabledParts| {
         let mut fleet = Fleet::started(Plan { members: 6, seed: 3, broken, ..Plan::default() });
         fleet.until(ms(10_000), Fleet::all_agree).expect("they come together");
         fleet
@@ -503,14 +503,14 @@
         |fleet: &Fleet, since: Time| fleet.declared_failed().filter(|(at, _, _)| *at >= since).count();
 
     for broken in [false, true] {
-        let mut fleet = variant(Broken { no_suspicion: broken, ..Broken::default() });
+        let mut fleet = variant(DisabledParts { no_suspicion: broken, ..DisabledParts::default() });
         let began = fleet.now();
         fleet.network.all = Faults { lost: 0.2, ..Faults::default() };
         fleet.run(ms(60_000));
         assert_eq!(failed(&fleet, began) > 0, broken, "suspicion");
 
         // One that runs for 20 ms in each 620: what comes for it comes while it stands still.
-        let mut fleet = variant(Broken { no_lateness: broken, ..Broken::default() });
+        let mut fleet = variant(DisabledParts { no_lateness: broken, ..DisabledParts::default() });
         let began = fleet.now();
         fleet.network.all.delay = ms(15);
         for _ in 0..60 {
@@ -521,11 +521,15 @@
         }
         let accuses = |h: &&Happened| {
             let by_it = h.at >= began && h.who == 1;
-            by_it && matches!(h.event, Event::Member { to: State::Suspected, why: Why::NoAnswer, .. })
+            by_it
+                && matches!(
+                    h.event,
+                    Event::Member { to: State::Suspected, reason: ChangeReason::NoAnswer, .. }
+                )
         };
         assert_eq!(fleet.history().iter().filter(accuses).count() > 0, broken, "lateness");
 
-        let mut fleet = variant(Broken { no_relays: broken, ..Broken::default() });
+        let mut fleet = variant(DisabledParts { no_relays: broken, ..DisabledParts::default() });
         let began = fleet.now();
         fleet.network.cut(0, 1);
         fleet.run(ms(20_000));
@@ -534,7 +538,7 @@
         });
         assert_eq!(suspected.count() > 0, broken, "relays");
 
-        let mut fleet = variant(Broken { no_incarnation: broken, ..Broken::default() });
+        let mut fleet = variant(DisabledParts { no_incarnation: broken, ..DisabledParts::default() });
         fleet.kill(3);
         fleet.start(3);
         fleet.run(ms(5_000));
@@ -542,7 +546,7 @@
             .history()
             .iter()
             .filter_map(|h| match &h.event {
-                Event::Began { ident } if h.who == 3 => Some(ident.incarnation),
+                Event::Began { identity: ident } if h.who == 3 => Some(ident.incarnation),
                 _ => None,
             })
             .collect();
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -20,7 +20,7 @@
 use lynxstair_export::BatchReply;
 use lynxstair_fakes::{Load, Message, Plan, Sink, ask, config_named, free_port, mono};
 use lynxstair_leases::{DutyView, HolderState};
-use lynxstair_membership::{Broken, Phase, State};
+use lynxstair_membership::{DisabledParts, Phase, State};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
@@ -70,7 +70,7 @@
     pub program: &'a Path,
     /// Histories, logs and records are left in a folder of the trial's name in here; none: nothing is left.
     pub keep: Option<&'a Path>,
-    pub broken: Broken,
+    pub broken: DisabledParts,
     pub broken_ownership: lynxstair_leases::DisabledParts,
     /// Told to stop from outside.
     pub stop: &'a AtomicBool,
--- a/crates/membership/src/ident.rs
+++ b/crates/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names and incarnations.
+//! Names, incarnations and identities.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -8,57 +8,66 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a member, a hall or a fleet, in bytes. Two of them and the rest of a header leave room
-/// for some forty members in a datagram.
-pub const LONGEST_NAME: usize = 32;
+/// Longest name of a member, a zone or a fleet, in bytes. Two of them and the rest of a header leave room for
+/// some forty members in a datagram.
+pub const MAX_NAME_BYTES: usize = 32;
 
-/// Why a name can't be used.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// Why a text is no name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no name: 1 to {LONGEST_NAME} of a-z, 0-9, '-', '_' and '.' are")]
-pub struct BadName(pub String);
+#[error("{0:?} is no name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_' and '.' are")]
+pub struct InvalidName(
+    /// Its beginning.
+    pub String,
+);
 
-/// The name of a member, a hall or a fleet: 1 to 32 of `a-z`, `0-9`, `-`, `_`, `.`.
+/// The name of a member, a zone or a fleet: 1 to 32 of `a-z`, `0-9`, `-`, `_`, `.`.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name {
     text: Arc<str>,
-    /// Told apart by one comparison: `foca` goes through all members for each that it is told of.
-    key: Key,
+    /// Compared first: `foca` goes through all members for each one that it is told of.
+    key: NameKey,
 }
 
-/// A number of 64 bits that stands for a name. Among 100,000 names two alike are not to be expected in a
-/// billion fleets.
+/// 64 bits that stand for a name. Among 100,000 names two equal keys are not to be expected in a billion fleets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Key(u64);
+pub struct NameKey(u64);
 
-impl Key {
-    /// FNV-1a: fixed for ever, the same everywhere, and no secret.
-    pub(crate) fn of(text: &str) -> Self {
-        let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-        Key(text.bytes().fold(0xcbf2_9ce4_8422_2325, mix))
+impl NameKey {
+    /// FNV-1a: the same everywhere and for ever, and no secret.
+    fn new(text: &str) -> Self {
+        let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        NameKey(text.bytes().fold(FNV_OFFSET, mix))
     }
 
-    pub(crate) fn number(self) -> u64 {
+    pub(crate) fn to_bits(self) -> u64 {
         self.0
     }
 }
 
 impl Name {
+    /// Checks a text.
+    ///
     /// # Errors
-    /// Where it is empty, too long, or has a character that is not allowed.
-    pub fn new(name: &str) -> Result<Self, BadName> {
-        let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
-        if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(allowed) {
-            return Err(BadName(name.chars().take(2 * LONGEST_NAME).collect()));
+    /// It is empty, too long, or has a character that is not allowed.
+    pub fn new(name: &str) -> Result<Self, InvalidName> {
+        let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
+            return Err(InvalidName(name.chars().take(2 * MAX_NAME_BYTES).collect()));
         }
-        Ok(Name { text: name.into(), key: Key::of(name) })
+        Ok(Name { text: name.into(), key: NameKey::new(name) })
     }
 
+    /// The text.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    pub fn key(&self) -> Key {
+    /// The key.
+    pub fn key(&self) -> NameKey {
         self.key
     }
 }
@@ -90,8 +99,8 @@
 }
 
 impl TryFrom<String> for Name {
-    type Error = BadName;
-    fn try_from(name: String) -> Result<Self, BadName> {
+    type Error = InvalidName;
+    fn try_from(name: String) -> Result<Self, InvalidName> {
         Name::new(&name)
     }
 }
@@ -114,12 +123,13 @@
     }
 }
 
-/// Counts the lives of a name: one more at each start, and each time it was declared failed and came back.
-/// Kept on disk before anybody is told of it, so that it never goes back; no clock goes into it.
+/// Counts the lives of a name: one more at each start, and each time a member was declared failed and came back.
+/// It is on disk before anybody is told of it, so that it never goes back; no clock goes into it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
+    /// The one after it.
     pub fn next(self) -> Self {
         Incarnation(self.0.saturating_add(1))
     }
@@ -133,27 +143,31 @@
 
 /// One life of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ident {
+pub struct Identity {
+    /// The member's name.
     pub name: Name,
-    pub hall: Name,
+    /// Its zone.
+    #[serde(rename = "hall")]
+    pub zone: Name,
     /// Where others reach it.
     pub addr: SocketAddrV4,
+    /// Which of its lives.
     pub incarnation: Incarnation,
-    /// Drawn at each start of a process: two processes of one name differ in it even with copied data
-    /// folders.
+    /// Drawn at each start of a process: two processes of one name differ in it, even with copied data
+    /// directories.
     pub run: u32,
 }
 
-impl foca::Identity for Ident {
-    type Addr = Key;
+impl foca::Identity for Identity {
+    type Addr = NameKey;
 
-    /// None: a member that learns that it was declared failed has to write its next incarnation down before
-    /// it tells anybody of it, so the room brings it back and not `foca`.
+    /// `None`: a member that was declared failed writes its next incarnation to disk before it tells anybody of
+    /// it. [`crate::Membership`] brings it back, not `foca`.
     fn renew(&self) -> Option<Self> {
         None
     }
 
-    fn addr(&self) -> Key {
+    fn addr(&self) -> NameKey {
         self.name.key()
     }
 
--- a/crates/membership/src/ident/tests.rs
+++ b/crates/membership/src/identity/tests.rs
@@ -1,7 +1,7 @@
 use super::Name;
 
 #[test]
-fn names_good_and_bad() {
+fn names_are_checked() {
     for good in ["g1", "kampus-2.hall_a", "a", &"x".repeat(32)] {
         assert_eq!(Name::new(good).expect("good").as_str(), good);
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,39 +1,50 @@
-//! Who is there, as seen from here: SWIM with suspicion by `foca`, and round it what SWIM alone lacks.
+//! Membership of a fleet as seen from one member: SWIM with suspicion by the `foca` library, and what SWIM alone
+//! lacks. No I/O, clock or thread.
 //!
-//! [`Room`] is told the time and the datagrams that came, and hands back what to send, what to write down and
-//! when to wake it. It opens nothing, asks no clock and starts no thread, so the same code runs in a
-//! gatekeeper, on a virtual clock with thousands of members and under a checker. Called by `crates/cluster` on
-//! sockets and by `crates/emulator`; it names neither.
+//! [`Membership`] is told the time and the datagrams that were received, and hands out [`Action`]s: what to send,
+//! to write and to log. The same code so runs in a gatekeeper (`crates/cluster`) and on a virtual clock with
+//! thousands of members (`crates/emulator`).
 //!
-//! What it answers is "as seen from here", never "agreed". Nothing may be safe only because it is right.
+//! Its answers are one member's view, never agreed upon. Nothing may be safe only because they are right.
 //!
-//! | file | matter |
+//! | file | content |
 //! | --- | --- |
-//! | `ident.rs` | names, incarnations, who wins where two bear one name |
-//! | `states.rs` | the states of a member, what may follow what, one function for every change |
-//! | `health.rs` | own lateness: standing still, hearing nobody; who doubts itself accuses nobody |
-//! | `links.rs` | who hears whom directly, and whom to ask to pass a datagram on |
-//! | `notices.rs` | what goes round besides: who left, who is shut out, what links are cut |
-//! | `datagram.rs` | the envelope: version, fleet, checksum; nothing that is not understood is answered |
-//! | `room.rs` | the room itself |
+//! | `identity.rs` | names, incarnations, and which of two identities with one name wins |
+//! | `status.rs` | the states of a member, and which may follow which |
+//! | `local_health.rs` | whether this process was paused or is isolated: then it declares nobody failed |
+//! | `link_table.rs` | which members answer directly, and which only through others |
+//! | `notices.rs` | what spreads besides: who left, who is shut out, which links are cut |
+//! | `wire.rs`, `packet.rs`, `swim_codec.rs` | datagrams |
+//! | `event.rs`, `view.rs` | actions, events and records; what operators are shown |
+//! | `membership.rs` | the state machine: phases and timers |
+//! | `membership/joining.rs` | joining, and answering members that want to join |
+//! | `membership/receiving.rs` | received datagrams |
+//! | `membership/suspicion.rs` | telling suspected members, and hearing that one is suspected itself |
+//! | `membership/relaying.rs` | sending, directly and through others |
+//! | `membership/link_reports.rs` | telling others which links are cut |
+//! | `membership/members.rs` | what is known of other members |
 #![forbid(unsafe_code)]
 
-mod datagram;
-mod health;
-mod ident;
-mod links;
+mod event;
+mod identity;
+mod link_table;
+mod local_health;
+mod membership;
 mod notices;
-mod room;
-mod states;
+mod packet;
+mod status;
+mod swim_codec;
 mod times;
 mod view;
+mod wire;
 
-pub use datagram::{Dropped, FleetId, LARGEST};
-pub use health::Doubt;
-pub use ident::{BadName, Ident, Incarnation, Name};
-pub use links::LinkState;
+pub use event::{Action, ChangeReason, Counters, Event, KnownMember, Phase, Record};
+pub use identity::{Identity, Incarnation, InvalidName, MAX_NAME_BYTES, Name};
+pub use link_table::LinkState;
+pub use local_health::DoubtReason;
+pub use membership::{Membership, MembershipConfig};
 pub use notices::{Notice, Reason};
-pub use room::{Counters, Do, Event, Known, Phase, Record, Room, Start, Why};
-pub use states::{Life, MayNot, State};
-pub use times::{Broken, Times};
-pub use view::{LinkSeen, MemberSeen, View};
+pub use packet::{DropReason, FleetId, MAX_DATAGRAM_BYTES};
+pub use status::{InvalidTransition, MemberStatus, State};
+pub use times::{DisabledParts, Times};
+pub use view::{LinkView, MemberView, View};
--- a/crates/membership/src/notices.rs
+++ b/crates/membership/src/notices.rs
@@ -1,101 +1,129 @@
-//! What goes round the fleet besides who is alive: who left, who is shut out or let in again, whose links are
-//! cut.
+//! Notices: what spreads through the fleet besides who is alive. Who left, who is shut out or let in again, whose
+//! links are cut.
 //!
-//! Notices ride on `foca`'s own messages. Of one kind about one member the highest order holds; what is older
-//! or held already is not passed on.
+//! Notices ride on `foca`'s own messages. Of one kind about one member the newest holds; an older or known one is
+//! not sent on.
 
 use std::collections::HashMap;
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use bytes::{Buf, BufMut};
 use serde::{Deserialize, Serialize};
 
-use crate::datagram::{put_name, take_name};
-use crate::ident::{Ident, Incarnation, Name};
-
-/// The longest reason, in bytes.
-const LONGEST_REASON: usize = 96;
-/// A notice names no more members than so many.
-pub(crate) const MOST_NAMED: usize = 12;
+use crate::identity::{Identity, Incarnation, Name};
+use crate::wire::{decode_name, encode_name};
+
+/// Longest reason, in bytes.
+const MAX_REASON_BYTES: usize = 96;
+/// Most members that one notice names.
+pub(crate) const MAX_NAMED_MEMBERS: usize = 12;
+/// Left, shut out or let in, links.
+const NOTICE_KINDS: usize = 3;
+
+/// Kinds of notices on the wire.
+mod kind {
+    pub const LEFT: u8 = 1;
+    pub const SHUT_OUT: u8 = 2;
+    pub const LET_IN: u8 = 3;
+    pub const LINKS: u8 = 4;
+}
 
-/// Why one is shut out, in some words.
+/// Why a member is shut out, in some words.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reason(Box<str>);
 
 impl Reason {
-    /// What is longer than 96 bytes is cut.
-    pub fn new(why: &str) -> Self {
-        let end = (0..=why.len().min(LONGEST_REASON)).rev().find(|at| why.is_char_boundary(*at)).unwrap_or(0);
-        Reason(why[..end].into())
+    /// Cuts the text to 96 bytes.
+    pub fn new(text: &str) -> Self {
+        let longest = text.len().min(MAX_REASON_BYTES);
+        let end = (0..=longest).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+        Reason(text[..end].into())
     }
 
+    /// The text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    pub(crate) fn put(&self, out: &mut Vec<u8>) {
+    pub(crate) fn encode(&self, out: &mut Vec<u8>) {
         out.put_u8(self.0.len() as u8);
         out.put_slice(self.0.as_bytes());
     }
 
-    pub(crate) fn take(from: &mut impl Buf) -> Option<Self> {
-        let len = usize::from(from.try_get_u8().ok()?);
-        if len > LONGEST_REASON || from.remaining() < len {
+    pub(crate) fn decode(from: &mut impl Buf) -> Option<Self> {
+        let length = usize::from(from.try_get_u8().ok()?);
+        if length > MAX_REASON_BYTES || from.remaining() < length {
             return None;
         }
-        let mut bytes = [0; LONGEST_REASON];
-        from.copy_to_slice(&mut bytes[..len]);
-        Some(Reason(std::str::from_utf8(&bytes[..len]).ok()?.into()))
+        let mut bytes = [0; MAX_REASON_BYTES];
+        from.copy_to_slice(&mut bytes[..length]);
+        Some(Reason(std::str::from_utf8(&bytes[..length]).ok()?.into()))
     }
 }
 
-/// What is told about one member.
+/// A notice about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "notice")]
 pub enum Notice {
-    /// It said that it goes, in this incarnation.
+    /// It said that it leaves.
     Left {
+        /// The member.
         name: Name,
+        /// In this incarnation.
         incarnation: Incarnation,
     },
-    /// It may not take part. The higher number holds against `LetIn`; the same number keeps it out.
+    /// It may not take part.
     ShutOut {
+        /// The member.
         name: Name,
+        /// The higher number holds against `LetIn`; of equal ones, this notice does.
         number: u32,
-        why: Reason,
+        /// Why.
+        #[serde(rename = "why")]
+        reason: Reason,
     },
+    /// It may take part again.
     LetIn {
+        /// The member.
         name: Name,
+        /// The higher number holds against `ShutOut`.
         number: u32,
     },
-    /// What this member says of its links: whom it does not hear and reach directly, or, where these are
-    /// more, the only ones that it does.
+    /// What the member says of its links.
     Links {
+        /// The member.
         name: Name,
+        /// In this incarnation.
         incarnation: Incarnation,
+        /// Grows with each such notice of the incarnation.
         order: u32,
+        /// False: `named` are those that it does not hear and reach directly. True: they are the only ones that
+        /// it does.
         only: bool,
+        /// At most 12 members.
         named: Vec<Name>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Sort {
+enum Topic {
     Left,
-    Out,
+    Admission,
     Links,
 }
 
+/// What a notice is about: a newer one of the same key replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Key(Sort, Name);
+pub(crate) struct NoticeKey(Topic, Name);
 
-impl foca::Invalidates for Key {
+impl foca::Invalidates for NoticeKey {
     fn invalidates(&self, other: &Self) -> bool {
         self == other
     }
 }
 
 impl Notice {
+    /// The member that it is about.
     pub fn name(&self) -> &Name {
         let (Notice::Left { name, .. }
         | Notice::ShutOut { name, .. }
@@ -104,16 +132,16 @@
         name
     }
 
-    fn key(&self) -> Key {
-        let sort = match self {
-            Notice::Left { .. } => Sort::Left,
-            Notice::ShutOut { .. } | Notice::LetIn { .. } => Sort::Out,
-            Notice::Links { .. } => Sort::Links,
+    fn key(&self) -> NoticeKey {
+        let topic = match self {
+            Notice::Left { .. } => Topic::Left,
+            Notice::ShutOut { .. } | Notice::LetIn { .. } => Topic::Admission,
+            Notice::Links { .. } => Topic::Links,
         };
-        Key(sort, self.name().clone())
+        NoticeKey(topic, self.name().clone())
     }
 
-    /// What is higher holds.
+    /// Of two notices with one key the higher one holds.
     fn order(&self) -> (u64, u64) {
         match self {
             Notice::Left { incarnation, .. } => (incarnation.0, 0),
@@ -123,59 +151,59 @@
         }
     }
 
-    pub(crate) fn written(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let mut out = Vec::new();
         match self {
             Notice::Left { name, incarnation } => {
-                out.put_u8(1);
-                put_name(&mut out, name);
+                out.put_u8(kind::LEFT);
+                encode_name(&mut out, name);
                 out.put_u64(incarnation.0);
             }
-            Notice::ShutOut { name, number, why } => {
-                out.put_u8(2);
-                put_name(&mut out, name);
+            Notice::ShutOut { name, number, reason } => {
+                out.put_u8(kind::SHUT_OUT);
+                encode_name(&mut out, name);
                 out.put_u32(*number);
-                why.put(&mut out);
+                reason.encode(&mut out);
             }
             Notice::LetIn { name, number } => {
-                out.put_u8(3);
-                put_name(&mut out, name);
+                out.put_u8(kind::LET_IN);
+                encode_name(&mut out, name);
                 out.put_u32(*number);
             }
             Notice::Links { name, incarnation, order, only, named } => {
-                out.put_u8(4);
-                put_name(&mut out, name);
+                out.put_u8(kind::LINKS);
+                encode_name(&mut out, name);
                 out.put_u64(incarnation.0);
                 out.put_u32(*order);
                 out.put_u8(u8::from(*only));
                 out.put_u8(named.len() as u8);
-                named.iter().for_each(|n| {
-                    put_name(&mut out, n);
-                });
+                for name in named {
+                    encode_name(&mut out, name);
+                }
             }
         }
         out
     }
 
-    pub(crate) fn read(mut from: &[u8]) -> Option<Self> {
+    pub(crate) fn decode(mut from: &[u8]) -> Option<Self> {
         let kind = from.try_get_u8().ok()?;
-        let name = take_name(&mut from)?;
+        let name = decode_name(&mut from)?;
         let notice = match kind {
-            1 => Notice::Left { name, incarnation: Incarnation(from.try_get_u64().ok()?) },
-            2 => {
+            kind::LEFT => Notice::Left { name, incarnation: Incarnation(from.try_get_u64().ok()?) },
+            kind::SHUT_OUT => {
                 let number = from.try_get_u32().ok()?;
-                Notice::ShutOut { name, number, why: Reason::take(&mut from)? }
+                Notice::ShutOut { name, number, reason: Reason::decode(&mut from)? }
             }
-            3 => Notice::LetIn { name, number: from.try_get_u32().ok()? },
-            4 => {
+            kind::LET_IN => Notice::LetIn { name, number: from.try_get_u32().ok()? },
+            kind::LINKS => {
                 let incarnation = Incarnation(from.try_get_u64().ok()?);
                 let order = from.try_get_u32().ok()?;
                 let only = from.try_get_u8().ok()? == 1;
                 let count = usize::from(from.try_get_u8().ok()?);
-                if count > MOST_NAMED {
+                if count > MAX_NAMED_MEMBERS {
                     return None;
                 }
-                let named = (0..count).map(|_| take_name(&mut from)).collect::<Option<Vec<_>>>()?;
+                let named = (0..count).map(|_| decode_name(&mut from)).collect::<Option<Vec<_>>>()?;
                 Notice::Links { name, incarnation, order, only, named }
             }
             _ => return None,
@@ -184,108 +212,142 @@
     }
 }
 
-/// All notices held, and those that came since they were last taken.
+/// What a member said of its links.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LinkReport<'a> {
+    /// Whether `named` are the only members that it hears, or those that it does not.
+    pub only: bool,
+    pub named: &'a [Name],
+}
+
+impl LinkReport<'_> {
+    /// Whether it says that it hears the member.
+    pub fn hears(&self, name: &Name) -> bool {
+        self.named.contains(name) == self.only
+    }
+
+    /// Whether it names the member among the only ones that it hears.
+    pub fn hears_only_few_with(&self, name: &Name) -> bool {
+        self.only && self.named.contains(name)
+    }
+}
+
+/// All notices that hold, and those that are new.
 #[derive(Debug, Default)]
-pub(crate) struct Held {
-    held: HashMap<Key, Notice>,
-    fresh: Vec<Notice>,
-    most: usize,
-    /// Goes round once more, though it is held already.
-    again: Option<Notice>,
+pub(crate) struct Notices {
+    current: HashMap<NoticeKey, Notice>,
+    new: Vec<Notice>,
+    max_members: usize,
+    /// Sent on once more, though it is known.
+    repeated: Option<Notice>,
 }
 
-impl Held {
-    /// Takes it in where it says more than what is held.
-    fn take_in(&mut self, notice: Notice) -> Option<Key> {
+impl Notices {
+    /// Takes a notice in where it is newer than what is known. Returns its key where it is to be sent on.
+    fn insert(&mut self, notice: Notice) -> Option<NoticeKey> {
         let key = notice.key();
-        if self.again.take_if(|again| *again == notice).is_some() {
+        if self.repeated.take_if(|repeated| *repeated == notice).is_some() {
             return Some(key);
         }
-        let held = self.held.get(&key);
-        if held.is_some_and(|held| held.order() >= notice.order()) || (held.is_none() && self.is_full()) {
+        let known = self.current.get(&key);
+        let is_known = known.is_some_and(|known| known.order() >= notice.order());
+        if is_known || known.is_none() && self.is_full() {
             return None;
         }
-        self.held.insert(key.clone(), notice.clone());
-        self.fresh.push(notice);
+        self.current.insert(key.clone(), notice.clone());
+        self.new.push(notice);
         Some(key)
     }
 
     fn is_full(&self) -> bool {
-        // Three kinds a member.
-        self.held.len() >= 3 * self.most
+        self.current.len() >= NOTICE_KINDS * self.max_members
     }
 
+    fn get(&self, topic: Topic, name: &Name) -> Option<&Notice> {
+        self.current.get(&NoticeKey(topic, name.clone()))
+    }
+
+    /// Why a member is shut out, if it is.
     pub fn shut_out(&self, name: &Name) -> Option<&Reason> {
-        match self.held.get(&Key(Sort::Out, name.clone())) {
-            Some(Notice::ShutOut { why, .. }) => Some(why),
+        match self.get(Topic::Admission, name) {
+            Some(Notice::ShutOut { reason, .. }) => Some(reason),
             _ => None,
         }
     }
 
-    /// The number of the last word on whether this one may take part.
-    pub fn last_number(&self, name: &Name) -> u32 {
-        match self.held.get(&Key(Sort::Out, name.clone())) {
+    /// The number of the last notice on whether the member may take part.
+    pub fn admission_number(&self, name: &Name) -> u32 {
+        match self.get(Topic::Admission, name) {
             Some(Notice::ShutOut { number, .. } | Notice::LetIn { number, .. }) => *number,
             _ => 0,
         }
     }
 
-    pub fn links(&self, name: &Name) -> Option<(Incarnation, bool, &[Name])> {
-        match self.held.get(&Key(Sort::Links, name.clone())) {
-            Some(Notice::Links { incarnation, only, named, .. }) => Some((*incarnation, *only, named)),
+    /// What the member said of its links.
+    pub fn link_report(&self, name: &Name) -> Option<LinkReport<'_>> {
+        match self.get(Topic::Links, name) {
+            Some(Notice::Links { only, named, .. }) => Some(LinkReport { only: *only, named }),
             _ => None,
         }
     }
 
+    /// The incarnation in which the member left.
     pub fn left(&self, name: &Name) -> Option<Incarnation> {
-        match self.held.get(&Key(Sort::Left, name.clone())) {
+        match self.get(Topic::Left, name) {
             Some(Notice::Left { incarnation, .. }) => Some(*incarnation),
             _ => None,
         }
     }
 
-    pub fn take_fresh(&mut self) -> Vec<Notice> {
-        std::mem::take(&mut self.fresh)
+    /// Takes the notices that came since the last call.
+    pub fn take_new(&mut self) -> Vec<Notice> {
+        std::mem::take(&mut self.new)
     }
 
-    /// Those that must not get lost: who is shut out, or let in again, is told again when somebody comes
+    /// Notices that must not get lost: who is shut out or let in again is told once more when a member comes
     /// back.
-    pub fn lasting(&self) -> Vec<Notice> {
-        let lasts = |n: &&Notice| matches!(n, Notice::ShutOut { .. } | Notice::LetIn { .. });
-        self.held.values().filter(lasts).cloned().collect()
+    pub fn durable(&self) -> Vec<Notice> {
+        let is_durable = |notice: &&Notice| matches!(notice, Notice::ShutOut { .. } | Notice::LetIn { .. });
+        self.current.values().filter(is_durable).cloned().collect()
     }
 
-    pub fn tell_again(&mut self, notice: &Notice) {
-        self.again = Some(notice.clone());
+    /// Has a known notice be sent on once more.
+    pub fn repeat(&mut self, notice: &Notice) {
+        self.repeated = Some(notice.clone());
     }
 }
 
-/// The side of it that `foca` holds; the room has the other.
+/// The notices, shared between `foca`, which brings and spreads them, and [`crate::Membership`], which acts on
+/// them.
 #[derive(Clone, Debug)]
-pub(crate) struct Board(Arc<Mutex<Held>>);
+pub(crate) struct NoticeBoard(Arc<Mutex<Notices>>);
 
-impl Board {
-    pub fn new(most: usize) -> Self {
-        Board(Arc::new(Mutex::new(Held { most, ..Held::default() })))
+impl NoticeBoard {
+    pub fn new(max_members: usize) -> Self {
+        NoticeBoard(Arc::new(Mutex::new(Notices { max_members, ..Notices::default() })))
     }
 
-    /// Never held over anything but a look or a change.
-    pub fn held(&self) -> MutexGuard<'_, Held> {
-        self.0.lock().unwrap_or_else(|e| e.into_inner())
+    /// Not to be held over a call into `foca`, which locks it, too.
+    pub fn lock(&self) -> MutexGuard<'_, Notices> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 #[derive(Debug, thiserror::Error)]
 #[error("a notice can't be read")]
-pub(crate) struct Unreadable;
-
-impl foca::BroadcastHandler<Ident> for Board {
-    type Key = Key;
-    type Error = Unreadable;
-
-    fn receive_item(&mut self, data: &[u8], _sender: Option<&Ident>) -> Result<Option<Key>, Unreadable> {
-        let notice = Notice::read(data).ok_or(Unreadable)?;
-        Ok(self.held().take_in(notice))
+pub(crate) struct MalformedNotice;
+
+impl foca::BroadcastHandler<Identity> for NoticeBoard {
+    type Key = NoticeKey;
+    type Error = MalformedNotice;
+
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _sender: Option<&Identity>,
+    ) -> Result<Option<NoticeKey>, MalformedNotice> {
+        let notice = Notice::decode(data).ok_or(MalformedNotice)?;
+        Ok(self.lock().insert(notice))
     }
 }
 
--- a/crates/membership/src/notices/tests.rs
+++ b/crates/membership/src/notices/tests.rs
@@ -5,10 +5,10 @@
 }
 
 #[test]
-fn notices_come_back_as_written() {
+fn notices_decode_as_encoded() {
     let all = [
         Notice::Left { name: name("g1"), incarnation: Incarnation(3) },
-        Notice::ShutOut { name: name("g1"), number: 3, why: Reason::new("ünlü") },
+        Notice::ShutOut { name: name("g1"), number: 3, reason: Reason::new("ünlü") },
         Notice::LetIn { name: name("g1"), number: 4 },
         Notice::Links {
             name: name("g1"),
@@ -19,19 +19,19 @@
         },
     ];
     for notice in all {
-        let written = notice.written();
-        assert_eq!(Notice::read(&written).as_ref(), Some(&notice));
-        for cut in 0..written.len() {
-            assert_eq!(Notice::read(&written[..cut]), None, "{notice:?} cut to {cut}");
+        let bytes = notice.encode();
+        assert_eq!(Notice::decode(&bytes).as_ref(), Some(&notice));
+        for cut in 0..bytes.len() {
+            assert_eq!(Notice::decode(&bytes[..cut]), None, "{notice:?} cut to {cut}");
         }
     }
-    assert!(Reason::new(&"ü".repeat(100)).as_str().len() <= LONGEST_REASON);
+    assert!(Reason::new(&"ü".repeat(100)).as_str().len() <= MAX_REASON_BYTES);
 }
 
 /// The higher number holds in whatever order they come; of the same number the one that keeps out.
 #[test]
-fn the_last_word_holds() {
-    let out = |number| Notice::ShutOut { name: name("g1"), number, why: Reason::new("why") };
+fn the_highest_admission_number_holds() {
+    let out = |number| Notice::ShutOut { name: name("g1"), number, reason: Reason::new("why") };
     let let_in = |number| Notice::LetIn { name: name("g1"), number };
     let cases = [
         (vec![out(1), let_in(2)], false),
@@ -41,20 +41,20 @@
         (vec![out(1), let_in(2), out(3)], true),
         (vec![out(3), out(1), let_in(2)], true),
     ];
-    for (order, wanted) in cases {
-        let board = Board::new(10);
+    for (order, expected) in cases {
+        let board = NoticeBoard::new(10);
         for notice in order.clone() {
-            board.held().take_in(notice);
+            board.lock().insert(notice);
         }
-        assert_eq!(board.held().shut_out(&name("g1")).is_some(), wanted, "{order:?}");
+        assert_eq!(board.lock().shut_out(&name("g1")).is_some(), expected, "{order:?}");
     }
 }
 
 #[test]
 fn memory_is_bounded() {
-    let board = Board::new(4);
+    let board = NoticeBoard::new(4);
     for n in 0..100 {
-        board.held().take_in(Notice::LetIn { name: name(&format!("g{n}")), number: 1 });
+        board.lock().insert(Notice::LetIn { name: name(&format!("g{n}")), number: 1 });
     }
-    assert_eq!(board.held().lasting().len(), 12);
+    assert_eq!(board.lock().durable().len(), 12);
 }
--- a/crates/membership/src/times.rs
+++ b/crates/membership/src/times.rs
@@ -1,4 +1,4 @@
-//! The times of membership, and the switches of broken variants.
+//! Intervals and timeouts, and the parts that trials disable.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -6,86 +6,97 @@
 use lynxstair::types::Span;
 use serde::{Deserialize, Serialize};
 
-/// How long what takes. The defaults find 99 of 100 deaths within 4 s at a thousand members
+use crate::packet::MAX_SWIM_BYTES;
+
+/// How long `foca`'s timeout for a suspected member is where trials disable suspicion.
+const NO_SUSPICION: Span = Span::from_millis(1);
+const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).expect("not zero");
+/// How often news of a member is sent on.
+const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(12).expect("not zero");
+const MAX_PACKET_BYTES: NonZeroUsize = NonZeroUsize::new(MAX_SWIM_BYTES).expect("not zero");
+const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(3).expect("not zero");
+const EXCHANGE_FANOUT: NonZeroUsize = NonZeroUsize::MIN;
+const EXCHANGE_FAILED_FANOUT: NonZeroUsize = NonZeroUsize::new(2).expect("not zero");
+
+/// Intervals and timeouts. With the defaults 99 of 100 deaths are found within 4 s among a thousand members
 /// (docs/results.md has the measurement).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// A member is asked whether it is there once in this time.
-    pub probe: Span,
-    /// It has so long to answer directly, before others are asked to ask it.
-    pub answer: Span,
-    /// One that is suspected has so long to object.
-    pub suspicion: Span,
-    /// What is new is told to three members each so often.
-    pub gossip: Span,
-    /// A timer that goes off so much late tells that this process stood still.
-    pub late: Span,
-    /// With nobody heard for so long, nothing is said of anybody.
-    pub quiet: Span,
-    /// Between two tries to be let in.
-    pub join: Span,
-    /// A member at random is asked for all it knows, and those that failed are tried, each so often.
-    pub exchange: Span,
-    /// How long one that is over is remembered.
-    pub forget: Span,
-    /// No more members than so many are known.
-    pub most_members: usize,
+    /// How often a member is probed.
+    pub probe_interval: Span,
+    /// After so long without a direct answer, others are asked to probe it.
+    pub probe_timeout: Span,
+    /// A suspected member has so long to refute the suspicion.
+    pub suspicion_timeout: Span,
+    /// How often news is sent to three members.
+    pub gossip_interval: Span,
+    /// A timer that fires so much too late shows that this process was paused.
+    pub pause_threshold: Span,
+    /// A member that hears nobody for so long takes itself for isolated.
+    pub isolation_threshold: Span,
+    /// Between two attempts to join.
+    pub join_interval: Span,
+    /// How often a random member is asked for all it knows, and failed members are tried.
+    pub exchange_interval: Span,
+    /// For how long a failed or departed member is remembered.
+    pub forget_after: Span,
+    /// Most members known.
+    pub max_members: usize,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Times {
-            probe: Span::from_millis(350),
-            answer: Span::from_millis(120),
-            suspicion: Span::from_millis(1_200),
-            gossip: Span::from_millis(150),
-            late: Span::from_millis(150),
-            quiet: Span::from_millis(1_000),
-            join: Span::from_millis(250),
-            exchange: Span::from_millis(1_000),
-            forget: Span::from_millis(24 * 3_600_000),
-            most_members: 4_096,
+            probe_interval: Span::from_millis(350),
+            probe_timeout: Span::from_millis(120),
+            suspicion_timeout: Span::from_millis(1_200),
+            gossip_interval: Span::from_millis(150),
+            pause_threshold: Span::from_millis(150),
+            isolation_threshold: Span::from_millis(1_000),
+            join_interval: Span::from_millis(250),
+            exchange_interval: Span::from_millis(1_000),
+            forget_after: Span::from_millis(24 * 3_600_000),
+            max_members: 4_096,
         }
     }
 }
 
-/// What is taken out of the room, so that trials can show that they would find it. Never set in service.
+/// Safeguards that trials disable, to show that their checks find what follows. Never set in service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Broken {
-    /// One that does not answer is declared failed at once.
+pub struct DisabledParts {
+    /// A member that does not answer is declared failed at once.
     pub no_suspicion: bool,
-    /// Standing still and hearing nobody are not noticed.
+    /// Pauses and isolation of the own process are not noticed.
     pub no_lateness: bool,
     /// Each start begins with incarnation 1 again.
     pub no_incarnation: bool,
-    /// Nobody asks for another, and nothing is passed on.
+    /// Nobody probes for another, and nothing is relayed.
     pub no_relays: bool,
 }
 
-pub(crate) fn duration(span: Span) -> Duration {
+fn to_duration(span: Span) -> Duration {
     Duration::from_nanos(span.nanos().max(1))
 }
 
 impl Times {
-    pub(crate) fn config(&self, broken: Broken) -> foca::Config {
-        let often = |every: Span, members: usize| foca::PeriodicParams {
-            frequency: duration(every),
-            num_members: NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN),
+    pub(crate) fn foca_config(&self, disabled: DisabledParts) -> foca::Config {
+        let periodic = |interval: Span, num_members: NonZeroUsize| {
+            Some(foca::PeriodicParams { frequency: to_duration(interval), num_members })
         };
-        let suspicion = if broken.no_suspicion { Span::from_millis(1) } else { self.suspicion };
+        let suspicion_timeout = if disabled.no_suspicion { NO_SUSPICION } else { self.suspicion_timeout };
         foca::Config {
-            probe_period: duration(self.probe),
-            probe_rtt: duration(self.answer),
-            num_indirect_probes: const { NonZeroUsize::new(3).unwrap() },
-            max_transmissions: const { NonZeroU8::new(12).unwrap() },
-            suspect_to_down_after: duration(suspicion),
-            remove_down_after: Some(duration(self.forget)),
-            max_packet_size: const { NonZeroUsize::new(crate::datagram::LARGEST_SWIM).unwrap() },
+            probe_period: to_duration(self.probe_interval),
+            probe_rtt: to_duration(self.probe_timeout),
+            num_indirect_probes: INDIRECT_PROBES,
+            max_transmissions: MAX_TRANSMISSIONS,
+            suspect_to_down_after: to_duration(suspicion_timeout),
+            remove_down_after: Some(to_duration(self.forget_after)),
+            max_packet_size: MAX_PACKET_BYTES,
             notify_down_members: true,
-            periodic_announce: Some(often(self.exchange, 1)),
-            periodic_announce_to_down_members: Some(often(self.exchange, 2)),
-            periodic_gossip: Some(often(self.gossip, 3)),
+            periodic_announce: periodic(self.exchange_interval, EXCHANGE_FANOUT),
+            periodic_announce_to_down_members: periodic(self.exchange_interval, EXCHANGE_FAILED_FANOUT),
+            periodic_gossip: periodic(self.gossip_interval, GOSSIP_FANOUT),
         }
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,49 +1,68 @@
-//! What one member answers when it is asked who is there.
+//! What one member answers when an operator asks who is present.
 
 use std::net::SocketAddrV4;
 
 use serde::{Deserialize, Serialize};
 
-use crate::health::Doubt;
-use crate::ident::{Ident, Incarnation, Name};
-use crate::links::LinkState;
-use crate::room::{Counters, Phase};
-use crate::states::State;
+use crate::event::{Counters, Phase};
+use crate::identity::{Identity, Incarnation, Name};
+use crate::link_table::LinkState;
+use crate::local_health::DoubtReason;
+use crate::status::State;
 
-/// Another member, as seen from here.
+/// Another member as seen from here.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberSeen {
+pub struct MemberView {
+    /// Its name.
     pub name: Name,
-    pub hall: Name,
+    /// Its zone.
+    #[serde(rename = "hall")]
+    pub zone: Name,
+    /// Where it is reached.
     pub addr: SocketAddrV4,
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// `unknown` while nothing can be said; `last` is what was said before.
+    /// `Unknown` while this member is isolated.
     pub state: State,
-    pub last: State,
-    /// For how long it has been so, in milliseconds.
+    /// The last state that was known.
+    #[serde(rename = "last")]
+    pub last_state: State,
+    /// For how long it has been in `state`, in milliseconds.
     pub for_ms: u64,
-    pub why: String,
-    pub link: LinkSeen,
+    /// Why.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The direct link to it.
+    pub link: LinkView,
 }
 
-/// The direct way to it.
+/// The direct link to a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LinkSeen {
+pub struct LinkView {
+    /// Its state.
     pub state: LinkState,
-    /// How long ago a datagram came directly from it, in milliseconds; none: never.
+    /// How long ago a datagram came directly from the member, in milliseconds; `None`: never.
     pub heard_ms_ago: Option<u64>,
 }
 
-/// All that one member knows.
+/// Everything that one member knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    pub me: Ident,
+    /// The member itself.
+    #[serde(rename = "me")]
+    pub local: Identity,
+    /// Its phase.
     pub phase: Phase,
-    pub phase_why: String,
-    /// It doubts itself, and for how many milliseconds.
-    pub doubt: Option<(Doubt, u64)>,
-    /// By how many more of each its times are widened now.
-    pub wider: u8,
-    pub members: Vec<MemberSeen>,
+    /// Why it is in this phase.
+    #[serde(rename = "phase_why")]
+    pub phase_reason: String,
+    /// Why it doubts itself, and for how many milliseconds.
+    pub doubt: Option<(DoubtReason, u64)>,
+    /// By how many times their length its timeouts are extended now.
+    #[serde(rename = "wider")]
+    pub timeout_extension: u8,
+    /// The other members.
+    pub members: Vec<MemberView>,
+    /// What was counted.
     pub counters: Counters,
 }
