--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -30,8 +30,17 @@
     holder: LeaseHolder,
 }
 
+/// Why a record is not on disk.
+#[derive(Debug, thiserror::Error)]
+enum WriteError {
+    #[error(transparent)]
+    Log(lynxstair_record_log::Error),
+    #[error("too many records wait for the disk")]
+    QueueFull,
+}
+
 /// The end of a write, by its ticket.
-type Completion = (u64, Result<(), String>);
+type Completion = (u64, Result<(), WriteError>);
 
 /// This member's voter and lease holder.
 pub(crate) struct Duties {
@@ -79,7 +88,7 @@
         let completions = Arc::new(Mutex::new(Vec::new()));
         let (rewritten, completed, ticker) = (persisted.clone(), completions.clone(), outputs.ticker.clone());
         let on_written = move |ticket, result: Result<(), lynxstair_record_log::Error>| {
-            lock(&completed).push((ticket, result.map_err(|e| e.to_string())));
+            lock(&completed).push((ticket, result.map_err(WriteError::Log)));
             ticker.wake_now();
         };
         let rewrite = move || lock(&rewritten).to_records().iter().map(Record::to_bytes).collect();
@@ -119,14 +128,14 @@
             warn!(%e, "fleet: a voter's own record");
         }
         if !self.writer.append(ticket, record.to_bytes()) {
-            let why = "too many records wait for the disk".to_string();
-            lock(&self.completions).push((ticket, Err(why)));
+            lock(&self.completions).push((ticket, Err(WriteError::QueueFull)));
             self.outputs.ticker.wake_now();
         }
     }
 
     pub fn tick(&self, now: Time) {
         for (ticket, result) in std::mem::take(&mut *lock(&self.completions)) {
+            let result = result.map_err(|e| e.to_string());
             *lock(&self.disk_error) = result.as_ref().err().cloned();
             let result = result.as_ref().copied().map_err(String::as_str);
             self.update(now, |state| state.voter.on_written(now, ticket, result));
--- a/crates/consensus/src/read_index.rs
+++ b/crates/consensus/src/read_index.rs
@@ -1,7 +1,7 @@
 //! Linearizable reads, and contact with a quorum.
 //!
 //! A read is answered once a majority has answered a heartbeat round of this leader that began after the read came (read
-//! index; Ongaro's thesis, section 6.4). No clock takes part, so a leader that was partitioned off, stood still or was
+//! index; Ongaro's thesis, section 6.4). No clock takes part, so a leader that was partitioned off, paused or was
 //! deposed meanwhile answers nothing. Quorum contact is weaker and asks for no round: it says that a majority's leader and
 //! this node have heard each other a moment ago.
 
@@ -58,7 +58,7 @@
     }
 
     /// Whether this node and the leader of a majority have heard each other a moment ago. False soon after this node
-    /// was partitioned off, also in one direction, or stood still.
+    /// was partitioned off, also in one direction, or paused.
     pub fn has_quorum_contact(&self, now: Time) -> bool {
         let at = match &self.role {
             Role::Leader(leader) => self.is_established_leader().then_some(leader.confirmed_at),
--- a/crates/controller/src/inbound.rs
+++ b/crates/controller/src/inbound.rs
@@ -49,7 +49,7 @@
     message: ToController,
 ) -> bool {
     let now = controller.alarms.now();
-    // Where this process stood still, what is read may be old. What goes by echoes of clocks finds that out by itself.
+    // Where this process was paused, what is read may be old. What goes by echoes of clocks finds that out by itself.
     let received_at = controller.alarms.received_at(now);
     let mut state = controller.state();
     match (message, sender.controller, sender.subscriber) {
--- a/crates/controller/src/instance_api.rs
+++ b/crates/controller/src/instance_api.rs
@@ -22,7 +22,7 @@
         Err(invalid) => return error(400, &invalid.to_string()),
     };
     let now = controller.alarms.now();
-    // Where this process stood still the worker may be long gone.
+    // Where this process was paused, the worker may be long gone.
     instance.heartbeat_age_ms = (now - controller.alarms.received_at(now)).nanos() / 1_000_000;
     let mut state = controller.state();
     state.update_quorum_role(now);
--- a/crates/controller/src/operator_api.rs
+++ b/crates/controller/src/operator_api.rs
@@ -180,7 +180,7 @@
     }
 }
 
-/// Until when the caller of what is read now waits: where this process stood still, the call may be old.
+/// Until when the caller of what is read now waits: where this process was paused, the call may be old.
 fn call_deadline(controller: &Controller) -> Time {
     controller.alarms.received_at(controller.alarms.now()) + CALL_TIMEOUT
 }
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -135,21 +135,23 @@
     let internal = server::listen(settings.internal_address())?;
     let control = server::listen(controller.me)?;
     let directory = settings.directory.map(server::listen).transpose()?;
-    let c = controller.clone();
-    spawn("alarms", move || c.alarms.run());
-    let c = controller.clone();
-    spawn("timers", move || timers::run(&c));
-    let c = controller.clone();
-    spawn("settings", move || settings_watch::run(&c));
+    let shared = controller.clone();
+    spawn("alarms", move || shared.alarms.run());
+    let shared = controller.clone();
+    spawn("timers", move || timers::run(&shared));
+    let shared = controller.clone();
+    spawn("settings", move || settings_watch::run(&shared));
     connect_to_peers(controller);
-    let c = controller.clone();
-    spawn("internal connections", move || server::accept(&internal, |stream| inbound::accept(&c, stream)));
-    let (c, alarms) = (controller.clone(), controller.alarms.clone());
-    let handler = Arc::new(move |call: &Request| http_api::handle(&c, call));
+    let shared = controller.clone();
+    spawn("internal connections", move || {
+        server::accept(&internal, |stream| inbound::accept(&shared, stream))
+    });
+    let (shared, alarms) = (controller.clone(), controller.alarms.clone());
+    let handler = Arc::new(move |call: &Request| http_api::handle(&shared, call));
     spawn("control", move || server::serve(&control, &alarms, CONTROL_LIMITS, &handler));
     if let Some(directory) = directory {
-        let (c, alarms) = (controller.clone(), controller.alarms.clone());
-        let handler = Arc::new(move |call: &Request| directory_api::handle(&c, call));
+        let (shared, alarms) = (controller.clone(), controller.alarms.clone());
+        let handler = Arc::new(move |call: &Request| directory_api::handle(&shared, call));
         spawn("directory", move || server::serve(&directory, &alarms, DIRECTORY_LIMITS, &handler));
     }
     Ok(())
--- a/crates/gatekeeper/src/request_parser.rs
+++ b/crates/gatekeeper/src/request_parser.rs
@@ -56,14 +56,14 @@
         let plan = header("x-tariff")?.ok_or(HttpError::new(400, "no plan"))?;
         let plan = position(&self.names.plans, plan).ok_or(HttpError::new(400, "unknown plan"))?;
         let tenant = parse_tenant(header("cookie")?)?;
-        let patience = header("request-timeout-ms")?.ok_or(HttpError::new(400, "no time limit"))?;
-        let patience: u32 = patience.parse().map_err(|_| HttpError::new(400, "bad time limit"))?;
+        let time_limit = header("request-timeout-ms")?.ok_or(HttpError::new(400, "no time limit"))?;
+        let time_limit: u32 = time_limit.parse().map_err(|_| HttpError::new(400, "bad time limit"))?;
         // No client waits longer than its operation's integration timeout.
-        let patience = Span::from_millis(u64::from(patience)).min(integration_timeout);
+        let time_limit = Span::from_millis(u64::from(time_limit)).min(integration_timeout);
         let weight = parse_weight(header("x-weight")?.unwrap_or(""), &self.bounds)?;
         let request = Request {
             id: RequestId::default(),
-            deadline: received_at + patience,
+            deadline: received_at + time_limit,
             tenant,
             operation: OperationId(operation as u8),
             plan: PlanId(plan as u16),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,7 +16,9 @@
 //! | `notices.rs` | what spreads besides: who left, who is shut out, which links are cut |
 //! | `wire.rs`, `packet.rs`, `swim_codec.rs` | datagrams |
 //! | `event.rs`, `view.rs` | actions, events and records; what operators are shown |
-//! | `membership.rs` | the state machine: phases and timers |
+//! | `membership.rs` | the state machine: its phases, and what operators ask of it |
+//! | `membership/timers.rs` | what is due when |
+//! | `membership/health_checks.rs` | what the local health changes |
 //! | `membership/joining.rs` | joining, and answering members that want to join |
 //! | `membership/receiving.rs` | received datagrams |
 //! | `membership/suspicion.rs` | telling suspected members, and hearing that one is suspected itself |
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,14 +1,15 @@
 //! One member of a fleet: its phases and timers. Told the time and what was received, it hands out actions.
 
+mod health_checks;
 mod joining;
 mod link_reports;
 mod members;
 mod receiving;
 mod relaying;
 mod suspicion;
+mod timers;
 
 use std::collections::{BTreeMap, HashMap};
-use std::mem::discriminant;
 use std::net::SocketAddrV4;
 
 use foca::{AccumulatingRuntime, Foca, Member, OwnedNotification, Timer};
@@ -19,16 +20,15 @@
 use crate::event::{Action, ChangeReason, Counters, Event, KnownMember, Phase, Record};
 use crate::identity::{Identity, Incarnation, Name};
 use crate::link_table::LinkTable;
-use crate::local_health::{DoubtChange, DoubtReason, LocalHealth};
+use crate::local_health::LocalHealth;
 use crate::notices::{Notice, NoticeBoard, Reason};
 use crate::packet::FleetId;
-use crate::status::State;
 use crate::swim_codec::SwimCodec;
 use crate::times::{DisabledParts, Times};
 use joining::NameConflict;
 use link_reports::SentLinkReport;
 use members::MemberEntry;
-use suspicion::MAX_SUSPECTED_ROUNDS;
+use timers::Timeout;
 
 /// Most members that are asked at once.
 const ASK_FANOUT: usize = 3;
@@ -39,9 +39,6 @@
 /// Members are written to disk once in so many exchange intervals: often enough that one of them is still there
 /// after a restart, seldom enough for any disk.
 const REMEMBER_INTERVALS: f64 = 5.0;
-/// Parts of the isolation threshold: the first look at the own health, and those after it.
-const FIRST_HEALTH_CHECK: f64 = 0.5;
-const HEALTH_CHECK: f64 = 0.25;
 
 /// What a member is started with.
 #[derive(Clone, Debug)]
@@ -72,44 +69,6 @@
     pub disabled: DisabledParts,
 }
 
-/// What a timer does when it fires.
-#[derive(Clone, Debug)]
-enum Timeout {
-    /// One of `foca`'s.
-    Swim(Timer<Identity>),
-    Join,
-    /// Probe others, while this member doubts itself.
-    ProbeOthers,
-    CheckHealth,
-    /// Ask seeds that nobody present bears the address of to let this member join.
-    SeekOthers,
-    ReportLinks,
-    RememberMembers,
-    /// Tell a suspected member; so many rounds are left.
-    TellSuspect(Name, u32),
-    /// A suspicion that came from others, in this incarnation of `foca`: neither a refutation nor its end was
-    /// heard of. And then, with the member's own time to refute it over as well.
-    Unsettled(Identity, u16),
-    Overdue(Identity, u16),
-    /// Tell others that this member leaves; so many rounds are left.
-    Leave(u32),
-}
-
-impl Timeout {
-    /// Whether it may lead to a member being declared failed.
-    fn may_declare_failed(&self) -> bool {
-        matches!(
-            self,
-            Timeout::Overdue(..)
-                | Timeout::Swim(
-                    Timer::ProbeRandomMember(_)
-                        | Timer::SendIndirectProbe { .. }
-                        | Timer::ChangeSuspectToDown { .. }
-                )
-        )
-    }
-}
-
 /// One member of a fleet.
 pub struct Membership {
     local: Identity,
@@ -220,8 +179,7 @@
                 let _ = foca.change_identity(next, runtime);
             });
         }
-        let first_check = self.times.isolation_threshold.times(FIRST_HEALTH_CHECK);
-        self.restart_timer(now, Timeout::CheckHealth, first_check);
+        self.start_health_checks(now);
         if self.phase == Phase::Recording {
             self.start_joining(now, "its incarnation is on disk");
         }
@@ -317,9 +275,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When `tick` is due.
-    pub fn next_deadline(&self) -> Option<Time> {
-        self.timers.first_key_value().map(|((at, _), _)| self.health.clock_time(*at))
+    fn takes_part(&self) -> bool {
+        matches!(self.phase, Phase::In | Phase::Joining)
     }
 
     fn emit(&mut self, event: Event) {
@@ -331,115 +288,6 @@
         self.last_number
     }
 
-    fn set_timer(&mut self, now: Time, timeout: Timeout, after: Span) {
-        self.timers_set += 1;
-        self.timers.insert((self.health.awake_time(now) + after, self.timers_set), timeout);
-    }
-
-    /// Sets a timer and removes others of its kind. For what repeats: one is enough, also where the next life
-    /// begins it anew.
-    fn restart_timer(&mut self, now: Time, timeout: Timeout, after: Span) {
-        let kind = discriminant(&timeout);
-        self.timers.retain(|_, other| discriminant(other) != kind);
-        self.set_timer(now, timeout, after);
-    }
-
-    /// Every entry point begins here: notices whether the process was paused since it last ran.
-    fn observe(&mut self, now: Time) {
-        let Some(pause) = self.health.observe(now, self.next_deadline(), &self.times) else { return };
-        self.emit(Event::Paused { ms: pause.nanos() / 1_000_000 });
-        // A short pause costs nobody more than the time that awake time leaves out.
-        if pause > self.times.probe_interval && self.takes_part() {
-            self.doubt(now, DoubtReason::Paused);
-        }
-    }
-
-    fn takes_part(&self) -> bool {
-        matches!(self.phase, Phase::In | Phase::Joining)
-    }
-
-    fn doubt(&mut self, now: Time, reason: DoubtReason) {
-        let change = self.health.doubt(now, reason, self.last_number + 1);
-        if let Some(DoubtChange::Began(reason)) = change {
-            self.emit(Event::DoubtBegan { reason });
-            self.restart_timer(now, Timeout::ProbeOthers, Span::ZERO);
-        }
-    }
-
-    /// Handles the end of a doubt. Suspected members have all their time to refute it once more, and what was
-    /// probed before has time to be answered.
-    fn on_doubt_change(&mut self, now: Time, change: Option<DoubtChange>) {
-        let Some(DoubtChange::Ended { since }) = change else { return };
-        self.emit(Event::DoubtEnded { ms: (now - since).nanos() / 1_000_000 });
-        let soon = self.health.awake_time(now) + self.times.suspicion_timeout;
-        let is_affected =
-            |(at, timeout): &(&(Time, u64), &Timeout)| timeout.may_declare_failed() && at.0 <= soon;
-        let affected: Vec<_> = self.timers.iter().filter(is_affected).map(|(at, _)| *at).collect();
-        for at in affected {
-            let Some(timeout) = self.timers.remove(&at) else { continue };
-            let after = match timeout {
-                Timeout::Swim(Timer::ChangeSuspectToDown { .. }) | Timeout::Overdue(..) => {
-                    self.times.suspicion_timeout.times(2.0)
-                }
-                _ => self.times.probe_timeout,
-            };
-            self.set_timer(now, timeout, after);
-        }
-        self.tell_all_suspects(now);
-    }
-
-    /// Suspects were hardly told while nobody could be heard. Told now, they may refute it.
-    fn tell_all_suspects(&mut self, now: Time) {
-        let suspects = self.members.values().filter(|member| member.state() == State::Suspected);
-        let names: Vec<_> = suspects.map(|member| member.identity.name.clone()).collect();
-        for name in names {
-            self.set_timer(now, Timeout::TellSuspect(name, MAX_SUSPECTED_ROUNDS), Span::ZERO);
-        }
-    }
-
-    /// Fires all timers that are due.
-    pub fn tick(&mut self, now: Time) {
-        self.observe(now);
-        let mut postponed = Vec::new();
-        while let Some(entry) = self.timers.first_entry() {
-            if entry.key().0 > self.health.awake_time(now) {
-                break;
-            }
-            let timeout = entry.remove();
-            let may_declare_failed = timeout.may_declare_failed();
-            // Where nobody was heard lately, it may be this member that is cut off.
-            if may_declare_failed && self.phase == Phase::In && self.health.is_isolated(now, &self.times) {
-                self.doubt(now, DoubtReason::Isolated);
-            }
-            if may_declare_failed && self.health.doubting().is_some() {
-                postponed.push(timeout);
-                continue;
-            }
-            self.fire(now, timeout);
-        }
-        for timeout in postponed {
-            self.set_timer(now, timeout, self.times.probe_timeout);
-        }
-    }
-
-    fn fire(&mut self, now: Time, timeout: Timeout) {
-        match timeout {
-            Timeout::Swim(timer) => self.fire_swim_timer(now, timer),
-            Timeout::Join => self.send_joins(now),
-            Timeout::ProbeOthers => self.probe_others(now),
-            Timeout::CheckHealth => self.check_health(now),
-            Timeout::SeekOthers => self.seek_others(now),
-            Timeout::ReportLinks => self.report_links(now),
-            Timeout::RememberMembers => self.remember_members(),
-            Timeout::TellSuspect(name, rounds_left) => self.tell_suspect(now, name, rounds_left),
-            Timeout::Unsettled(suspect, swim_incarnation) => {
-                self.on_unsettled(now, suspect, swim_incarnation);
-            }
-            Timeout::Overdue(suspect, swim_incarnation) => self.on_overdue(now, suspect, swim_incarnation),
-            Timeout::Leave(rounds_left) => self.tell_leaving(now, rounds_left),
-        }
-    }
-
     fn tell_leaving(&mut self, now: Time, rounds_left: u32) {
         if rounds_left > 0 {
             let mut runtime = AccumulatingRuntime::new();
@@ -455,25 +303,6 @@
         self.timers.clear();
     }
 
-    /// Looks whether anybody was heard lately, and repeats durable notices where a member came back.
-    fn check_health(&mut self, now: Time) {
-        let interval = self.times.isolation_threshold.times(HEALTH_CHECK);
-        self.restart_timer(now, Timeout::CheckHealth, interval);
-        if self.phase == Phase::In {
-            if self.present().next().is_none() {
-                let change = self.health.alone(now);
-                self.on_doubt_change(now, change);
-            } else if self.health.is_isolated(now, &self.times) {
-                self.doubt(now, DoubtReason::Isolated);
-            }
-        }
-        let forget_after = self.times.forget_after;
-        self.name_conflicts.retain(|_, conflict| now - conflict.since < forget_after);
-        if std::mem::take(&mut self.repeats_notices) {
-            self.repeat_notices();
-        }
-    }
-
     fn repeat_notices(&mut self) {
         let durable = self.notices.lock().durable();
         for notice in durable {
--- a/crates/proxy/src/client_reader.rs
+++ b/crates/proxy/src/client_reader.rs
@@ -163,7 +163,7 @@
         if unanswered > 0 {
             self.idle_since = now;
         } else if self.proxy.is_closing() || now - self.idle_since >= limits.idle_timeout {
-            // A process that stood still is late: a request that came meanwhile is there to be read.
+            // A process that was paused is late: a request that came meanwhile is there to be read.
             if self.client.connection.try_read() == Some(ReadOutcome::Bytes) {
                 return ReadStep::Again;
             }
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -104,7 +104,7 @@
             let mut stop = stop_of(connection.read());
             let reason = wait.stop_reason(stop);
             if reason.is_some() {
-                // A process that stood still is woken by the deadline before the reply that came in time: what the
+                // A process that was paused is woken by the deadline before the reply that came in time: what the
                 // kernel holds is read before anything is concluded.
                 stop = read_all(connection).unwrap_or(stop);
             }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -75,21 +75,21 @@
     let front = server::listen(front)?;
     let readiness = proxy.settings.readiness.map(server::listen).transpose()?;
     info!(node = proxy.settings.node; "proxy started");
-    let p = proxy.clone();
-    spawn("alarms", move || p.alarms.run());
-    let p = proxy.clone();
-    spawn("upkeep", move || do_upkeep(&p));
+    let shared = proxy.clone();
+    spawn("alarms", move || shared.alarms.run());
+    let shared = proxy.clone();
+    spawn("upkeep", move || do_upkeep(&shared));
     control_client::add_controllers(proxy, &proxy.settings.seeds);
-    let p = proxy.clone();
+    let shared = proxy.clone();
     let offset = MIN_HEARTBEAT_OFFSET_MS + proxy.info.incarnation % HEARTBEAT_SPREAD_MS;
-    spawn("heartbeats", move || control_client::run(&p, Span::from_millis(offset)));
+    spawn("heartbeats", move || control_client::run(&shared, Span::from_millis(offset)));
     if let Some(readiness) = readiness {
-        let (p, alarms) = (proxy.clone(), proxy.alarms.clone());
-        let handler = Arc::new(move |call: &Request| answer_readiness(&p, call));
+        let (shared, alarms) = (proxy.clone(), proxy.alarms.clone());
+        let handler = Arc::new(move |call: &Request| answer_readiness(&shared, call));
         spawn("readiness", move || server::serve(&readiness, &alarms, READINESS_LIMITS, &handler));
     }
-    let p = proxy.clone();
-    spawn("clients", move || client_reader::accept_clients(&p, &front));
+    let shared = proxy.clone();
+    spawn("clients", move || client_reader::accept_clients(&shared, &front));
     Ok(())
 }
 
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -68,9 +68,9 @@
             weight: selection_weight(settings, worker, work, now),
         };
         let candidates: Vec<Candidate> = idle_enough.map(candidate).collect();
-        let a = self.draw_weighted(&candidates)?;
-        let b = self.draw_weighted(&candidates)?;
-        Some(if b.cost < a.cost { b.id } else { a.id })
+        let first = self.draw_weighted(&candidates)?;
+        let second = self.draw_weighted(&candidates)?;
+        Some(if second.cost < first.cost { second.id } else { first.id })
     }
 
     /// Whether as many attempts are in flight as may be.
