--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result, anyhow};
 use clap::Subcommand;
-use lynxstair_emulator::core::{Story, Verdict, play};
+use lynxstair_emulator::core::{Scenario, Verdict, play};
 use lynxstair_emulator::experiment::{Care, Weather, deaths, false_deaths, heard_by_one, traffic};
 use lynxstair_emulator::owners::{Takes, datagrams_at_rest, without_owner};
 use plotters::prelude::*;
@@ -30,17 +30,17 @@
     },
     /// Stories of the system's core, each judged by what its callers saw.
     ///
-    /// Prints a table in Markdown, and what each broken story would need to be looked at; ends with 1 where one broke.
+    /// Prints a table in Markdown, and what each broken scenario would need to be looked at; ends with 1 where one broke.
     Core {
-        /// How many stories in all, shared by the kinds
+        /// How many scenarios in all, shared by the kinds
         #[arg(long, default_value_t = 1_000)]
         seeds: u64,
         /// The first seed of each kind
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Only stories of this name
+        /// Only scenarios of this name
         #[arg(long)]
-        story: Option<String>,
+        scenario: Option<String>,
     },
     /// How long a duty has no owner after what; and what owners and voters send at rest.
     ///
@@ -58,7 +58,7 @@
             ownership(quick);
             return Ok(0);
         }
-        Command::Core { seeds, from, story } => return core(seeds, from, story.as_deref()),
+        Command::Core { seeds, from, scenario } => return core(seeds, from, scenario.as_deref()),
     };
     std::fs::create_dir_all(&out).with_context(|| out.display().to_string())?;
     detection(quick, &out)?;
@@ -69,12 +69,12 @@
     Ok(0)
 }
 
-/// So many broken stories of a kind are told in full.
+/// So many broken scenarios of a kind are told in full.
 const TOLD: usize = 3;
 
 fn core(seeds: u64, from: u64, only: Option<&str>) -> Result<u8> {
-    let stories: Vec<Story> =
-        Story::ALL.into_iter().filter(|s| only.is_none_or(|name| s.name() == name)).collect();
+    let stories: Vec<Scenario> =
+        Scenario::ALL.into_iter().filter(|s| only.is_none_or(|name| s.name() == name)).collect();
     if stories.is_empty() {
         return Err(anyhow!("no story has this name: {}", only.unwrap_or_default()));
     }
@@ -82,14 +82,14 @@
     println!("| story | seeds | broken | changes acknowledged | orders and reads sent | hours there |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let mut told = Vec::new();
-    for story in stories {
+    for scenario in stories {
         let all: Vec<(u64, Verdict)> =
-            (from..from + each).into_par_iter().map(|seed| (seed, play(story, seed, None))).collect();
+            (from..from + each).into_par_iter().map(|seed| (seed, play(scenario, seed, None))).collect();
         let sum = |of: fn(&Verdict) -> f64| all.iter().map(|(_, v)| of(v)).sum::<f64>();
         let broken: Vec<_> = all.iter().filter(|(_, v)| !v.broken.is_empty()).collect();
         println!(
             "| {} | {each} | {} | {:.0} | {:.0} | {:.1} |",
-            story.name(),
+            scenario.name(),
             broken.len(),
             sum(|v| v.acked as f64),
             sum(|v| v.calls as f64),
@@ -98,7 +98,7 @@
         for (seed, verdict) in broken.into_iter().take(TOLD) {
             told.push(format!(
                 "\n{} {seed}: {:#?}\n{}",
-                story.name(),
+                scenario.name(),
                 verdict.broken,
                 verdict.told.join("\n")
             ));
--- a/crates/cli/tests/owners.rs
+++ b/crates/cli/tests/owners.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lynxstair_export::BatchReply;
-use lynxstair_fakes::{Load, Plan, Sink, ask, text};
+use lynxstair_fakes::{Load, LoadPlan, Sink, exchange, request_text};
 use serde_json::Value;
 use support::{Hand, run, until};
 
@@ -79,7 +79,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (now, copy) = (folder.path().join("sink"), folder.path().join("copy"));
     let sink = Sink::open(&now).expect("opens");
-    let mut load = Load::new(Plan { per_second: 150.0, workers: 2 });
+    let mut load = Load::new(LoadPlan { requests_per_second: 150.0, workers: 2 });
     let more = |_: &str| {
         format!("log = \"json\"\nhistory = \"history.jsonl\"\n[export]\nsink = \"{}\"\n", sink.addr)
     };
@@ -88,10 +88,10 @@
     let serving: Vec<_> = (0..3).map(|n| (format!("g{}", n + 1), hand.serving(n).into())).collect();
     let taken = |sink: &Sink| -> u64 {
         let first =
-            sink.landed().into_iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: false });
+            sink.received().into_iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: false });
         first.map(|l| l.batch.milli_units()).sum()
     };
-    load.begin(&serving);
+    load.start_clients(&serving);
     until("use arrives", || taken(&sink) > 20_000);
     sink.lose_answers.store(3, Ordering::SeqCst);
     thread::sleep(Duration::from_millis(700));
@@ -102,17 +102,18 @@
     std::fs::create_dir_all(&copy).expect("made");
     std::fs::copy(now.join("ledger"), copy.join("ledger")).expect("copied");
     thread::sleep(Duration::from_millis(700));
-    load.end();
-    let told = load.traffic.answered.lock().expect("whole").iter().filter(|a| a.status == Some(200)).count();
+    load.stop_clients();
+    let told = load.traffic.outcomes.lock().expect("whole").iter().filter(|a| a.status == Some(200)).count();
     until("all of it is there", || taken(&sink) >= told as u64 * 1_000);
     thread::sleep(Duration::from_millis(400));
     assert_eq!(taken(&sink), told as u64 * 1_000, "once and only once");
     let again =
-        sink.landed().iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: true }).count();
+        sink.received().iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: true }).count();
     assert!(again > 0, "an answer that was lost made no batch come again");
 
     // One that is gone is named, and one whose folder was emptied for good.
-    let unknown = |sink: &Sink| sink.unknown().into_iter().map(|m| m.stream.gatekeeper).collect::<Vec<_>>();
+    let unknown =
+        |sink: &Sink| sink.incomplete_streams().into_iter().map(|m| m.stream.gatekeeper).collect::<Vec<_>>();
     assert_eq!(unknown(&sink), Vec::<String>::new());
     hand.kill(2);
     until("the sink names it", || unknown(&sink) == ["g3"]);
@@ -126,19 +127,19 @@
     assert_eq!(unknown(&sink), ["g3"], "for good");
 
     // Set back, it lacks what the gatekeepers let go of since.
-    sink.set_back(&copy).expect("opens");
+    sink.restore(&copy).expect("opens");
     let history = || std::fs::read_to_string(hand.folder.path().join("history.jsonl")).unwrap_or_default();
     let mut id = 0xf000;
     until("what is missing is told", || {
         for (_, addr) in &serving {
             id += 1;
-            let said = text("get", "wide", &format!("{id:016x}"), 800);
+            let said = request_text("get", "wide", &format!("{id:016x}"), 800);
             let stream = TcpStream::connect(addr).expect("serves");
-            assert_eq!(ask(&stream, &said).map(|m| m.status()), Some(200));
+            assert_eq!(exchange(&stream, &said).map(|m| m.status()), Some(200));
         }
         history().contains(r#""event":"gap""#)
     });
-    let behind = sink.landed();
+    let behind = sink.received();
     let behind = behind.iter().skip_while(|l| !matches!(l.reply, BatchReply::Gap { .. }));
     let papered_over =
         behind.filter(|l| matches!(l.reply, BatchReply::Accepted { already_stored: false })).count();
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use lynxstair_fakes::{Load, ask, config_named, free_port};
+use lynxstair_fakes::{Load, config_named, exchange, free_port};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use tempfile::TempDir;
@@ -62,7 +62,7 @@
         // Addresses of its own: no other test, and no trial, is there.
         let net = format!("127.{}.{}", 16 + next, std::process::id() % 250 + 1);
         let folder = tempfile::tempdir().expect("a folder");
-        let load = load.map(|l| (l.known(), l.counter.addr, l.discovery.addr));
+        let load = load.map(|l| (l.worker_list(), l.counter.addr, l.discovery.addr));
         let mut hand =
             Hand { folder, children: (0..many).map(|_| None).collect(), net, more: String::new(), load };
         if voters {
@@ -116,7 +116,7 @@
         let addr = self.serving(n);
         until("it serves", || {
             TcpStream::connect(addr)
-                .is_ok_and(|s| ask(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
+                .is_ok_and(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
         });
     }
 
--- a/crates/controller/tests/cluster.rs
+++ b/crates/controller/tests/cluster.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use lynxstair_config::json::{self, Object, Value};
-use lynxstair_fakes::{Message, PATIENCE, until};
+use lynxstair_fakes::{HttpMessage, WAIT_TIMEOUT, wait_until};
 use lynxstair_protocol::frames;
 use lynxstair_protocol::messages::{ProxyHeartbeat, ProxyInfo, Readiness, ToController, ToProxy};
 use nix::sys::signal::{Signal, kill};
@@ -28,8 +28,8 @@
     Some(stream)
 }
 
-fn call(to: SocketAddr, head: &str, body: &str) -> Option<Message> {
-    Message::read(&mut BufReader::new(send(to, head, body)?))
+fn call(to: SocketAddr, head: &str, body: &str) -> Option<HttpMessage> {
+    HttpMessage::read(&mut BufReader::new(send(to, head, body)?))
 }
 
 fn configuration(generation: u32, base: u32) -> String {
@@ -143,7 +143,7 @@
 
     /// The operator's order, to any controller, where it is sent on and again until it is clear.
     fn order(&self, head: &str, body: &str) -> u16 {
-        until(head, || {
+        wait_until(head, || {
             self.controllers.keys().find_map(|n| {
                 let status = call(self.at(*n), head, body)?.status();
                 (status != 307 && status != 503).then_some(status)
@@ -158,7 +158,7 @@
 impl Line {
     fn open(controller: SocketAddr) -> Line {
         let stream = TcpStream::connect(SocketAddr::new(controller.ip(), 7460)).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
         Line(stream, Vec::new())
     }
 
@@ -199,7 +199,7 @@
 fn an_isolated_controller_acknowledges_nothing() {
     let mut core = Core::new(1);
     core.start(1, &[1, 2, 3], true);
-    until("the first controller", || core.status(1));
+    wait_until("the first controller", || core.status(1));
     let at = core.at(1);
     assert_eq!(call(at, "PUT /instances/i-1", &heartbeat(1)).expect("answered").status(), 503);
     assert_eq!(call(at, "PUT /instances/i-1", "{}").expect("answered").status(), 400);
@@ -209,10 +209,10 @@
     assert_eq!(call(at, "PUT /instances/i-2", &heartbeat(1)).expect("answered").status(), 503);
     core.start(2, &[1, 2, 3], true);
     core.start(3, &[1, 2, 3], true);
-    until("a leader", || core.leader());
-    until("the instance is known", || (core.says(2, "workers") == "1").then_some(()));
+    wait_until("a leader", || core.leader());
+    wait_until("the instance is known", || (core.says(2, "workers") == "1").then_some(()));
     for n in 1..=3 {
-        until("a promise", || {
+        wait_until("a promise", || {
             (call(core.at(n), "PUT /instances/i-2", &heartbeat(2))?.status() == 200).then_some(())
         });
     }
@@ -224,7 +224,7 @@
     let mut core = Core::new(2);
     (1..=3).for_each(|n| core.start(n, &[1, 2, 3], true));
     assert_eq!(core.order("PUT /config", &configuration(5, 0)), 200);
-    let old = until("a leader", || core.leader());
+    let old = wait_until("a leader", || core.leader());
     let told_at = Instant::now();
     core.signal(old, Signal::SIGTERM);
     let mut child = core.controllers.remove(&old).expect("runs");
@@ -278,26 +278,26 @@
     assert_eq!((controllers, whole), (vec![core.at(1)], true), "as the leader says");
     line.ping(Readiness::Ready);
     core.start(2, &[7, 8, 9], false);
-    until("the newcomer", || core.status(2));
+    wait_until("the newcomer", || core.status(2));
     let look_up = || call(core.directory(2), "GET /resolve?name=h&region=r1&zone=z1", "").map(|m| m.status());
     assert_eq!(look_up(), Some(503), "it knows nobody");
     core.settle(2, &[1], false);
-    until("the configuration", || {
+    wait_until("the configuration", || {
         (core.says(2, "in-touch") == "true" && core.says(2, "generation") == "\"00000005\"").then_some(())
     });
-    until("an answer", || {
+    wait_until("an answer", || {
         line.ping(Readiness::Ready);
         (look_up() == Some(200)).then_some(())
     });
     assert_eq!(call(core.at(2), "GET /config", "").expect("answered").status(), 307);
-    until("news of the newcomer", || match line.hear() {
+    wait_until("news of the newcomer", || match line.hear() {
         ToProxy::Controllers { controllers, is_complete: true } => {
             controllers.contains(&core.at(2)).then_some(())
         }
         _ => None,
     });
     line.ping(Readiness::ShuttingDown);
-    until("who leaves is not named", || (look_up() == Some(503)).then_some(()));
+    wait_until("who leaves is not named", || (look_up() == Some(503)).then_some(()));
 }
 
 /// A configuration that is parsed on the blocking pool (over 64 KiB) is decided as any other, and given back whole; a controller whose disk can't
@@ -318,7 +318,7 @@
     assert_eq!(core.order("PUT /config", &large(6, 5).replace("\"r7\"", "\"r8\"")), 400, "two of one name");
     assert_eq!(core.order("PUT /config", &body[..body.len() - 9]), 400);
 
-    let leader = until("a leader", || core.leader());
+    let leader = wait_until("a leader", || core.leader());
     let lost = (1..=3).find(|n| *n != leader).expect("one");
     let mut child = core.controllers.remove(&lost).expect("runs");
     child.kill().expect("killed");
@@ -327,12 +327,12 @@
     std::fs::write(disk.join("book.sqlite"), "no database at all".repeat(500)).expect("spoiled");
     std::fs::remove_file(disk.join("book.sqlite-wal")).expect("its log, which holds all by itself");
     core.start(lost, &[1, 2, 3], true);
-    until("it is caught up", || (core.says(lost, "generation") == "\"00000005\"").then_some(()));
+    wait_until("it is caught up", || (core.says(lost, "generation") == "\"00000005\"").then_some(()));
     assert!(disk.join("book.sqlite.unreadable").exists());
     let patch = r#"{"generation":"00000007","base-version":"00000005","remove":{"routes":["r1"]}}"#;
     assert_eq!(core.order("PATCH /config", patch), 200);
-    until("the change", || (core.says(lost, "generation") == "\"00000007\"").then_some(()));
-    let read = until("the whole", || {
+    wait_until("the change", || (core.says(lost, "generation") == "\"00000007\"").then_some(()));
+    let read = wait_until("the whole", || {
         let message = call(core.at(core.leader()?), "GET /config", "")?;
         (message.status() == 200).then_some(message.body)
     });
@@ -349,11 +349,11 @@
     let other = TcpListener::bind(SocketAddr::new(core.at(2).ip(), 7460)).expect("a controller, played here");
     core.start(1, &[1, 2], true);
     let (first, _) = other.accept().expect("its line");
-    first.set_read_timeout(Some(PATIENCE)).expect("a limit");
+    first.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
     let mut says = Line::open(core.at(1));
     let mut ended = first.try_clone().expect("the same");
     ended.set_nonblocking(true).expect("looked at only");
-    until("the line that is not heard ends", || {
+    wait_until("the line that is not heard ends", || {
         says.say(&ToController::PeerHeartbeat {
             from: core.at(2),
             hears_recipient: false,
@@ -370,7 +370,7 @@
         }
     });
     let (again, _) = other.accept().expect("another line");
-    until("it stands as long as it is heard", || {
+    wait_until("it stands as long as it is heard", || {
         says.say(&ToController::PeerHeartbeat {
             from: core.at(2),
             hears_recipient: true,
@@ -378,7 +378,7 @@
         });
         core.status(1).map(|_| ())
     });
-    again.set_read_timeout(Some(PATIENCE)).expect("a limit");
+    again.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
     let mut piece = [0; 4096];
     assert!(matches!((&again).read(&mut piece), Ok(n) if n > 0), "it speaks on the new one");
 }
@@ -389,10 +389,10 @@
 fn a_new_controller_that_knows_one_finds_all() {
     let mut core = Core::new(6);
     (1..=3).for_each(|n| core.start(n, &[1, 2, 3], true));
-    let leader = until("a leader", || core.leader());
+    let leader = wait_until("a leader", || core.leader());
     let knows = (1..=3).find(|n| *n != leader).expect("one that follows");
     core.start(4, &[knows], false);
-    let leads = until("the newcomer hears a leader", || {
+    let leads = wait_until("the newcomer hears a leader", || {
         let said = core.says(4, "leader");
         (!said.is_empty() && said != "null").then_some(said)
     });
--- a/crates/emulator/src/core.rs
+++ b/crates/emulator/src/core.rs
@@ -2,17 +2,17 @@
 //! together, with operators that send again, machines that come, leave and are replaced, disks, clocks and lines that
 //! fail, and judges that know only what callers saw.
 //!
-//! One seed gives one story, the same each time. docs/design/model.md says what the world has and what it lacks.
+//! One seed gives one scenario, the same each time. docs/design/model.md says what the world has and what it lacks.
 
 mod controller;
 mod deliberate;
 mod disk;
 mod edge;
+mod faults;
 pub mod histories;
 mod judges;
 mod lines;
 mod operators;
-mod troubles;
 mod workers;
 mod world;
 
@@ -21,8 +21,8 @@
 use rand_pcg::Pcg64Mcg;
 
 pub use deliberate::Deliberate;
+pub use faults::Scenario;
 pub use judges::{Broken, Judge};
-pub use troubles::Story;
 
 use judges::CONTACT;
 use operators::Wants;
@@ -34,7 +34,7 @@
 /// And so long it goes on after that, so that silence is told.
 const AFTER: Span = Span::from_millis(9_000);
 
-/// How a story went.
+/// How a scenario went.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     pub broken: Vec<Broken>,
@@ -54,15 +54,15 @@
     }
 }
 
-/// Plays one story.
-pub fn play(story: Story, seed: u64, fault: Option<Deliberate>) -> Verdict {
+/// Plays one scenario.
+pub fn play(scenario: Scenario, seed: u64, fault: Option<Deliberate>) -> Verdict {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x636f_7265);
-    let (controllers, tolerated) = story.size(&mut chance);
-    let (troubles, calm) = story.plan(&mut chance);
+    let (controllers, tolerated) = scenario.size(&mut chance);
+    let (faults, calm) = scenario.plan(&mut chance);
     let mut world = World::new(chance.random(), controllers, tolerated, fault);
-    world.beyond_budget = story == Story::VoteThenPower;
-    for (at, trouble) in troubles {
-        world.trouble_at(ms(at), trouble);
+    world.beyond_budget = scenario == Scenario::VoteThenPower;
+    for (at, fault) in faults {
+        world.fault_at(ms(at), fault);
     }
     world.calm_at(ms(calm));
     world.run(ms(calm) + CONTACT);
@@ -74,7 +74,7 @@
     });
     let now = world.now;
     world.judges.end(now, read);
-    world.tells_stands();
+    world.log_controllers();
     let acked = world.judges.acked.len();
     Verdict {
         broken: world.judges.broken,
--- a/crates/emulator/src/core/judges.rs
+++ b/crates/emulator/src/core/judges.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
     pub judge: Judge,
-    /// Since the story began.
+    /// Since the scenario began.
     pub at: Span,
     pub what: String,
 }
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -1,8 +1,8 @@
 //! The world of the core: controllers and edges as processes on machines with disks, clocks and lines, the operators and
 //! workers that call them, and what befalls all of these, on one virtual clock.
 
-mod befalls;
 mod callers;
+mod fault_actions;
 mod lines_of;
 mod machines;
 mod probes;
@@ -22,11 +22,11 @@
 use super::deliberate::Deliberate;
 use super::disk::Disk;
 use super::edge::Edge;
+use super::faults::{Fault, Target};
 use super::histories::Told;
 use super::judges::{CONTACT, Judge, Judges, ZoneCall};
 use super::lines::{Ends, Lines};
 use super::operators::{Operator, Wants, change};
-use super::troubles::{Trouble, Whom};
 use super::workers::{BEAT, Goes, Worker};
 use crate::agenda::Agenda;
 
@@ -122,7 +122,7 @@
     Quick {
         machine: usize,
     },
-    Trouble(Trouble),
+    Fault(Fault),
     Calm,
     Listed,
     Probe,
@@ -190,7 +190,7 @@
     /// The core is not settled for the contact time after this.
     pub troubled_at: Time,
     slow_until: Time,
-    armed: Option<Trouble>,
+    armed: Option<Fault>,
     votes_armed: Option<Span>,
     removed: Option<usize>,
     tolerated: usize,
@@ -282,8 +282,8 @@
         self.agenda.plan(at.max(self.now), Next::At { machine, instance, event });
     }
 
-    pub fn trouble_at(&mut self, later: Span, trouble: Trouble) {
-        self.plan(later, Next::Trouble(trouble));
+    pub fn fault_at(&mut self, later: Span, fault: Fault) {
+        self.plan(later, Next::Fault(fault));
     }
 
     pub fn calm_at(&mut self, later: Span) {
@@ -365,7 +365,7 @@
                 self.machines[machine].disk.sync = ms(1);
                 self.troubled_at = self.now;
             }
-            Next::Trouble(trouble) => self.trouble(trouble),
+            Next::Fault(fault) => self.fault(fault),
             Next::Calm => self.calm(),
             Next::Listed => {
                 self.listed = self.controllers().collect();
@@ -487,13 +487,13 @@
                 if let (Some(long), Some(candidate)) = (self.votes_armed, votes_for) {
                     self.votes_armed = None;
                     // The vote is synced, and on its way; then the power goes.
-                    let blow = Trouble::Power { whom: Whom::Number(machine - EDGES), down: 60 };
-                    self.trouble_at(ms(6), blow);
-                    let cut = Trouble::CutOff {
-                        whom: Whom::Number(self::machine(candidate) - EDGES),
+                    let fault = Fault::Power { target: Target::Number(machine - EDGES), down: 60 };
+                    self.fault_at(ms(6), fault);
+                    let cut = Fault::CutOff {
+                        target: Target::Number(self::machine(candidate) - EDGES),
                         long: long.nanos() / 1_000_000,
                     };
-                    self.trouble_at(ms(7), cut);
+                    self.fault_at(ms(7), cut);
                 }
             }
             Out::Say(to, message) => {
@@ -516,10 +516,10 @@
             Out::Answer(call, answer) => {
                 if let (Some(Calling { by: Caller::Operator(_), .. }), Answer::Status(200)) =
                     (self.calls.get(&call), &answer)
-                    && let Some(trouble) = self.armed.take()
+                    && let Some(fault) = self.armed.take()
                 {
                     let later = Span::from_nanos(self.chance.random_range(0..4_000_000));
-                    self.trouble_at(later, trouble);
+                    self.fault_at(later, fault);
                 }
                 let later = self.way();
                 // Answers get lost with their connections.
--- a/crates/emulator/src/core/world/befalls.rs
+++ b/crates/emulator/src/core/world/fault_actions.rs
@@ -1,15 +1,15 @@
-//! What befalls machines, lines and disks, one trouble after another.
+//! What each fault does to machines, links and disks.
 
 use super::*;
 
 impl World {
-    pub(super) fn tells(&mut self, what: String) {
+    pub(super) fn log_event(&mut self, what: String) {
         if self.told.len() < 400 {
             self.told.push(format!("{:.3} {what}", (self.now - self.began_at).secs()));
         }
     }
 
-    pub fn tells_stands(&mut self) {
+    pub fn log_controllers(&mut self) {
         for m in EDGES..self.machines.len() {
             let machine = &self.machines[m];
             let found = machine.disk.found().map(|r| (r.disk, r.term, r.last));
@@ -33,21 +33,21 @@
                 "controller {m}: present {}, frozen {frozen}, {stands:?}, disk {found:?}",
                 machine.present
             );
-            self.tells(what);
+            self.log_event(what);
         }
     }
 
-    pub(super) fn whom(&mut self, whom: Whom) -> Option<usize> {
+    pub(super) fn target(&mut self, target: Target) -> Option<usize> {
         let runs: Vec<usize> = self.controllers().filter(|m| self.machines[*m].process.is_some()).collect();
         let leader = self.leader();
-        match whom {
-            Whom::Leader => leader,
-            Whom::Follower => {
+        match target {
+            Target::Leader => leader,
+            Target::Follower => {
                 let others: Vec<usize> = runs.into_iter().filter(|m| Some(*m) != leader).collect();
                 others.choose(&mut self.chance).copied()
             }
-            Whom::Any => runs.choose(&mut self.chance).copied(),
-            Whom::Number(n) => Some(EDGES + n).filter(|m| runs.contains(m)),
+            Target::Any => runs.choose(&mut self.chance).copied(),
+            Target::Number(n) => Some(EDGES + n).filter(|m| runs.contains(m)),
         }
     }
 
@@ -77,26 +77,26 @@
         self.machines[machine].lost_until = self.now + ms(long) + CATCH_UP;
     }
 
-    pub(super) fn trouble(&mut self, trouble: Trouble) {
+    pub(super) fn fault(&mut self, fault: Fault) {
         let leader = self.leader();
-        self.tells(format!("{trouble:?}, {leader:?} leads"));
-        match trouble {
-            Trouble::Kill { whom, down } | Trouble::Power { whom, down } => {
-                let power = matches!(trouble, Trouble::Power { .. });
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m) || self.beyond_budget)
+        self.log_event(format!("{fault:?}, {leader:?} leads"));
+        match fault {
+            Fault::Kill { target, down } | Fault::Power { target, down } => {
+                let power = matches!(fault, Fault::Power { .. });
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m) || self.beyond_budget)
                 else {
                     return;
                 };
                 self.stop(machine, power, Some(ms(down)));
             }
-            Trouble::All { power, down } => {
+            Fault::All { power, down } => {
                 for machine in self.controllers().collect::<Vec<_>>() {
                     let later = down + self.chance.random_range(0..200);
                     self.stop(machine, power, Some(ms(later)));
                 }
             }
-            Trouble::Wipe { whom, others, down } => {
-                let Some(machine) = self.whom(whom).filter(|_| self.all_well()) else { return };
+            Fault::Wipe { target, others, down } => {
+                let Some(machine) = self.target(target).filter(|_| self.all_well()) else { return };
                 for other in self.controllers().collect::<Vec<_>>() {
                     if other == machine || others {
                         let later = down + self.chance.random_range(0..300);
@@ -105,22 +105,22 @@
                 }
                 self.machines[machine].disk.wipe();
             }
-            Trouble::Freeze { whom, long } => {
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m)) else { return };
+            Fault::Freeze { target, long } => {
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m)) else { return };
                 self.machines[machine].frozen = true;
                 self.loses(machine, long);
                 let instance = self.machines[machine].instance;
                 self.plan(ms(long), Next::Thaw { machine, instance });
             }
-            Trouble::OneWay { whom, hears, long } => {
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m)) else { return };
+            Fault::OneWay { target, hears, long } => {
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m)) else { return };
                 let others: Vec<usize> = self.controllers().filter(|m| *m != machine).collect();
                 let way = |o: usize| if hears { (machine, o) } else { (o, machine) };
                 self.cut(others.into_iter().map(way).collect(), ms(long));
                 self.loses(machine, long);
             }
-            Trouble::CutOff { whom, long } => {
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m) || self.beyond_budget)
+            Fault::CutOff { target, long } => {
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m) || self.beyond_budget)
                 else {
                     return;
                 };
@@ -129,7 +129,7 @@
                 self.cut(pairs, ms(long));
                 self.loses(machine, long);
             }
-            Trouble::Split { long } => {
+            Fault::Split { long } => {
                 let Some(leader) = self.leader() else { return };
                 let newest = self.controllers().max();
                 let is_here = |m: &usize| *m == leader || Some(*m) == newest;
@@ -143,25 +143,26 @@
                     self.loses(machine, long);
                 }
             }
-            Trouble::SlowDisk { whom, sync, long } => {
-                let Some(machine) = self.whom(whom) else { return };
+            Fault::SlowDisk { target, sync, long } => {
+                let Some(machine) = self.target(target) else { return };
                 self.machines[machine].disk.sync = ms(sync);
                 self.slows(long);
                 self.plan(ms(long), Next::Quick { machine });
             }
-            Trouble::HangDisk { whom, long } | Trouble::FullDisk { whom, long } => {
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m)) else { return };
+            Fault::HangDisk { target, long } | Fault::FullDisk { target, long } => {
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m)) else { return };
                 let until = self.now + ms(long);
                 let disk = &mut self.machines[machine].disk;
-                match trouble {
-                    Trouble::HangDisk { .. } => disk.hangs_until = until,
+                match fault {
+                    Fault::HangDisk { .. } => disk.hangs_until = until,
                     _ => disk.full_until = until,
                 }
                 self.slows(long);
                 self.loses(machine, long);
             }
-            Trouble::Term { whom, back } => {
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m) || back.is_none()) else {
+            Fault::Term { target, back } => {
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m) || back.is_none())
+                else {
                     return;
                 };
                 let now = self.clock(machine);
@@ -182,24 +183,24 @@
                 }
                 self.after(machine);
             }
-            Trouble::Gone { whom } | Trouble::Removed { whom } => {
-                let Some(machine) = self.whom(whom).filter(|m| self.may_lose(*m)) else { return };
+            Fault::Gone { target } | Fault::Removed { target } => {
+                let Some(machine) = self.target(target).filter(|m| self.may_lose(*m)) else { return };
                 self.stop(machine, true, None);
                 self.machines[machine].present = false;
-                if let Trouble::Removed { .. } = trouble {
+                if let Fault::Removed { .. } = fault {
                     self.removed = Some(machine);
                 } else {
                     self.machines[machine].disk.wipe();
                 }
                 self.troubled_at = self.now;
             }
-            Trouble::Returns => {
+            Fault::Returns => {
                 if let Some(machine) = self.removed.take() {
                     self.machines[machine].present = true;
                     self.start(machine);
                 }
             }
-            Trouble::New { stale } => {
+            Fault::New { stale } => {
                 // Stale: as the operator's list, which lags, has them.
                 let of: Vec<usize> = if stale { self.listed.clone() } else { self.controllers().collect() };
                 let mut seeds: Vec<SocketAddr> = of.into_iter().map(address).collect();
@@ -210,7 +211,7 @@
                 let machine = self.add(false, seeds);
                 self.start(machine);
             }
-            Trouble::EdgeCut { long } => {
+            Fault::EdgeCut { long } => {
                 let edge = self.chance.random_range(0..EDGES);
                 let controllers: Vec<usize> = self.controllers().collect();
                 let Some(controller) = controllers.choose(&mut self.chance).copied() else { return };
@@ -222,15 +223,15 @@
                 self.cut(pairs, ms(long));
                 self.loses(edge, long);
             }
-            Trouble::EdgeFrozen { long } => {
+            Fault::EdgeFrozen { long } => {
                 let edge = self.chance.random_range(0..EDGES);
                 self.machines[edge].frozen = true;
                 self.loses(edge, long);
                 let instance = self.machines[edge].instance;
                 self.plan(ms(long), Next::Thaw { machine: edge, instance });
             }
-            Trouble::AfterAck(trouble) => self.armed = Some(*trouble),
-            Trouble::AfterVote { long } => self.votes_armed = Some(ms(long)),
+            Fault::AfterAck(fault) => self.armed = Some(*fault),
+            Fault::AfterVote { long } => self.votes_armed = Some(ms(long)),
         }
     }
 
--- a/crates/emulator/src/core/world/machines.rs
+++ b/crates/emulator/src/core/world/machines.rs
@@ -44,9 +44,12 @@
         self.after(machine);
     }
 
-    /// A trouble begins or ends at a machine: from now on it counts as lost for a while, and the core as unsettled.
+    /// A fault begins or ends at a machine: from now on it counts as lost for a while, and the core as unsettled.
     pub(super) fn harmed(&mut self, machine: usize) {
-        self.tells(format!("machine {machine} is harmed: runs {}", self.machines[machine].process.is_some()));
+        self.log_event(format!(
+            "machine {machine} is harmed: runs {}",
+            self.machines[machine].process.is_some()
+        ));
         let m = &mut self.machines[machine];
         m.lost_until = m.lost_until.max(self.now + CATCH_UP);
         self.troubled_at = self.troubled_at.max(self.now);
@@ -138,7 +141,7 @@
             }
         }
         let missing = (2 * self.tolerated + 1).saturating_sub(self.controllers().count());
-        (0..missing).for_each(|_| self.trouble(Trouble::New { stale: false }));
+        (0..missing).for_each(|_| self.fault(Fault::New { stale: false }));
         self.slow_until = self.now;
         self.troubled_at = self.now;
     }
--- a/crates/emulator/src/core/world/probes.rs
+++ b/crates/emulator/src/core/world/probes.rs
@@ -1,4 +1,4 @@
-//! What the judges are shown: requests through the edges, and how long orders wait; and the end of a story.
+//! What the judges are shown: requests through the edges, and how long orders wait; and the end of a scenario.
 
 use super::*;
 
--- a/crates/emulator/tests/core.rs
+++ b/crates/emulator/tests/core.rs
@@ -1,9 +1,9 @@
-//! The core's world: the checker of histories by a table, stories without a fault, and each deliberate fault with the
+//! The core's world: the checker of histories by a table, scenarios without a fault, and each deliberate fault with the
 //! judge that finds it.
 
 use lynxstair::types::Time;
 use lynxstair_emulator::core::histories::{Asked, Call, Told, linearizable};
-use lynxstair_emulator::core::{Deliberate, Judge, Story, play};
+use lynxstair_emulator::core::{Deliberate, Judge, Scenario, play};
 use lynxstair_routing::attempt::{Attempt, AttemptEvent, AttemptStep, ReplyHead, ReplyOwner};
 use rayon::prelude::*;
 
@@ -159,28 +159,28 @@
     assert!(linearizable(&calls).is_err());
 }
 
-fn stories_go_well(story: Story, seeds: u64) {
+fn stories_go_well(scenario: Scenario, seeds: u64) {
     let broken = (0..seeds).into_par_iter().find_map_any(|seed| {
-        let verdict = play(story, seed, None);
+        let verdict = play(scenario, seed, None);
         let acked = verdict.acked;
         let is_bad = !verdict.broken.is_empty() || acked < 20;
         is_bad.then_some((seed, acked, verdict.broken, verdict.told))
     });
     if let Some((seed, acked, broken, told)) = broken {
-        panic!("{} {seed}, {acked} acknowledged: {broken:#?}\n{}", story.name(), told.join("\n"));
+        panic!("{} {seed}, {acked} acknowledged: {broken:#?}\n{}", scenario.name(), told.join("\n"));
     }
 }
 
 macro_rules! stories {
-    ($($name:ident: $story:ident;)*) => {$(
+    ($($name:ident: $scenario:ident;)*) => {$(
         #[test]
         fn $name() {
-            stories_go_well(Story::$story, SEEDS);
+            stories_go_well(Scenario::$scenario, SEEDS);
         }
     )*};
 }
 
-/// Of each story; the long run has 10,000 in all: `lynxstair experiment core`.
+/// Of each scenario; the long run has 10,000 in all: `lynxstair experiment core`.
 const SEEDS: u64 = 20;
 
 stories! {
@@ -200,31 +200,31 @@
     power_lost_after_a_vote: VoteThenPower;
 }
 
-/// Each deliberate fault is found by the judge that is named for it, on a story that goes well without it.
+/// Each deliberate fault is found by the judge that is named for it, on a scenario that goes well without it.
 #[test]
 fn deliberate_faults_are_found() {
     use Deliberate::*;
     let cases = [
-        (UnsyncedVote, Story::VoteThenPower, Judge::WayForward),
-        (EmptiedVotes, Story::WipedAfterAck, Judge::Linearizable),
-        (EarlyAnswer, Story::AllAtOnce, Judge::Linearizable),
-        (LeaseRead, Story::SplitInReplacement, Judge::Linearizable),
-        (LearnerCounts, Story::SplitInReplacement, Judge::Linearizable),
-        (TwoAtOnce, Story::SplitInReplacement, Judge::Linearizable),
-        (RemovedVotes, Story::WipedAfterAck, Judge::Linearizable),
-        (MarkLost, Story::LeaderEnds, Judge::Linearizable),
-        (CutOffBeats, Story::CutOff, Judge::Promised),
+        (UnsyncedVote, Scenario::VoteThenPower, Judge::WayForward),
+        (EmptiedVotes, Scenario::WipedAfterAck, Judge::Linearizable),
+        (EarlyAnswer, Scenario::AllAtOnce, Judge::Linearizable),
+        (LeaseRead, Scenario::SplitInReplacement, Judge::Linearizable),
+        (LearnerCounts, Scenario::SplitInReplacement, Judge::Linearizable),
+        (TwoAtOnce, Scenario::SplitInReplacement, Judge::Linearizable),
+        (RemovedVotes, Scenario::WipedAfterAck, Judge::Linearizable),
+        (MarkLost, Scenario::LeaderEnds, Judge::Linearizable),
+        (CutOffBeats, Scenario::CutOff, Judge::Promised),
     ];
     assert_eq!(cases.map(|(fault, ..)| fault), Deliberate::ALL);
-    for (fault, story, judge) in cases {
-        let finds = |seed: &u64| play(story, *seed, Some(fault)).is_broken_by(judge);
+    for (fault, scenario, judge) in cases {
+        let finds = |seed: &u64| play(scenario, *seed, Some(fault)).is_broken_by(judge);
         let found = (0..400u64).into_par_iter().find_any(finds);
         let Some(seed) = found else { panic!("{judge:?} does not find {}: a hole in it", fault.name()) };
-        let without = play(story, seed, None).broken;
+        let without = play(scenario, seed, None).broken;
         assert!(
             without.is_empty(),
             "{} {seed} is broken without {} too: {without:?}",
-            story.name(),
+            scenario.name(),
             fault.name()
         );
     }
--- a/crates/fakes/src/config.rs
+++ b/crates/fakes/src/config.rs
@@ -1,4 +1,4 @@
-//! Configurations of a gatekeeper among stand-ins.
+//! Boot configurations of a gatekeeper among fakes.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
            "probes":true,"retryAfter":true,"secondCopies":true},
  "rules":{"fall":2000000000,"fallMultiple":2,"startCapacity":0.2,"stopSendingWithin":250000000,"warmWithin":10000000000}}"#;
 
-/// Of the gatekeeper n0.
+/// The configuration of the gatekeeper n0. `known`: the list of workers that it starts with.
 pub fn config(listen: SocketAddr, known: &str, counter: SocketAddr, discovery: SocketAddr) -> String {
     config_named("n0", listen, known, counter, discovery)
 }
 
-/// Of any gatekeeper.
+/// The configuration of any gatekeeper.
 pub fn config_named(
     name: &str,
     listen: SocketAddr,
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -1,4 +1,4 @@
-//! Counters: one that gives what it is told to give, one that counts.
+//! Counters: one that gives a scripted response, one that counts.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -6,63 +6,57 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
-use crate::message::Message;
-use crate::{listener, serve};
+use crate::message::HttpMessage;
+use crate::{listener, lock, ok_response, serve};
 
-/// Adds to counts and gives the total, or another total, or nothing.
+/// A counter and what it saw.
 pub struct Counter {
+    /// Where it listens.
     pub addr: SocketAddr,
+    /// The request lines that it received.
     pub calls: Arc<Mutex<Vec<String>>>,
     /// Connections that ended.
     pub closed: Arc<AtomicU32>,
 }
 
-/// A counter that gives one and the same total; none: it never answers.
+/// A counter that always gives the same total; `None`: it never responds.
 pub fn counter(total: Option<f64>) -> Counter {
-    let total = total.map(|t| t.to_string());
-    counter_that_says(total.map(|t| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{t}", t.len())))
+    counter_with_response(total.map(|total| ok_response(&total.to_string())))
 }
 
-/// The same, which gives each call one and the same answer.
-pub fn counter_that_says(answer: Option<String>) -> Counter {
+/// A counter that always gives the same response; `None`: it never responds.
+pub fn counter_with_response(response: Option<String>) -> Counter {
     let (on, addr) = listener();
     let counter = Counter { addr, calls: Arc::default(), closed: Arc::default() };
     let (calls, closed) = (counter.calls.clone(), counter.closed.clone());
     serve(on, move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
-        while let Some(message) = Message::read(&mut reader) {
-            calls.lock().expect("not poisoned").push(message.first);
-            let _ = answer.iter().try_for_each(|a| (&stream).write_all(a.as_bytes()));
+        while let Some(message) = HttpMessage::read(&mut reader) {
+            lock(&calls).push(message.start_line);
+            if let Some(response) = &response {
+                let _ = (&stream).write_all(response.as_bytes());
+            }
         }
         closed.fetch_add(1, Ordering::SeqCst);
     });
     counter
 }
 
-/// A counter that adds, as the protocol's page has it. What has expired is forgotten with the whole name's
-/// window: the names of later windows differ.
-pub fn counting() -> Counter {
+/// A counter that adds, as the protocol's page has it. It forgets nothing: the names of later windows differ.
+pub fn adding_counter() -> Counter {
     let (on, addr) = listener();
     let counter = Counter { addr, calls: Arc::default(), closed: Arc::default() };
-    let totals: Arc<Mutex<HashMap<String, f64>>> = Arc::default();
+    let totals: Mutex<HashMap<String, f64>> = Mutex::default();
     let closed = counter.closed.clone();
     serve(on, move |stream| {
         let Ok(reading) = stream.try_clone() else { return };
         let mut reader = BufReader::new(reading);
-        while let Some(message) = Message::read(&mut reader) {
-            let call = message.first.strip_prefix("POST /counters/").and_then(|c| c.split_once("?by="));
-            let total = call.and_then(|(name, rest)| {
-                let by: f64 = rest.split('&').next()?.parse().ok()?;
-                let mut totals = totals.lock().unwrap_or_else(|e| e.into_inner());
-                let total = totals.entry(name.to_string()).or_default();
-                *total += by;
-                Some(total.to_string())
-            });
-            let said = match total {
-                Some(t) => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{t}", t.len()),
+        while let Some(message) = HttpMessage::read(&mut reader) {
+            let response = match add(&totals, &message.start_line) {
+                Some(total) => ok_response(&total.to_string()),
                 None => "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n".to_string(),
             };
-            if (&stream).write_all(said.as_bytes()).is_err() {
+            if (&stream).write_all(response.as_bytes()).is_err() {
                 break;
             }
         }
@@ -70,3 +64,13 @@
     });
     counter
 }
+
+/// Adds what `POST /counters/NAME?by=AMOUNT` asks for; returns the total.
+fn add(totals: &Mutex<HashMap<String, f64>>, start_line: &str) -> Option<f64> {
+    let (name, rest) = start_line.strip_prefix("POST /counters/")?.split_once("?by=")?;
+    let amount: f64 = rest.split('&').next()?.parse().ok()?;
+    let mut totals = lock(totals);
+    let total = totals.entry(name.to_string()).or_default();
+    *total += amount;
+    Some(*total)
+}
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -1,7 +1,7 @@
-//! A load of clients on several gatekeepers, with workers, a counter and a list of their own, and a trace of
-//! all that was sent and answered. One worker is drained half way.
+//! A load of clients on several gatekeepers, with workers, a counter and discovery of their own, and a record of
+//! all that was sent and received. One worker may be drained meanwhile.
 
-use std::io::{BufReader, Write};
+use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,135 +11,162 @@
 use nix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
-use crate::counter::counting;
-use crate::list::{Discovery, discovery, member};
-use crate::message::{Message, text_of};
-use crate::{Counter, listener, serve};
+use crate::counter::adding_counter;
+use crate::discovery::{Discovery, discovery, worker_entry};
+use crate::message::{HttpMessage, tenant_request_text};
+use crate::{Counter, listener, lock, ok_response, serve};
 
-/// The client waits so long, in milliseconds.
-const PATIENCE_MS: u32 = 800;
-/// And looks so much longer for an answer that comes too late.
-const LATE_MS: u64 = 1_200;
-const CLIENTS: usize = 4;
-const CUSTOMERS: u64 = 7;
-const FIRST_CUSTOMER: u64 = 0xb4d6_5521;
+/// How long a client waits for a response, in milliseconds.
+const CLIENT_TIMEOUT_MS: u32 = 800;
+/// For so much longer it looks for one that comes too late.
+const LATE_RESPONSE_MS: u64 = 1_200;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A client looks so often whether it is to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const CLIENTS_PER_GATEKEEPER: usize = 4;
+const TENANTS: u64 = 7;
+const FIRST_TENANT: u64 = 0xb4d6_5521;
+/// Clients begin at so many different parts of their interval, so that not all requests come at once.
+const START_OFFSETS: u64 = 97;
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
 /// The machine's monotonic clock, in nanoseconds: the same for all processes on it.
-pub fn mono() -> u64 {
-    let now = clock_gettime(ClockId::CLOCK_MONOTONIC).map(|t| (t.tv_sec() as u64, t.tv_nsec() as u64));
-    now.map_or(0, |(secs, nanos)| secs * 1_000_000_000 + nanos)
+pub fn monotonic_nanos() -> u64 {
+    let now = clock_gettime(ClockId::CLOCK_MONOTONIC);
+    now.map_or(0, |now| now.tv_sec() as u64 * NANOS_PER_SECOND + now.tv_nsec() as u64)
 }
 
-/// What became of one invocation, as its client saw it.
+/// What became of a request, as its client saw it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Answered {
+pub struct RequestOutcome {
+    /// The request's id.
     pub id: u64,
+    /// The gatekeeper that it was sent to.
     pub gatekeeper: String,
-    pub customer: u64,
+    /// The tenant's key.
+    #[serde(rename = "customer")]
+    pub tenant: u64,
+    /// `get` or `put`.
     pub operation: &'static str,
-    /// By `mono`.
-    pub sent: u64,
-    pub ended: u64,
-    /// None: no answer, for the reason that stands beside it.
+    /// By [`monotonic_nanos`].
+    #[serde(rename = "sent")]
+    pub sent_at: u64,
+    /// By [`monotonic_nanos`].
+    #[serde(rename = "ended")]
+    pub ended_at: u64,
+    /// `None`: no response, for `reason`.
     pub status: Option<u16>,
-    pub why: &'static str,
-    /// Bytes that came behind the one answer.
-    pub extra: usize,
+    /// `broke off`, `crossed`, `closed`, `none` or `reset`; empty with a status.
+    #[serde(rename = "why")]
+    pub reason: &'static str,
+    /// Bytes that followed the response.
+    #[serde(rename = "extra")]
+    pub extra_bytes: usize,
 }
 
-/// A delivery, as its worker saw it. Each that comes is run.
+/// An attempt as its worker received it. The worker runs each.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Delivered {
+pub struct ReceivedAttempt {
+    /// The request's id.
     pub id: u64,
+    /// Index of the worker.
     pub worker: usize,
-    pub at: u64,
+    /// By [`monotonic_nanos`].
+    #[serde(rename = "at")]
+    pub received_at: u64,
 }
 
 /// All that happened.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    pub answered: Mutex<Vec<Answered>>,
-    pub delivered: Mutex<Vec<Delivered>>,
+    /// What clients saw.
+    pub outcomes: Mutex<Vec<RequestOutcome>>,
+    /// What workers saw.
+    pub attempts: Mutex<Vec<ReceivedAttempt>>,
     /// The worker that was drained, and when all were told.
     pub drained: Mutex<Option<(usize, u64)>>,
 }
 
-/// What load there is to be.
+/// How much load there is.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub per_second: f64,
+pub struct LoadPlan {
+    /// Over all gatekeepers.
+    pub requests_per_second: f64,
+    /// How many workers.
     pub workers: usize,
 }
 
 /// The peers, and the clients while they run.
 pub struct Load {
-    plan: Plan,
+    plan: LoadPlan,
+    /// Where the workers listen.
     pub workers: Vec<SocketAddr>,
+    /// The counter.
     pub counter: Counter,
+    /// The list of workers.
     pub discovery: Discovery,
+    /// What happened so far.
     pub traffic: Arc<Traffic>,
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
-fn locked<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(|e| e.into_inner())
-}
-
 impl Load {
     /// Starts the peers; no client yet.
-    pub fn new(plan: Plan) -> Self {
+    pub fn new(plan: LoadPlan) -> Self {
         let traffic = Arc::new(Traffic::default());
-        let workers = (0..plan.workers).map(|n| worker(n, traffic.clone())).collect();
-        let stop = Arc::new(AtomicBool::new(false));
+        let workers = (0..plan.workers).map(|number| worker(number, traffic.clone())).collect();
         Load {
             plan,
             workers,
-            counter: counting(),
+            counter: adding_counter(),
             discovery: discovery(),
             traffic,
-            stop,
+            stop: Arc::default(),
             clients: Vec::new(),
         }
     }
 
-    /// The list as a configuration holds it.
-    pub fn known(&self) -> String {
-        let members: Vec<_> =
-            self.workers.iter().enumerate().map(|(n, a)| member(n, *a, "SERVING")).collect();
-        format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, members.join(","))
+    /// The list of workers as a boot configuration holds it.
+    pub fn worker_list(&self) -> String {
+        let entry = |(number, addr): (usize, &SocketAddr)| worker_entry(number, *addr, "SERVING");
+        let entries: Vec<_> = self.workers.iter().enumerate().map(entry).collect();
+        format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, entries.join(","))
     }
 
     /// Starts clients for each of these gatekeepers.
-    pub fn begin(&mut self, gatekeepers: &[(String, SocketAddr)]) {
-        let ids = Arc::new(AtomicU64::new(1));
-        let apart = (gatekeepers.len() * CLIENTS) as f64 / self.plan.per_second.max(0.1);
-        for (number, (name, addr)) in gatekeepers.iter().enumerate() {
-            for client in 0..CLIENTS {
+    pub fn start_clients(&mut self, gatekeepers: &[(String, SocketAddr)]) {
+        let next_id = Arc::new(AtomicU64::new(1));
+        let clients = (gatekeepers.len() * CLIENTS_PER_GATEKEEPER) as f64;
+        let interval = Duration::from_secs_f64(clients / self.plan.requests_per_second.max(0.1));
+        let mut number = 0;
+        for (name, addr) in gatekeepers {
+            for _ in 0..CLIENTS_PER_GATEKEEPER {
                 let client = Client {
                     gatekeeper: name.clone(),
                     addr: *addr,
-                    number: (number * CLIENTS + client) as u64,
-                    apart: Duration::from_secs_f64(apart),
-                    ids: ids.clone(),
+                    number,
+                    interval,
+                    next_id: next_id.clone(),
                     traffic: self.traffic.clone(),
                     stop: self.stop.clone(),
                 };
+                number += 1;
                 self.clients.push(thread::spawn(move || client.run()));
             }
         }
     }
 
     /// Tells all gatekeepers that the first worker drains.
-    pub fn drain_one(&self) {
-        let line = member(0, self.workers[0], "DRAINING");
-        let news = format!(r#"{{"revision":8,"complete":false,"members":[{line}]}}"#);
-        self.discovery.tell_all(&news);
-        *locked(&self.traffic.drained) = Some((0, mono()));
+    pub fn drain_first_worker(&self) {
+        let entry = worker_entry(0, self.workers[0], "DRAINING");
+        let update = format!(r#"{{"revision":8,"complete":false,"members":[{entry}]}}"#);
+        self.discovery.publish(&update);
+        *lock(&self.traffic.drained) = Some((0, monotonic_nanos()));
     }
 
-    /// Ends the clients; what is out is waited for.
-    pub fn end(&mut self) {
+    /// Stops the clients, each after its request.
+    pub fn stop_clients(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
             let _ = client.join();
@@ -149,21 +176,22 @@
 
 impl Drop for Load {
     fn drop(&mut self) {
-        self.end();
+        self.stop_clients();
     }
 }
 
-/// A worker that runs whatever comes, and writes it down.
-fn worker(me: usize, traffic: Arc<Traffic>) -> SocketAddr {
+/// A worker that runs every attempt and records it.
+fn worker(number: usize, traffic: Arc<Traffic>) -> SocketAddr {
     let (on, addr) = listener();
     serve(on, move |stream| {
         let Ok(reading) = stream.try_clone() else { return };
         let mut reader = BufReader::new(reading);
-        while let Some(message) = Message::read(&mut reader) {
+        while let Some(message) = HttpMessage::read(&mut reader) {
             if let Ok(id) = u64::from_str_radix(message.header("request-id"), 16) {
-                locked(&traffic.delivered).push(Delivered { id, worker: me, at: mono() });
+                let received_at = monotonic_nanos();
+                lock(&traffic.attempts).push(ReceivedAttempt { id, worker: number, received_at });
             }
-            if (&stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err() {
+            if (&stream).write_all(ok_response("ok").as_bytes()).is_err() {
                 return;
             }
         }
@@ -171,96 +199,104 @@
     addr
 }
 
+type Connection = BufReader<TcpStream>;
+
 struct Client {
     gatekeeper: String,
     addr: SocketAddr,
     number: u64,
-    apart: Duration,
-    ids: Arc<AtomicU64>,
+    /// Between two requests.
+    interval: Duration,
+    next_id: Arc<AtomicU64>,
     traffic: Arc<Traffic>,
     stop: Arc<AtomicBool>,
 }
 
-type Reader = BufReader<TcpStream>;
-
 impl Client {
     fn run(&self) {
-        let mut kept: Option<Reader> = None;
-        let began = Instant::now();
-        // Spread over the time between two, so that not all of them come at once.
-        let first = self.apart.mul_f64((self.number % 97) as f64 / 97.0);
-        let mut at = began + first;
+        let mut connection: Option<Connection> = None;
+        let offset = (self.number % START_OFFSETS) as f64 / START_OFFSETS as f64;
+        let mut due = Instant::now() + self.interval.mul_f64(offset);
         while !self.stop.load(Ordering::SeqCst) {
             let now = Instant::now();
-            if now < at {
-                thread::sleep((at - now).min(Duration::from_millis(20)));
+            if now < due {
+                thread::sleep((due - now).min(STOP_CHECK_INTERVAL));
                 continue;
             }
-            // What could not be sent in time is not made up for.
-            at = (at + self.apart).max(now);
-            self.one(&mut kept);
+            // Requests that could not be sent in time are not made up for.
+            due = (due + self.interval).max(now);
+            self.send_request(&mut connection);
         }
     }
 
-    fn connect(&self) -> Option<Reader> {
-        let stream = TcpStream::connect_timeout(&self.addr, Duration::from_millis(300)).ok()?;
+    fn connect(&self) -> Option<Connection> {
+        let timeout = Duration::from_millis(u64::from(CLIENT_TIMEOUT_MS) + LATE_RESPONSE_MS);
+        let stream = TcpStream::connect_timeout(&self.addr, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(Duration::from_millis(u64::from(PATIENCE_MS) + LATE_MS))).ok()?;
+        stream.set_read_timeout(Some(timeout)).ok()?;
         Some(BufReader::new(stream))
     }
 
-    fn one(&self, kept: &mut Option<Reader>) {
-        let id = self.ids.fetch_add(1, Ordering::SeqCst);
+    /// Sends one request and records what became of it. The connection is kept where it may be used again.
+    fn send_request(&self, kept: &mut Option<Connection>) {
+        let id = self.next_id.fetch_add(1, Ordering::SeqCst);
         let operation = if id.is_multiple_of(3) { "put" } else { "get" };
-        let was_kept = kept.is_some();
-        let Some(mut reader) = kept.take().or_else(|| self.connect()) else { return };
-        let customer = FIRST_CUSTOMER + id % CUSTOMERS;
-        let said = text_of(customer, operation, "wide", &format!("{id:016x}"), PATIENCE_MS);
-        let sent = mono();
-        let mut note = Answered {
+        let is_reused = kept.is_some();
+        let Some(mut connection) = kept.take().or_else(|| self.connect()) else { return };
+        let tenant = FIRST_TENANT + id % TENANTS;
+        let request =
+            tenant_request_text(tenant, operation, "wide", &format!("{id:016x}"), CLIENT_TIMEOUT_MS);
+        let sent_at = monotonic_nanos();
+        if connection.get_mut().write_all(request.as_bytes()).is_err() {
+            // Not sent: the connection had ended.
+            return;
+        }
+        let mut outcome = RequestOutcome {
             id,
             gatekeeper: self.gatekeeper.clone(),
-            customer,
+            tenant,
             operation,
-            sent,
-            ended: sent,
+            sent_at,
+            ended_at: sent_at,
             status: None,
-            why: "",
-            extra: 0,
+            reason: "",
+            extra_bytes: 0,
         };
-        if reader.get_mut().write_all(said.as_bytes()).is_err() {
-            // Not taken: the connection had ended.
-            return;
-        }
-        let mut first = [0];
-        // The first byte apart from the rest: a connection that was closed as we wrote gives none.
-        let peeked = loop {
-            match reader.get_ref().peek(&mut first) {
-                // A machine that stands still interrupts a read that has a time limit.
-                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                peeked => break peeked,
-            }
-        };
-        match peeked {
-            Ok(1..) => match Message::read(&mut reader) {
-                Some(answer) => {
-                    note.status = Some(answer.status());
-                    note.extra = reader.buffer().len();
-                    if answer.header("connection") != "close" {
-                        *kept = Some(reader);
-                    }
+        match receive(&mut connection, is_reused) {
+            Ok(response) => {
+                outcome.status = Some(response.status());
+                outcome.extra_bytes = connection.buffer().len();
+                if response.header("connection") != "close" {
+                    *kept = Some(connection);
                 }
-                None => note.why = "broke off",
-            },
-            Ok(0) if was_kept => note.why = "crossed",
-            Ok(_) => note.why = "closed",
-            Err(e) if was_kept && e.kind() == std::io::ErrorKind::ConnectionReset => note.why = "crossed",
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
-                note.why = "none";
             }
-            Err(_) => note.why = "reset",
+            Err(reason) => outcome.reason = reason,
+        }
+        outcome.ended_at = monotonic_nanos();
+        lock(&self.traffic.outcomes).push(outcome);
+    }
+}
+
+/// The response, or why there is none. A reused connection that the gatekeeper closed as the request was sent is
+/// `crossed`, not an error of either side.
+fn receive(connection: &mut Connection, is_reused: bool) -> Result<HttpMessage, &'static str> {
+    match wait_for_first_byte(connection.get_ref()) {
+        Ok(1..) => HttpMessage::read(connection).ok_or("broke off"),
+        Ok(0) if is_reused => Err("crossed"),
+        Ok(_) => Err("closed"),
+        Err(e) if is_reused && e.kind() == io::ErrorKind::ConnectionReset => Err("crossed"),
+        Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => Err("none"),
+        Err(_) => Err("reset"),
+    }
+}
+
+/// Returns 0 where the connection was closed.
+fn wait_for_first_byte(stream: &TcpStream) -> io::Result<usize> {
+    loop {
+        match stream.peek(&mut [0]) {
+            // A paused machine interrupts a read that has a time limit.
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            peeked => return peeked,
         }
-        note.ended = mono();
-        locked(&self.traffic.answered).push(note);
     }
 }
--- a/crates/fakes/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -1,25 +1,26 @@
-//! A sink for exported use, over HTTP, with a durable file. docs/operators/sink.md has the protocol, so that
+//! A sink for exported usage, over HTTP, with records on disk. docs/operators/sink.md has the protocol, so that
 //! others can write one.
 
 use std::io::{BufReader, Write};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex};
 
 use lynxstair_export::{Batch, BatchReply, SinkState, StreamStatus};
 use lynxstair_record_log::RecordLog;
 use serde::{Deserialize, Serialize};
 
-use crate::load::mono;
-use crate::message::Message;
-use crate::{listener, serve};
+use crate::load::monotonic_nanos;
+use crate::message::HttpMessage;
+use crate::{listener, lock, serve};
 
-/// What a sink writes down.
+/// What a sink stores.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 enum Record {
-    Seen {
+    #[serde(rename = "seen")]
+    Epoch {
         epoch: u64,
     },
     Batch {
@@ -34,89 +35,104 @@
     },
 }
 
-/// A batch that came to a sink, and what the sink replied.
+/// A batch that a sink received, and its reply.
 #[derive(Clone, Debug, Serialize)]
-pub struct Landed {
-    /// By `mono`.
-    pub at: u64,
+pub struct ReceivedBatch {
+    /// By [`monotonic_nanos`].
+    #[serde(rename = "at")]
+    pub received_at: u64,
+    /// The caller's epoch.
     pub epoch: u64,
+    /// The batch.
     pub batch: Batch,
+    /// The reply.
     #[serde(rename = "says")]
     pub reply: BatchReply,
 }
 
-struct Inside {
+/// Why a sink can't be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum SinkOpenError {
+    /// Its file can't be read.
+    #[error(transparent)]
+    Log(#[from] lynxstair_record_log::Error),
+    /// A record in it is not understood.
+    #[error(transparent)]
+    Record(#[from] serde_json::Error),
+}
+
+struct Inner {
     state: SinkState,
     log: RecordLog,
-    landed: Vec<Landed>,
+    received: Vec<ReceivedBatch>,
 }
 
-impl Inside {
-    fn open(folder: &Path) -> Result<Self, String> {
-        let opened = RecordLog::open(folder, "sink", None).map_err(|e| e.to_string())?;
+impl Inner {
+    fn open(directory: &Path) -> Result<Self, SinkOpenError> {
+        let opened = RecordLog::open(directory, "sink", None)?;
         let mut state = SinkState::default();
         for bytes in &opened.records {
-            match serde_json::from_slice(bytes).map_err(|e| e.to_string())? {
-                Record::Seen { epoch } => {
+            match serde_json::from_slice(bytes)? {
+                Record::Epoch { epoch } => {
                     state.observe_epoch(epoch);
                 }
                 Record::Batch { epoch, batch } => state.store(epoch, &batch),
                 Record::Status { epoch, status } => state.store_status(epoch, &status),
             }
         }
-        Ok(Inside { state, log: opened.log, landed: Vec::new() })
+        Ok(Inner { state, log: opened.log, received: Vec::new() })
+    }
+
+    /// Stores a record. The error is the response to the caller.
+    fn append(&mut self, record: &Record) -> Result<(), HttpResponse> {
+        let bytes = serde_json::to_vec(record).unwrap_or_default();
+        self.log.append(&bytes).map(|_| ()).map_err(|e| HttpResponse::new(500, e.to_string()))
+    }
+
+    fn fenced(&self) -> HttpResponse {
+        HttpResponse::json(409, &BatchReply::Fenced { highest_epoch: self.state.highest_epoch })
     }
 }
 
 /// A sink on loopback, and the faults it is to have.
-///
-/// It is set back to an earlier file by [`Sink::set_back`].
 pub struct Sink {
+    /// Where it listens.
     pub addr: SocketAddr,
-    inside: Arc<Mutex<Inside>>,
-    /// It accepts no connection, or closes each at once.
+    inner: Arc<Mutex<Inner>>,
+    /// It closes each connection without a response.
     pub down: Arc<AtomicBool>,
-    /// So many answers more are lost: what was asked is done.
+    /// So many further responses are lost; what was asked for is done.
     pub lose_answers: Arc<AtomicU32>,
-    /// Taken out: a lower epoch is taken, too.
+    /// For trials: it accepts lower epochs than it saw.
     pub no_refusal: Arc<AtomicBool>,
 }
 
-fn locked(of: &Mutex<Inside>) -> MutexGuard<'_, Inside> {
-    of.lock().unwrap_or_else(|e| e.into_inner())
-}
-
 impl Sink {
-    /// With what lies in its folder.
+    /// Opens a sink with the records in its directory.
     ///
     /// # Errors
-    /// Where that can't be read.
-    pub fn open(folder: &Path) -> Result<Sink, String> {
-        let inside = Inside::open(folder)?;
-        let inside = Arc::new(Mutex::new(inside));
+    /// They can't be read.
+    pub fn open(directory: &Path) -> Result<Sink, SinkOpenError> {
         let (on, addr) = listener();
         let sink = Sink {
             addr,
-            inside: inside.clone(),
+            inner: Arc::new(Mutex::new(Inner::open(directory)?)),
             down: Arc::default(),
             lose_answers: Arc::default(),
             no_refusal: Arc::default(),
         };
-        let (down, lose, no_refusal) =
-            (sink.down.clone(), sink.lose_answers.clone(), sink.no_refusal.clone());
+        let inner = sink.inner.clone();
+        let (down, lose_answers) = (sink.down.clone(), sink.lose_answers.clone());
+        let no_refusal = sink.no_refusal.clone();
         serve(on, move |stream| {
             let Ok(reading) = stream.try_clone() else { return };
             let mut reader = BufReader::new(reading);
-            while let Some(message) = Message::read(&mut reader) {
+            while let Some(message) = HttpMessage::read(&mut reader) {
                 if down.load(Ordering::SeqCst) {
                     return;
                 }
-                let said = answer(&inside, &message, no_refusal.load(Ordering::SeqCst));
-                let less = |n: u32| n.checked_sub(1);
-                if lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok() {
-                    return;
-                }
-                if (&stream).write_all(said.as_bytes()).is_err() {
+                let response = answer(&mut lock(&inner), &message, no_refusal.load(Ordering::SeqCst));
+                if take_one(&lose_answers) || (&stream).write_all(response.encode().as_bytes()).is_err() {
                     return;
                 }
             }
@@ -124,96 +140,116 @@
         Ok(sink)
     }
 
-    /// Goes on from another folder: from a copy of its file as it was earlier.
+    /// Goes on from another directory: from a copy of its records as they were earlier.
     ///
     /// # Errors
-    /// Where that can't be read.
-    pub fn set_back(&self, folder: &Path) -> Result<(), String> {
-        let landed = self.landed();
-        *locked(&self.inside) = Inside { landed, ..Inside::open(folder)? };
+    /// They can't be read.
+    pub fn restore(&self, directory: &Path) -> Result<(), SinkOpenError> {
+        let received = self.received();
+        *lock(&self.inner) = Inner { received, ..Inner::open(directory)? };
         Ok(())
     }
 
     /// Streams of which something may be missing.
-    pub fn unknown(&self) -> Vec<StreamStatus> {
-        locked(&self.inside).state.incomplete.values().cloned().collect()
+    pub fn incomplete_streams(&self) -> Vec<StreamStatus> {
+        lock(&self.inner).state.incomplete.values().cloned().collect()
     }
 
-    /// All that came so far, since it was opened.
-    pub fn landed(&self) -> Vec<Landed> {
-        locked(&self.inside).landed.clone()
+    /// All batches received since it was opened.
+    pub fn received(&self) -> Vec<ReceivedBatch> {
+        lock(&self.inner).received.clone()
     }
 }
 
-fn answer(inside: &Mutex<Inside>, message: &Message, no_refusal: bool) -> String {
-    let say = |status: u16, body: String| {
-        format!("HTTP/1.1 {status} Said\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-    };
-    let mut words = message.first.split(' ');
+/// Counts down; false where nothing was left.
+fn take_one(left: &AtomicU32) -> bool {
+    let decrement = |n: u32| n.checked_sub(1);
+    left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
+}
+
+struct HttpResponse {
+    status: u16,
+    body: String,
+}
+
+impl HttpResponse {
+    fn new(status: u16, body: impl Into<String>) -> Self {
+        HttpResponse { status, body: body.into() }
+    }
+
+    fn json(status: u16, value: &impl Serialize) -> Self {
+        HttpResponse::new(status, serde_json::to_string(value).unwrap_or_default())
+    }
+
+    fn encode(&self) -> String {
+        let (status, length, body) = (self.status, self.body.len(), &self.body);
+        format!("HTTP/1.1 {status} Said\r\nContent-Length: {length}\r\n\r\n{body}")
+    }
+}
+
+fn answer(inner: &mut Inner, message: &HttpMessage, no_refusal: bool) -> HttpResponse {
+    let mut words = message.start_line.split(' ');
     let (method, target) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-    let epoch = target.split_once("?epoch=").and_then(|(_, e)| e.parse::<u64>().ok());
-    let path = target.split('?').next().unwrap_or("");
-    let Some(epoch) = epoch else { return say(400, "no epoch".to_string()) };
-    let mut inside = locked(inside);
-    match (method, path) {
-        ("GET", "/duties/export") => {
-            if epoch > inside.state.highest_epoch {
-                let record = serde_json::to_vec(&Record::Seen { epoch }).unwrap_or_default();
-                if let Err(e) = inside.log.append(&record) {
-                    return say(500, e.to_string());
-                }
-            }
-            if !inside.state.observe_epoch(epoch) && !no_refusal {
-                let reply = BatchReply::Fenced { highest_epoch: inside.state.highest_epoch };
-                return say(409, serde_json::to_string(&reply).unwrap_or_default());
-            }
-            let streams: Vec<_> = inside.state.positions.iter().collect();
-            let unknown: Vec<_> = inside.state.incomplete.keys().collect();
-            say(200, serde_json::to_string(&(streams, unknown)).unwrap_or_default())
-        }
-        ("POST", "/duties/export/batches") => {
-            let Ok(batch) = serde_json::from_slice::<Batch>(&message.body) else {
-                return say(400, "no batch".to_string());
-            };
-            // Whoever comes with a lower epoch is let in where refusal is taken out.
-            let by = if no_refusal { inside.state.highest_epoch.max(epoch) } else { epoch };
-            let reply = inside.state.check(by, &batch);
-            if reply == (BatchReply::Accepted { already_stored: false }) {
-                let record = Record::Batch { epoch, batch: batch.clone() };
-                let record = serde_json::to_vec(&record).unwrap_or_default();
-                if let Err(e) = inside.log.append(&record) {
-                    return say(500, e.to_string());
-                }
-                inside.state.store(epoch, &batch);
-            }
-            let status = match reply {
-                BatchReply::Accepted { .. } => 200,
-                BatchReply::Fenced { .. } => 409,
-                BatchReply::Gap { .. } => 412,
-                BatchReply::Conflict => 422,
-            };
-            let body = serde_json::to_string(&reply).unwrap_or_default();
-            inside.landed.push(Landed { at: mono(), epoch, batch, reply });
-            say(status, body)
-        }
-        ("POST", "/duties/export/marks") => {
-            let Ok(status) = serde_json::from_slice::<StreamStatus>(&message.body) else {
-                return say(400, "no mark".to_string());
-            };
-            if epoch < inside.state.highest_epoch && !no_refusal {
-                let reply = BatchReply::Fenced { highest_epoch: inside.state.highest_epoch };
-                return say(409, serde_json::to_string(&reply).unwrap_or_default());
-            }
-            let record = Record::Status { epoch, status: status.clone() };
-            if let Err(e) = inside.log.append(&serde_json::to_vec(&record).unwrap_or_default()) {
-                return say(500, e.to_string());
-            }
-            inside.state.store_status(epoch, &status);
-            say(
-                200,
-                serde_json::to_string(&BatchReply::Accepted { already_stored: false }).unwrap_or_default(),
-            )
-        }
-        _ => say(404, "nothing here".to_string()),
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    let epoch = query.strip_prefix("epoch=").and_then(|epoch| epoch.parse::<u64>().ok());
+    let Some(epoch) = epoch else { return HttpResponse::new(400, "no epoch") };
+    let result = match (method, path) {
+        ("GET", "/duties/export") => positions(inner, epoch, no_refusal),
+        ("POST", "/duties/export/batches") => receive_batch(inner, epoch, &message.body, no_refusal),
+        ("POST", "/duties/export/marks") => receive_status(inner, epoch, &message.body, no_refusal),
+        _ => Err(HttpResponse::new(404, "nothing here")),
+    };
+    result.unwrap_or_else(|response| response)
+}
+
+/// Tells how far it is; a lower epoch than this is refused from then on.
+fn positions(inner: &mut Inner, epoch: u64, no_refusal: bool) -> Result<HttpResponse, HttpResponse> {
+    if epoch > inner.state.highest_epoch {
+        inner.append(&Record::Epoch { epoch })?;
+    }
+    if !inner.state.observe_epoch(epoch) && !no_refusal {
+        return Err(inner.fenced());
+    }
+    let positions: Vec<_> = inner.state.positions.iter().collect();
+    let incomplete: Vec<_> = inner.state.incomplete.keys().collect();
+    Ok(HttpResponse::json(200, &(positions, incomplete)))
+}
+
+fn receive_batch(
+    inner: &mut Inner,
+    epoch: u64,
+    body: &[u8],
+    no_refusal: bool,
+) -> Result<HttpResponse, HttpResponse> {
+    let batch: Batch = serde_json::from_slice(body).map_err(|_| HttpResponse::new(400, "no batch"))?;
+    let checked_epoch = if no_refusal { inner.state.highest_epoch.max(epoch) } else { epoch };
+    let reply = inner.state.check(checked_epoch, &batch);
+    if reply == (BatchReply::Accepted { already_stored: false }) {
+        inner.append(&Record::Batch { epoch, batch: batch.clone() })?;
+        inner.state.store(epoch, &batch);
+    }
+    let status = match reply {
+        BatchReply::Accepted { .. } => 200,
+        BatchReply::Fenced { .. } => 409,
+        BatchReply::Gap { .. } => 412,
+        BatchReply::Conflict => 422,
+    };
+    let response = HttpResponse::json(status, &reply);
+    inner.received.push(ReceivedBatch { received_at: monotonic_nanos(), epoch, batch, reply });
+    Ok(response)
+}
+
+fn receive_status(
+    inner: &mut Inner,
+    epoch: u64,
+    body: &[u8],
+    no_refusal: bool,
+) -> Result<HttpResponse, HttpResponse> {
+    let status: StreamStatus = serde_json::from_slice(body).map_err(|_| HttpResponse::new(400, "no mark"))?;
+    if epoch < inner.state.highest_epoch && !no_refusal {
+        return Err(inner.fenced());
     }
+    inner.append(&Record::Status { epoch, status: status.clone() })?;
+    inner.state.store_status(epoch, &status);
+    Ok(HttpResponse::json(200, &BatchReply::Accepted { already_stored: false }))
 }
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use lynxstair_export::BatchReply;
-use lynxstair_fakes::{Answered, Delivered, Landed};
+use lynxstair_fakes::{ReceivedAttempt, ReceivedBatch, RequestOutcome};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -186,10 +186,10 @@
     /// The first so many gatekeepers; none: no duty has an owner.
     pub voters: usize,
     /// What came to the sink, in its order; none: there was none.
-    pub landed: Option<Vec<Landed>>,
+    pub landed: Option<Vec<ReceivedBatch>>,
     pub processes: Vec<Process>,
-    pub answered: Vec<Answered>,
-    pub delivered: Vec<Delivered>,
+    pub answered: Vec<RequestOutcome>,
+    pub delivered: Vec<ReceivedAttempt>,
     pub drained: Option<(usize, u64)>,
     /// Stretches in which nothing but cuts lasted, and had lasted for some time.
     pub only_cuts: Vec<(u64, u64)>,
@@ -586,21 +586,21 @@
         }
     }
 
-    fn effects(&mut self, landed: &[Landed]) {
-        let mut last: Option<&Landed> = None;
+    fn effects(&mut self, landed: &[ReceivedBatch]) {
+        let mut last: Option<&ReceivedBatch> = None;
         for one in landed.iter().filter(|l| matches!(l.reply, BatchReply::Accepted { .. })) {
             if let Some(before) = last.filter(|b| b.epoch > one.epoch) {
                 let what =
                     format!("an effect of epoch {} was taken after one of {}", one.epoch, before.epoch);
                 let lines = [before, one].map(|l| serde_json::to_string(l).unwrap_or_default());
-                self.breaks("effects-in-order", one.at, &[], what, lines.to_vec());
+                self.breaks("effects-in-order", one.received_at, &[], what, lines.to_vec());
             }
             last = last.filter(|b| b.epoch > one.epoch).or(Some(one));
         }
     }
 
     /// What clients were told is there; what they were not told may be there where a worker ran it.
-    fn exported(&mut self, landed: &[Landed]) {
+    fn exported(&mut self, landed: &[ReceivedBatch]) {
         let seen = self.seen;
         let mut sums: BTreeMap<(&str, u64), (u64, u64, u64)> = BTreeMap::new();
         for one in landed.iter().filter(|l| l.reply == BatchReply::Accepted { already_stored: false }) {
@@ -610,20 +610,20 @@
             }
         }
         for one in &seen.answered {
-            let sum = sums.entry((one.gatekeeper.as_str(), one.customer)).or_default();
+            let sum = sums.entry((one.gatekeeper.as_str(), one.tenant)).or_default();
             match one.status {
                 Some(200) => sum.1 += 1_000,
                 None => sum.2 += 1_000,
                 _ => {}
             }
         }
-        for ((who, customer), (exported, told, untold)) in sums {
+        for ((who, tenant), (exported, told, untold)) in sums {
             let judged = seen.processes.iter().any(|p| p.name == who && p.keeps_uses());
             // Without an owner it waits where it is; what is more than was told is wrong in any case.
             let least = if self.has_voters() { told } else { 0 };
             if judged && !(least..=told + untold).contains(&exported) {
                 let what = format!(
-                    "customer {customer:x} at {who}: {:.3} units at the sink, {:.3} answered as succeeded, {:.3} \
+                    "customer {tenant:x} at {who}: {:.3} units at the sink, {:.3} answered as succeeded, {:.3} \
                      without an answer",
                     exported as f64 / 1e3,
                     told as f64 / 1e3,
@@ -727,17 +727,17 @@
         let mut served: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for one in &seen.answered {
             let who = one.gatekeeper.as_str();
-            let undisturbed = quiet(who, one.sent.saturating_sub(500_000_000), one.ended);
+            let undisturbed = quiet(who, one.sent_at.saturating_sub(500_000_000), one.ended_at);
             let said = || vec![serde_json::to_string(one).unwrap_or_default()];
-            if one.extra > 0 {
-                let what = format!("{} bytes came behind the one answer to {:x}", one.extra, one.id);
-                self.breaks("one-answer", one.ended, &[who], what, said());
+            if one.extra_bytes > 0 {
+                let what = format!("{} bytes came behind the one answer to {:x}", one.extra_bytes, one.id);
+                self.breaks("one-answer", one.ended_at, &[who], what, said());
             }
-            if undisturbed && one.status.is_none() && one.why != "crossed" {
-                let what = format!("no answer to {:x} in time: {}", one.id, one.why);
-                self.breaks("one-answer", one.ended, &[who], what, said());
+            if undisturbed && one.status.is_none() && one.reason != "crossed" {
+                let what = format!("no answer to {:x} in time: {}", one.id, one.reason);
+                self.breaks("one-answer", one.ended_at, &[who], what, said());
             }
-            if undisturbed && one.why != "crossed" {
+            if undisturbed && one.reason != "crossed" {
                 let count = served.entry(who).or_default();
                 count.0 += 1;
                 count.1 += usize::from(one.status == Some(200));
@@ -749,8 +749,8 @@
                 self.breaks("served-through", seen.ended, &[who], what, Vec::new());
             }
         }
-        let by_id: HashMap<u64, &Answered> = seen.answered.iter().map(|a| (a.id, a)).collect();
-        let mut runs: HashMap<u64, Vec<&Delivered>> = HashMap::new();
+        let by_id: HashMap<u64, &RequestOutcome> = seen.answered.iter().map(|a| (a.id, a)).collect();
+        let mut runs: HashMap<u64, Vec<&ReceivedAttempt>> = HashMap::new();
         for one in &seen.delivered {
             runs.entry(one.id).or_default().push(one);
         }
@@ -760,16 +760,16 @@
                 || runs.iter().map(|d| serde_json::to_string(d).unwrap_or_default()).collect::<Vec<_>>();
             if asked.operation == "put" && runs.len() > 1 {
                 let what = format!("{id:x} is not idempotent and was run {} times", runs.len());
-                self.breaks("no-effect-twice", runs[1].at, &[&asked.gatekeeper], what, said());
+                self.breaks("no-effect-twice", runs[1].received_at, &[&asked.gatekeeper], what, said());
             }
             let Some((worker, told)) = seen.drained else { continue };
-            for run in runs.iter().filter(|r| r.worker == worker && r.at > told + DRAINED) {
-                if quiet(&asked.gatekeeper, told.saturating_sub(DRAINED), run.at) {
+            for run in runs.iter().filter(|r| r.worker == worker && r.received_at > told + DRAINED) {
+                if quiet(&asked.gatekeeper, told.saturating_sub(DRAINED), run.received_at) {
                     let what = format!(
                         "{id:x} went to worker {worker}, {:.2} s after it drained",
-                        (run.at - told) as f64 / 1e9
+                        (run.received_at - told) as f64 / 1e9
                     );
-                    self.breaks("nothing-to-drained", run.at, &[&asked.gatekeeper], what, said());
+                    self.breaks("nothing-to-drained", run.received_at, &[&asked.gatekeeper], what, said());
                 }
             }
         }
--- a/crates/fault-injection/src/judge/tests.rs
+++ b/crates/fault-injection/src/judge/tests.rs
@@ -30,11 +30,16 @@
 }
 
 /// One unit of customer 5 at g1.
-fn landed(epoch: u64, number: u64, at: u64) -> Landed {
+fn landed(epoch: u64, number: u64, at: u64) -> ReceivedBatch {
     let stream = StreamId { gatekeeper: "g1".to_string(), directory_id: 1 };
     let sums = vec![UsageSum { tenant: 5, operation: 0, window: 1, milli_units: 1_000 }];
     let batch = Batch { stream, number, sums, unreadable_records: 0 };
-    Landed { at: at * SECOND, epoch, batch, reply: BatchReply::Accepted { already_stored: number > 1 } }
+    ReceivedBatch {
+        received_at: at * SECOND,
+        epoch,
+        batch,
+        reply: BatchReply::Accepted { already_stored: number > 1 },
+    }
 }
 
 fn owns(at: f64, epoch: u64) -> String {
@@ -70,10 +75,20 @@
     }
 }
 
-fn answered(id: u64, operation: &'static str, status: Option<u16>) -> Answered {
+fn answered(id: u64, operation: &'static str, status: Option<u16>) -> RequestOutcome {
     let (sent, ended) = (5 * SECOND, 5 * SECOND + 1_000_000);
     let why = if status.is_none() { "none" } else { "" };
-    Answered { id, gatekeeper: "g1".to_string(), customer: 5, operation, sent, ended, status, why, extra: 0 }
+    RequestOutcome {
+        id,
+        gatekeeper: "g1".to_string(),
+        tenant: 5,
+        operation,
+        sent_at: sent,
+        ended_at: ended,
+        status,
+        reason: why,
+        extra_bytes: 0,
+    }
 }
 
 fn broken(seen: &Observed) -> Vec<&'static str> {
@@ -183,15 +198,17 @@
         ("ends-well", |s| s.processes[0].ended_badly = Some((6 * SECOND, "code 101".to_string()))),
         ("history-whole", |s| s.processes[0].history.insert(1, "{\"mono\":".to_string())),
         ("one-answer", |s| s.answered = vec![answered(1, "get", None)]),
-        ("one-answer", |s| s.answered = vec![Answered { extra: 5, ..answered(1, "get", Some(200)) }]),
+        ("one-answer", |s| {
+            s.answered = vec![RequestOutcome { extra_bytes: 5, ..answered(1, "get", Some(200)) }]
+        }),
         ("no-effect-twice", |s| {
             s.answered = vec![answered(1, "put", Some(200))];
-            s.delivered = vec![Delivered { id: 1, worker: 1, at: 6 * SECOND }; 2];
+            s.delivered = vec![ReceivedAttempt { id: 1, worker: 1, received_at: 6 * SECOND }; 2];
         }),
         ("nothing-to-drained", |s| {
             s.answered = vec![answered(1, "get", Some(200))];
             s.drained = Some((1, 4 * SECOND));
-            s.delivered = vec![Delivered { id: 1, worker: 1, at: 6 * SECOND }];
+            s.delivered = vec![ReceivedAttempt { id: 1, worker: 1, received_at: 6 * SECOND }];
         }),
         ("served-through", |s| s.answered = (0..40).map(|n| answered(n, "get", Some(429))).collect()),
         ("states-follow", |s| {
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -18,7 +18,9 @@
 use lynxstair_cluster::DUTIES;
 use lynxstair_cluster::protocol::{Request, Response};
 use lynxstair_export::BatchReply;
-use lynxstair_fakes::{Load, Message, Plan, Sink, ask, config_named, free_port, mono};
+use lynxstair_fakes::{
+    HttpMessage, Load, LoadPlan, Sink, config_named, exchange, free_port, monotonic_nanos,
+};
 use lynxstair_leases::{DutyView, HolderState};
 use lynxstair_membership::{DisabledParts, Phase, State};
 use nix::sys::signal::{Signal, kill};
@@ -126,7 +128,9 @@
     fs::create_dir_all(&folder).map_err(failed(folder.display().to_string()))?;
     let place = Place::find(trial.gatekeepers).map_err(failed("addresses of its own"))?;
     let relay = Relay::start(place, trial.gatekeepers, trial.seed).map_err(failed("the links"))?;
-    let load = trial.load.map(|l| Load::new(Plan { per_second: l.invocations_per_second, workers: WORKERS }));
+    let load = trial
+        .load
+        .map(|l| Load::new(LoadPlan { requests_per_second: l.invocations_per_second, workers: WORKERS }));
     let sink = match (&load, trial.voters) {
         (Some(_), Some(_)) => {
             let sink = Sink::open(&folder.join("sink"));
@@ -233,7 +237,7 @@
         fs::write(self.folder.join(format!("{name}.toml")), fleet)?;
         let nobody = free_port();
         let (known, counter, discovery) = match &self.load {
-            Some(load) => (load.known(), load.counter.addr, load.discovery.addr),
+            Some(load) => (load.worker_list(), load.counter.addr, load.discovery.addr),
             None => (r#"{"revision":1,"complete":true,"members":[]}"#.to_string(), nobody, nobody),
         };
         let config = config_named(name, self.place.serving(n).into(), &known, counter, discovery);
@@ -287,7 +291,7 @@
         if let Ok(Some(status)) = child.try_wait() {
             gatekeeper.child = None;
             let why = format!("ended by itself, {status}");
-            gatekeeper.process.ended_badly.get_or_insert((mono(), why));
+            gatekeeper.process.ended_badly.get_or_insert((monotonic_nanos(), why));
         }
     }
 
@@ -305,7 +309,7 @@
             never_failed: self.trial.must.never_failed.iter().map(|n| Trial::name_of(*n)).collect(),
             seen_failed: self.trial.must.seen_failed.iter().map(|n| Trial::name_of(*n)).collect(),
             voters: self.trial.voters.unwrap_or_default(),
-            began: mono(),
+            began: monotonic_nanos(),
             ..Observed::default()
         };
         self.began = Instant::now();
@@ -358,7 +362,7 @@
         let addr = self.place.serving(n).into();
         let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(200)) else { return false };
         let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
-        ask(&stream, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m: Message| m.status() == 200)
+        exchange(&stream, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m: HttpMessage| m.status() == 200)
     }
 
     fn steps(&self) -> Vec<(f64, Step)> {
@@ -390,12 +394,12 @@
             .map(|n| (self.name(n).to_string(), self.place.serving(n).into()))
             .collect();
         if let Some(load) = &mut self.load {
-            load.begin(&serving);
+            load.start_clients(&serving);
         }
         for gatekeeper in &mut self.gatekeepers {
             gatekeeper.cpu = gatekeeper.child.as_ref().and_then(|c| cpu(c.id())).unwrap_or_default();
         }
-        let mut faults_over = mono();
+        let mut faults_over = monotonic_nanos();
         for (at, step) in self.steps() {
             self.wait_to(at)?;
             if step != Step::Drains {
@@ -403,7 +407,7 @@
             }
             self.take(step)?;
             if step != Step::Drains {
-                faults_over = mono();
+                faults_over = monotonic_nanos();
             }
         }
         self.wait_to(self.trial.seconds)?;
@@ -411,11 +415,11 @@
         observed.cpu = self.cpu();
         // Long enough to see whether all agree in time, and that it lasts; flaps need their clock no more.
         let agree = Duration::from_secs_f64(self.trial.must.agree_within);
-        let since = Duration::from_nanos(mono() - faults_over);
+        let since = Duration::from_nanos(monotonic_nanos() - faults_over);
         let left = (agree + LASTS).saturating_sub(since);
         self.wait(Instant::now() + left.max(LASTS))?;
         if let Some(load) = &mut self.load {
-            load.end();
+            load.stop_clients();
         }
         self.wait_for_export()
     }
@@ -423,7 +427,7 @@
     /// Until the sink has what clients were told, for a time; whether it does is the judge's.
     fn wait_for_export(&mut self) -> Result<(), Failed> {
         let (Some(load), Some(sink)) = (&self.load, &self.sink) else { return Ok(()) };
-        let answered = load.traffic.answered.lock().map(|a| a.clone()).unwrap_or_default();
+        let answered = load.traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
         let is_so =
             |g: &Gatekeeper| g.child.is_some() && g.process.disk_lost.is_empty() && !g.process.uses_lost;
         let runs = |name: &str| self.gatekeepers.iter().any(|g| g.process.name == name && is_so(g));
@@ -431,7 +435,7 @@
         let began = Instant::now();
         loop {
             let taken = sink
-                .landed()
+                .received()
                 .into_iter()
                 .filter(|l| l.reply == BatchReply::Accepted { already_stored: false });
             let taken: u64 =
@@ -472,7 +476,7 @@
             }
             Step::Drains => {
                 if let Some(load) = &self.load {
-                    load.drain_one();
+                    load.drain_first_worker();
                 }
             }
         }
@@ -482,7 +486,7 @@
     /// The stretch since the last change, where nothing but cuts lasted in it and there was time to find them
     /// out.
     fn only_cuts(&self, since: u64) -> Option<(u64, u64)> {
-        let (from, to) = (since + FOUND_OUT, mono());
+        let (from, to) = (since + FOUND_OUT, monotonic_nanos());
         let faults = || self.active.iter().map(|f| &self.faults[*f].kind);
         let cuts = faults().next().is_some() && faults().all(|k| matches!(k, Kind::Cut { .. }));
         (cuts && self.gatekeepers.iter().all(|g| g.disturbed_since.is_none()) && from < to)
@@ -490,13 +494,13 @@
     }
 
     fn disturb(&mut self, n: usize) {
-        self.gatekeepers[n].disturbed_since.get_or_insert(mono());
+        self.gatekeepers[n].disturbed_since.get_or_insert(monotonic_nanos());
     }
 
     /// Nothing is done to it any more; what it missed it has a second for.
     fn calm(&mut self, n: usize) {
         if let Some(since) = self.gatekeepers[n].disturbed_since.take() {
-            self.gatekeepers[n].process.disturbed.push((since, mono() + 1_000_000_000));
+            self.gatekeepers[n].process.disturbed.push((since, monotonic_nanos() + 1_000_000_000));
         }
     }
 
@@ -603,7 +607,7 @@
         if let Some(mut child) = gatekeeper.child.take() {
             let _ = child.kill();
             let _ = child.wait();
-            gatekeeper.process.killed.push(mono());
+            gatekeeper.process.killed.push(monotonic_nanos());
         }
         let data = self.data(n);
         let lost = match disk {
@@ -616,7 +620,7 @@
             }
         };
         if lost {
-            self.gatekeepers[n].process.disk_lost.push(mono());
+            self.gatekeepers[n].process.disk_lost.push(monotonic_nanos());
         }
     }
 
@@ -635,14 +639,17 @@
             // Told so soon that it had not yet said that it listens to signals.
             Some(status) if status.signal().is_some() && gatekeeper.started.elapsed() < STARTS_WITHIN => {}
             Some(status) => {
-                gatekeeper.process.ended_badly.get_or_insert((mono(), format!("told to end, {status}")));
+                gatekeeper
+                    .process
+                    .ended_badly
+                    .get_or_insert((monotonic_nanos(), format!("told to end, {status}")));
             }
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
                 if !paused {
                     let why = "told to end, and had not after 6 s".to_string();
-                    gatekeeper.process.ended_badly.get_or_insert((mono(), why));
+                    gatekeeper.process.ended_badly.get_or_insert((monotonic_nanos(), why));
                 }
             }
         }
@@ -714,7 +721,7 @@
             self.look_at(n);
             self.gatekeepers[n].process.runs = self.gatekeepers[n].child.is_some();
         }
-        let ended = mono();
+        let ended = monotonic_nanos();
         observed.ended = ended;
         for n in 0..self.gatekeepers.len() {
             self.calm(n);
@@ -742,7 +749,7 @@
                     "told to end, and had not after 6 s".to_string()
                 }
             };
-            gatekeeper.process.ended_badly.get_or_insert((mono(), why));
+            gatekeeper.process.ended_badly.get_or_insert((monotonic_nanos(), why));
         }
         for gatekeeper in &mut self.gatekeepers {
             let path = self.folder.join(format!("{}.jsonl", gatekeeper.process.name));
@@ -753,9 +760,9 @@
         }
         if let Some(load) = &self.load {
             let traffic = &load.traffic;
-            observed.answered = traffic.answered.lock().map(|a| a.clone()).unwrap_or_default();
-            observed.delivered = traffic.delivered.lock().map(|d| d.clone()).unwrap_or_default();
-            observed.landed = self.sink.as_ref().map(Sink::landed);
+            observed.answered = traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
+            observed.delivered = traffic.attempts.lock().map(|d| d.clone()).unwrap_or_default();
+            observed.landed = self.sink.as_ref().map(Sink::received);
             observed.drained = traffic.drained.lock().ok().and_then(|d| *d);
         }
         if self.stage.keep.is_some() {
--- a/crates/gatekeeper/tests/sockets.rs
+++ b/crates/gatekeeper/tests/sockets.rs
@@ -8,51 +8,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use support::{Does, Message, World, ask, config, counter, discovery, member, program, text};
+use support::{
+    HttpMessage, WorkerAction, World, config, counter, discovery, exchange, program, request_text,
+    worker_entry,
+};
 
-/// What the client gets, and how many deliveries were made, by what becomes of each of them.
+/// What the client gets, and how many attempts were made, by what becomes of each of them.
 #[test]
 fn what_becomes_of_deliveries() {
-    use Does::*;
-    let cases: [(&str, &[Does], u16, usize); 19] = [
-        ("get", &[Succeeds], 200, 1),
-        ("get", &[SucceedsChunked], 200, 1),
-        ("get", &[SucceedsAndCloses], 200, 1),
-        ("get", &[Errors, Succeeds], 200, 2),
-        ("get", &[TurnsAway, Succeeds], 200, 2),
-        ("get", &[SaysBusy, Succeeds], 200, 2),
-        ("get", &[Resets, Succeeds], 200, 2),
-        ("get", &[BreaksOff, Succeeds], 200, 2),
+    use WorkerAction::*;
+    let cases: [(&str, &[WorkerAction], u16, usize); 19] = [
+        ("get", &[Succeed], 200, 1),
+        ("get", &[SucceedChunked], 200, 1),
+        ("get", &[SucceedAndClose], 200, 1),
+        ("get", &[Fail, Succeed], 200, 2),
+        ("get", &[RejectUnstarted, Succeed], 200, 2),
+        ("get", &[RejectBusy, Succeed], 200, 2),
+        ("get", &[Reset, Succeed], 200, 2),
+        ("get", &[Truncate, Succeed], 200, 2),
         // At most three, then harmless to try again.
-        ("get", &[Errors, Errors, Errors, Succeeds], 429, 3),
-        ("put", &[Succeeds], 200, 1),
-        ("put", &[SucceedsChunked], 200, 1),
+        ("get", &[Fail, Fail, Fail, Succeed], 429, 3),
+        ("put", &[Succeed], 200, 1),
+        ("put", &[SucceedChunked], 200, 1),
         // Proved never to have run: another one, and a throttle at the end.
-        ("put", &[TurnsAway, Succeeds], 200, 2),
-        ("put", &[TurnsAway, TurnsAway, TurnsAway], 429, 3),
+        ("put", &[RejectUnstarted, Succeed], 200, 2),
+        ("put", &[RejectUnstarted, RejectUnstarted, RejectUnstarted], 429, 3),
         // It may have run: never again, and no promise.
-        ("put", &[Errors, Succeeds], 502, 1),
-        ("put", &[SaysBusy, Succeeds], 502, 1),
-        ("put", &[Resets, Succeeds], 502, 1),
-        ("put", &[BreaksOff, Succeeds], 502, 1),
-        ("put", &[TurnsAway, Errors, Succeeds], 502, 2),
-        ("put", &[Hangs, Succeeds], 502, 1),
+        ("put", &[Fail, Succeed], 502, 1),
+        ("put", &[RejectBusy, Succeed], 502, 1),
+        ("put", &[Reset, Succeed], 502, 1),
+        ("put", &[Truncate, Succeed], 502, 1),
+        ("put", &[RejectUnstarted, Fail, Succeed], 502, 2),
+        ("put", &[Hang, Succeed], 502, 1),
     ];
-    for (operation, does, wanted, deliveries) in cases {
+    for (operation, does, wanted, attempts) in cases {
         // Each in a world of its own: what one leads to must not bear on the next.
         let world = World::new(4, 0, Some(1.0));
         let id = world.script(does);
         let started = Instant::now();
-        let answer = world.invoke(&text(operation, "wide", &id, 800)).expect("an answer");
+        let answer = world.invoke(&request_text(operation, "wide", &id, 800)).expect("an answer");
         let case = format!("{operation} {does:?}");
         assert!(started.elapsed() < Duration::from_millis(1_000), "{case}: {:?}", started.elapsed());
-        let seen = world.seen.of(&id);
-        assert_eq!((answer.status(), seen.len()), (wanted, deliveries), "{case}");
+        let seen = world.seen.attempts_of(&id);
+        assert_eq!((answer.status(), seen.len()), (wanted, attempts), "{case}");
         if wanted == 200 {
             assert_eq!(answer.body, format!("answer to {id}").into_bytes(), "{case}");
         }
         for (_, message) in seen {
-            assert!(message.first.contains(&format!("/{operation}/a?q=1 HTTP/1.1")), "{}", message.first);
+            assert!(
+                message.start_line.contains(&format!("/{operation}/a?q=1 HTTP/1.1")),
+                "{}",
+                message.start_line
+            );
             assert_eq!((message.header("x-more"), message.body.len() % 4), ("kept", 0));
             assert!(message.header("request-timeout-ms").parse::<u32>().is_ok_and(|ms| ms < 800));
         }
@@ -65,8 +72,8 @@
     let world = World::new(2, 2, Some(1.0));
     for _ in 0..8 {
         let id = world.script(&[]);
-        let answer = world.invoke(&text("put", "wide", &id, 800)).expect("an answer");
-        assert_eq!((answer.status(), world.seen.of(&id).len()), (200, 1));
+        let answer = world.invoke(&request_text("put", "wide", &id, 800)).expect("an answer");
+        assert_eq!((answer.status(), world.seen.attempts_of(&id).len()), (200, 1));
     }
 }
 
@@ -74,8 +81,8 @@
 #[test]
 fn bad_input() {
     let world = World::new(2, 0, Some(1.0));
-    let good = text("get", "wide", "00000000000000ff", 800);
-    let put = text("put", "wide", "00000000000000ff", 800);
+    let good = request_text("get", "wide", "00000000000000ff", 800);
+    let put = request_text("put", "wide", "00000000000000ff", 800);
     let long = |n| put.replace("Content-Length: 4", &format!("Content-Length: {n}"));
     let chunked =
         |chunk| put.replace("Content-Length: 4", "Transfer-Encoding: chunked").replace("body", chunk);
@@ -120,14 +127,14 @@
         let answer = world.invoke(&text).unwrap_or_default();
         assert_eq!(answer.status(), wanted, "{case}");
     }
-    assert_eq!(world.seen.of("00000000000000ff").len(), 0);
+    assert_eq!(world.seen.attempts_of("00000000000000ff").len(), 0);
     // Fields and parts that are not known are passed over.
     let id = world.script(&[]);
-    let odd = text("get", "wide", &id, 800).replace("first=0", "first=0,more=x,,=");
+    let odd = request_text("get", "wide", &id, 800).replace("first=0", "first=0,more=x,,=");
     let odd = odd.replace("X-More", "Connection: keep-alive, X-Mine\r\nX-Mine: 1\r\nX-More");
     assert_eq!(world.invoke(&odd).expect("an answer").status(), 200);
     // What belongs to the client's connection stays there.
-    let seen = &world.seen.of(&id)[0].1;
+    let seen = &world.seen.attempts_of(&id)[0].1;
     assert_eq!((seen.header("x-mine"), seen.header("connection"), seen.header("x-more")), ("", "", "kept"));
 }
 
@@ -136,19 +143,19 @@
 #[test]
 fn ids_that_are_open() {
     let world = World::new(2, 0, Some(1.0));
-    let id = world.script(&[Does::SucceedsIn(300), Does::Hangs]);
-    let put = text("put", "wide", &id, 3000);
+    let id = world.script(&[WorkerAction::SucceedAfterMs(300), WorkerAction::Hang]);
+    let put = request_text("put", "wide", &id, 3000);
     let client = world.client();
     (&client).write_all(put.as_bytes()).expect("written");
-    world.until("the delivery has come", || world.seen.of(&id).len() == 1);
+    world.until("the delivery has come", || world.seen.attempts_of(&id).len() == 1);
     assert_eq!(world.invoke(&put).expect("an answer").status(), 409);
-    assert_eq!(Message::read(&mut BufReader::new(&client)).expect("an answer").status(), 200);
+    assert_eq!(HttpMessage::read(&mut BufReader::new(&client)).expect("an answer").status(), 200);
     (&client).write_all(put.as_bytes()).expect("written");
-    world.until("the next has come", || world.seen.of(&id).len() == 2);
+    world.until("the next has come", || world.seen.attempts_of(&id).len() == 2);
     drop(client);
     world.until("the client is gone", || world.seen.closed.load(Ordering::SeqCst) == 1);
     assert_eq!(world.invoke(&put).expect("an answer").status(), 200);
-    assert_eq!(world.seen.of(&id).len(), 3);
+    assert_eq!(world.seen.attempts_of(&id).len(), 3);
 }
 
 /// Who says nothing, half a message or only what can't be used is let go of in time, and the others go on: with
@@ -157,7 +164,9 @@
 fn clients_that_take_up_room() {
     let world = World::new(2, 0, Some(1.0));
     let kept = world.client();
-    let invoke = || ask(&kept, &text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status();
+    let invoke = || {
+        exchange(&kept, &request_text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status()
+    };
     assert_eq!(invoke(), 200);
     let started = Instant::now();
     let (silent, half, hasty) = (world.client(), world.client(), world.client());
@@ -174,11 +183,12 @@
         }
     };
     assert_eq!(end, 0);
-    assert_eq!(Message::read(&mut BufReader::new(&half)).expect("an answer").status(), 408);
+    assert_eq!(HttpMessage::read(&mut BufReader::new(&half)).expect("an answer").status(), 408);
     assert!(started.elapsed() < Duration::from_millis(3_000), "{:?}", started.elapsed());
     // Of 256 descriptors 145 are for clients.
     let crowd: Vec<_> = (0..300).map(|_| world.client()).collect();
-    let again = || world.invoke(&text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status();
+    let again =
+        || world.invoke(&request_text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status();
     assert_eq!(again(), 200);
     assert_eq!(crowd.len(), 300);
 }
@@ -188,7 +198,7 @@
 fn the_longest_idle_makes_room() {
     let world = World::new(2, 0, Some(1.0));
     let ask = |client: &std::net::TcpStream| {
-        ask(client, &text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status()
+        exchange(client, &request_text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status()
     };
     let crowd = |n| (0..n).map(|_| world.client()).inspect(|c| assert_eq!(ask(c), 200)).collect::<Vec<_>>();
     // Of 256 descriptors 145 are for clients.
@@ -205,7 +215,7 @@
     for (size, in_chunks) in [(0, false), (1, true), (5_000, false), (65_536, false), (65_536, true)] {
         let id = world.script(&[]);
         let body: String = (0..size).map(|n| char::from(b'a' + (n % 26) as u8)).collect();
-        let (head, _) = text("put", "wide", &id, 3000)
+        let (head, _) = request_text("put", "wide", &id, 3000)
             .split_once("Content-Length")
             .map(|(h, b)| (h.to_string(), b.len()))
             .expect("has one");
@@ -222,17 +232,17 @@
             format!("{head}Content-Length: {size}\r\n\r\n{body}")
         };
         let client = world.client();
-        assert_eq!(ask(&client, &sent).expect("an answer").status(), 200, "{size}, {in_chunks}");
-        let seen = world.seen.of(&id);
+        assert_eq!(exchange(&client, &sent).expect("an answer").status(), 200, "{size}, {in_chunks}");
+        let seen = world.seen.attempts_of(&id);
         assert_eq!((seen.len(), seen[0].1.body == body.as_bytes()), (1, true), "{size}, {in_chunks}");
     }
-    let (one, two) = (world.script(&[Does::SucceedsIn(50)]), world.script(&[]));
+    let (one, two) = (world.script(&[WorkerAction::SucceedAfterMs(50)]), world.script(&[]));
     let client = world.client();
-    let both = text("put", "wide", &one, 3000) + &text("get", "wide", &two, 3000);
+    let both = request_text("put", "wide", &one, 3000) + &request_text("get", "wide", &two, 3000);
     (&client).write_all(both.as_bytes()).expect("written");
     let mut reader = BufReader::new(&client);
     for id in [one, two] {
-        let answer = Message::read(&mut reader).expect("an answer");
+        let answer = HttpMessage::read(&mut reader).expect("an answer");
         assert_eq!(answer.body, format!("answer to {id}").into_bytes());
     }
 }
@@ -242,15 +252,15 @@
 fn connections_to_workers() {
     let world = World::new(1, 0, Some(1.0));
     let client = world.client();
-    let invoke = |does: &[Does]| {
+    let invoke = |does: &[WorkerAction]| {
         let id = world.script(does);
-        let answer = ask(&client, &text("put", "wide", &id, 3000)).expect("an answer");
-        assert_eq!((answer.status(), world.seen.of(&id).len()), (200, 1));
+        let answer = exchange(&client, &request_text("put", "wide", &id, 3000)).expect("an answer");
+        assert_eq!((answer.status(), world.seen.attempts_of(&id).len()), (200, 1));
     };
     (0..20).for_each(|_| invoke(&[]));
     assert_eq!(world.seen.connections.load(Ordering::SeqCst), 1);
     // Closed by the worker while it was idle: noticed before the next delivery.
-    invoke(&[Does::SucceedsAndCloses]);
+    invoke(&[WorkerAction::SucceedAndClose]);
     thread::sleep(Duration::from_millis(50));
     invoke(&[]);
     assert_eq!(world.seen.connections.load(Ordering::SeqCst), 2);
@@ -266,19 +276,19 @@
 fn giving_up_closes_the_connection() {
     for client_leaves in [true, false] {
         let world = World::new(1, 0, Some(1.0));
-        let id = world.script(&[Does::Hangs]);
+        let id = world.script(&[WorkerAction::Hang]);
         let client = world.client();
-        (&client).write_all(text("put", "wide", &id, 600).as_bytes()).expect("written");
-        world.until("the delivery has come", || world.seen.of(&id).len() == 1);
+        (&client).write_all(request_text("put", "wide", &id, 600).as_bytes()).expect("written");
+        world.until("the delivery has come", || world.seen.attempts_of(&id).len() == 1);
         assert_eq!(world.seen.closed.load(Ordering::SeqCst), 0);
         if client_leaves {
             drop(client);
         } else {
-            let answer = Message::read(&mut BufReader::new(&client)).expect("an answer");
+            let answer = HttpMessage::read(&mut BufReader::new(&client)).expect("an answer");
             assert_eq!(answer.status(), 502);
         }
         world.until("the connection is closed", || world.seen.closed.load(Ordering::SeqCst) == 1);
-        assert_eq!(world.seen.of(&id).len(), 1);
+        assert_eq!(world.seen.attempts_of(&id).len(), 1);
     }
 }
 
@@ -293,18 +303,18 @@
         let invoke = |operation| {
             let started = Instant::now();
             let id = world.script(&[]);
-            let answer = ask(&client, &text(operation, "narrow", &id, 3000)).expect("an answer");
+            let answer = exchange(&client, &request_text(operation, "narrow", &id, 3000)).expect("an answer");
             assert!(started.elapsed() < Duration::from_millis(500), "{total:?}: {:?}", started.elapsed());
             (
                 answer.status(),
                 answer.header("retry-after").parse::<f64>().unwrap_or(0.0),
-                world.seen.of(&id).len(),
+                world.seen.attempts_of(&id).len(),
             )
         };
         assert_eq!(invoke("get"), (200, 0.0, 1));
         thread::sleep(Duration::from_millis(2_000));
-        let (status, wait, deliveries) = invoke("put");
-        assert_eq!((status, deliveries), if goes_on { (200, 1) } else { (429, 0) }, "{total:?}");
+        let (status, wait, attempts) = invoke("put");
+        assert_eq!((status, attempts), if goes_on { (200, 1) } else { (429, 0) }, "{total:?}");
         assert_eq!(wait > 0.0, !goes_on);
         let calls = world.counter.calls.lock().expect("not poisoned").clone();
         let first = calls.first().expect("a call");
@@ -322,12 +332,15 @@
     let cases = ["Content-Length: 2\r\n\r\n0x", "Content-Length: 90\r\n\r\n", "no header\r\n\r\n"];
     for case in cases {
         let world = World::new(2, 0, Some(1.0));
-        let bad = support::counter_that_says(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
+        let bad = support::counter_with_response(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
         world.reload(&config(world.addr, "{}", bad.addr, world.discovery.addr));
         let calls = || bad.calls.lock().expect("not poisoned").len();
         for n in 1..3 {
             let id = world.script(&[]);
-            assert_eq!(world.invoke(&text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
+            assert_eq!(
+                world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer").status(),
+                200
+            );
             world.until("it calls", || calls() >= n);
             thread::sleep(Duration::from_millis(200));
             assert_eq!((calls(), bad.closed.load(Ordering::SeqCst)), (n, n as u32), "{case:?}");
@@ -341,38 +354,39 @@
     let world = World::new(2, 0, Some(1.0));
     // Three at a time: with one after another, each would go where a connection is at hand.
     let went_to = || {
-        let ids: Vec<String> = (0..18).map(|_| world.script(&[Does::SucceedsIn(100)])).collect();
+        let ids: Vec<String> = (0..18).map(|_| world.script(&[WorkerAction::SucceedAfterMs(100)])).collect();
         for three in ids.chunks(3) {
             thread::scope(|s| {
                 for id in three {
                     s.spawn(|| {
-                        let answer = world.invoke(&text("put", "wide", id, 3000)).expect("an answer");
+                        let answer = world.invoke(&request_text("put", "wide", id, 3000)).expect("an answer");
                         assert_eq!(answer.status(), 200);
                     });
                 }
             });
         }
-        let mut to: Vec<usize> = ids.iter().flat_map(|id| world.seen.of(id)).map(|(n, _)| n).collect();
+        let mut to: Vec<usize> =
+            ids.iter().flat_map(|id| world.seen.attempts_of(id)).map(|(n, _)| n).collect();
         to.sort_unstable();
         to.dedup();
         to
     };
-    world.until("it watches", || !world.discovery.asked.lock().expect("not poisoned").is_empty());
+    world.until("it watches", || !world.discovery.calls.lock().expect("not poisoned").is_empty());
     assert_eq!(went_to(), [0, 1]);
     let news = |revision, line: String| {
         let news = format!(r#"{{"revision":{revision},"complete":false,"members":[{line}],"more":1}}"#);
-        world.discovery.tell(&news);
+        world.discovery.send_to_watchers(&news);
         thread::sleep(Duration::from_millis(100));
     };
-    news(8, member(0, world.workers[0], "DRAINING"));
+    news(8, worker_entry(0, world.workers[0], "DRAINING"));
     assert_eq!(went_to(), [1]);
-    news(9, member(0, world.workers[0], "SERVING"));
+    news(9, worker_entry(0, world.workers[0], "SERVING"));
     assert_eq!(went_to(), [0, 1]);
     news(10, r#"{"id":"s-1","phase":"DELETED"}"#.to_string());
     assert_eq!(went_to(), [0]);
-    world.discovery.tell("");
+    world.discovery.send_to_watchers("");
     // No line for four seconds.
-    let asked = || world.discovery.asked.lock().expect("not poisoned").clone();
+    let asked = || world.discovery.calls.lock().expect("not poisoned").clone();
     world.until("it watches anew", || asked().len() == 2);
     assert!(
         asked()[0].contains("watch=1&from=7 ") && asked()[1].contains("watch=1&from=10 "),
@@ -389,17 +403,17 @@
     let world = World::new(2, 0, Some(1.0));
     let invoke = || {
         let id = world.script(&[]);
-        let answer = world.invoke(&text("put", "wide", &id, 3000)).expect("an answer");
-        (answer.status(), world.seen.of(&id).first().map(|(n, _)| *n))
+        let answer = world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer");
+        (answer.status(), world.seen.attempts_of(&id).first().map(|(n, _)| *n))
     };
-    let asked = |of: &support::Discovery| of.asked.lock().expect("not poisoned").clone();
+    let asked = |of: &support::Discovery| of.calls.lock().expect("not poisoned").clone();
     let calls = |of: &support::Counter| of.calls.lock().expect("not poisoned").len();
     let news = |revision, n: usize, phase| {
-        let line = member(n, world.workers[n], phase);
+        let line = worker_entry(n, world.workers[n], phase);
         format!(r#"{{"revision":{revision},"complete":false,"members":[{line}]}}"#)
     };
     world.until("it watches", || !asked(&world.discovery).is_empty());
-    world.discovery.tell(&news(8, 0, "DRAINING"));
+    world.discovery.send_to_watchers(&news(8, 0, "DRAINING"));
     assert_eq!(invoke().0, 200);
     world.until("it counts", || calls(&world.counter) > 0);
     let (new, total) = (discovery(), counter(Some(1e6)));
@@ -408,8 +422,8 @@
     world.until("it watches anew", || asked(&new).len() == 1);
     assert!(asked(&new)[0].contains("watch=1&from=8 "), "{:?}", asked(&new));
     // The old watch is late, the new one is not.
-    world.discovery.tell(&news(7, 0, "SERVING"));
-    new.tell(&news(9, 1, "SERVING"));
+    world.discovery.send_to_watchers(&news(7, 0, "SERVING"));
+    new.send_to_watchers(&news(9, 1, "SERVING"));
     thread::sleep(Duration::from_millis(100));
     (0..8).for_each(|_| assert_eq!(invoke(), (200, Some(1))));
     let old_calls = calls(&world.counter);
@@ -435,20 +449,21 @@
     let cases = [(1_500, 200, 4_000, 3_700), (20_000, 502, 4_000, 3_700), (20_000, 502, 1_000, 1_700)];
     for (takes, wanted, timeout, killed) in cases {
         let mut world = World::with_timeout(2, 0, Some(1.0), timeout);
-        let slow = world.script(&[Does::SucceedsIn(takes)]);
+        let slow = world.script(&[WorkerAction::SucceedAfterMs(takes)]);
         let (waiting, idle) = (world.client(), world.client());
-        (&waiting).write_all(text("put", "wide", &slow, 20_000).as_bytes()).expect("written");
-        world.until("the delivery has come", || world.seen.of(&slow).len() == 1);
+        (&waiting).write_all(request_text("put", "wide", &slow, 20_000).as_bytes()).expect("written");
+        world.until("the delivery has come", || world.seen.attempts_of(&slow).len() == 1);
         world.signal("TERM");
         let started = Instant::now();
         thread::sleep(Duration::from_millis(100));
         let id = world.script(&[]);
-        assert_eq!(world.invoke(&text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
+        assert_eq!(world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
         assert_eq!((&idle).read(&mut [0]).expect("an end"), 0);
         assert!(started.elapsed() > Duration::from_millis(400), "closed before the grace was over");
-        let refused = std::net::TcpStream::connect(world.addr).map(|s| ask(&s, "GET /up HTTP/1.1\r\n\r\n"));
+        let refused =
+            std::net::TcpStream::connect(world.addr).map(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n"));
         assert!(matches!(refused, Err(_) | Ok(None)), "{refused:?}");
-        let answer = Message::read(&mut BufReader::new(&waiting)).expect("an answer");
+        let answer = HttpMessage::read(&mut BufReader::new(&waiting)).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (wanted, "close"));
         drop((waiting, idle));
         let status = world.ended(Duration::from_millis(killed).saturating_sub(started.elapsed()));
--- a/crates/gatekeeper/tests/support/mod.rs
+++ b/crates/gatekeeper/tests/support/mod.rs
@@ -11,18 +11,19 @@
 use std::time::{Duration, Instant};
 
 pub use lynxstair_fakes::{
-    Counter, Discovery, Does, Message, Seen, ask, config, counter, counter_that_says, discovery, member, text,
+    Counter, Discovery, HttpMessage, WorkerAction, WorkerLog, config, counter, counter_with_response,
+    discovery, exchange, request_text, worker_entry,
 };
 use lynxstair_fakes::{free_port, worker};
 
 pub struct World {
     pub addr: SocketAddr,
     child: Child,
-    pub seen: Arc<Seen>,
+    pub seen: Arc<WorkerLog>,
     pub workers: Vec<SocketAddr>,
     pub counter: Counter,
     pub discovery: Discovery,
-    script: Arc<Mutex<HashMap<String, Vec<Does>>>>,
+    script: Arc<Mutex<HashMap<String, Vec<WorkerAction>>>>,
     ids: AtomicU32,
     file: PathBuf,
 }
@@ -35,13 +36,13 @@
 
     /// The same, where the integration timeout of all operations is so many milliseconds.
     pub fn with_timeout(alive: usize, dead: usize, total: Option<f64>, timeout_ms: u32) -> World {
-        let (seen, script) = (Arc::new(Seen::default()), Arc::default());
+        let (seen, script) = (Arc::new(WorkerLog::default()), Arc::default());
         let mut workers: Vec<SocketAddr> =
             (0..alive).map(|n| worker(n, Arc::clone(&seen), Arc::clone(&script))).collect();
         // The port of a listener that is gone refuses.
         workers.extend((0..dead).map(|_| free_port()));
         let members: Vec<String> =
-            workers.iter().enumerate().map(|(n, addr)| member(n, *addr, "SERVING")).collect();
+            workers.iter().enumerate().map(|(n, addr)| worker_entry(n, *addr, "SERVING")).collect();
         let known = format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, members.join(","));
         let (counter, discovery) = (counter(total), discovery());
         let (addr, child, file) = start(&known, counter.addr, discovery.addr, timeout_ms);
@@ -49,7 +50,7 @@
         let world = World { addr, child, seen, workers, counter, discovery, script, ids, file };
         world.until("the gatekeeper is up", || {
             TcpStream::connect(addr)
-                .is_ok_and(|s| ask(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
+                .is_ok_and(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
         });
         world
     }
@@ -63,8 +64,8 @@
         }
     }
 
-    /// An id no invocation has yet, and what becomes of its deliveries.
-    pub fn script(&self, does: &[Does]) -> String {
+    /// An id no invocation has yet, and what becomes of its attempts.
+    pub fn script(&self, does: &[WorkerAction]) -> String {
         let id = format!("{:016x}", self.ids.fetch_add(1, Ordering::SeqCst));
         self.script.lock().expect("not poisoned").insert(id.clone(), does.to_vec());
         id
@@ -77,8 +78,8 @@
     }
 
     /// Sends one invocation on a connection of its own.
-    pub fn invoke(&self, text: &str) -> Option<Message> {
-        ask(&self.client(), text)
+    pub fn invoke(&self, text: &str) -> Option<HttpMessage> {
+        exchange(&self.client(), text)
     }
 
     pub fn signal(&self, name: &str) {
--- a/crates/proxy/tests/end_to_end.rs
+++ b/crates/proxy/tests/end_to_end.rs
@@ -11,14 +11,14 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_fakes::{Message, PATIENCE, until};
+use lynxstair_fakes::{HttpMessage, WAIT_TIMEOUT, wait_until};
 
 mod support;
 
 use support::{System, call};
 
 /// A message's body, as text.
-fn text(message: &Message) -> &str {
+fn text(message: &HttpMessage) -> &str {
     std::str::from_utf8(&message.body).expect("text")
 }
 
@@ -42,7 +42,7 @@
             thread::spawn(move || {
                 let mut out = stream.try_clone().expect("cloned");
                 let mut reader = BufReader::new(stream);
-                while let Some(m) = Message::read(&mut reader) {
+                while let Some(m) = HttpMessage::read(&mut reader) {
                     let attempt = m.header("attempt-id").to_string();
                     if m.header("target-instance") != own {
                         let _ = write!(
@@ -51,7 +51,7 @@
                         );
                         continue;
                     }
-                    let what = does(&m.first);
+                    let what = does(&m.start_line);
                     if what == "full" {
                         let _ = write!(
                             out,
@@ -80,7 +80,7 @@
                         _ => write!(
                             out,
                             "HTTP/1.1 200 OK\r\n{head}\r\nContent-Length: 4\r\n\r\n{}",
-                            &m.first[..4]
+                            &m.start_line[..4]
                         ),
                     };
                 }
@@ -113,13 +113,13 @@
 /// What clients and operators ask.
 trait Calls {
     /// A client's request to a proxy.
-    fn ask(&self, proxy: usize, method: &str, path: &str, id: &str, key: &str) -> Option<Message>;
+    fn ask(&self, proxy: usize, method: &str, path: &str, id: &str, key: &str) -> Option<HttpMessage>;
     /// The controller that leads.
     fn leader(&self) -> usize;
 }
 
 impl Calls for System {
-    fn ask(&self, proxy: usize, method: &str, path: &str, id: &str, key: &str) -> Option<Message> {
+    fn ask(&self, proxy: usize, method: &str, path: &str, id: &str, key: &str) -> Option<HttpMessage> {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nAttempt-Id: {id}\r\nTime-Left-Ms: 2000\r\nAuthorization: Bearer {key}"
         );
@@ -127,7 +127,7 @@
     }
 
     fn leader(&self) -> usize {
-        until("a leader", || {
+        wait_until("a leader", || {
             let says = |controller: &SocketAddr| {
                 call(*controller, "GET /status HTTP/1.1", "").map(|m| text(&m).to_string())
             };
@@ -176,12 +176,12 @@
 
     // Clients find the proxies, and are served at each by a worker that gets the tenant and not the key.
     let directory: SocketAddr = format!("{}:8385", system.controllers[1].ip()).parse().expect("an address");
-    until("the directory names all three", || {
+    wait_until("the directory names all three", || {
         let m = call(directory, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "")?;
         (m.status() == 200 && system.fronts.iter().all(|f| text(&m).contains(&f.to_string()))).then_some(())
     });
     for proxy in 0..3 {
-        until("served", || {
+        wait_until("served", || {
             let m = system.ask(proxy, "GET", "/safe/x", &format!("a{proxy}"), "k1")?;
             (m.status() == 200 && text(&m) == "GET " && !m.header("server-seal").is_empty()).then_some(())
         });
@@ -206,11 +206,11 @@
 
     // A connection is told how long it may rest, and ends after that, with nothing read and nothing said.
     let stream = TcpStream::connect(system.fronts[0]).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     let request = "GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: k\r\nTime-Left-Ms: 2000\r\n";
     write!(&stream, "{request}Authorization: Bearer k1\r\n\r\n").expect("written");
     let mut reader = BufReader::new(&stream);
-    let served = Message::read(&mut reader).expect("an answer");
+    let served = HttpMessage::read(&mut reader).expect("an answer");
     assert_eq!((served.status(), served.header("keep-alive")), (200, "timeout=1"));
     let mut rest = Vec::new();
     assert!(
@@ -220,7 +220,7 @@
 
     // Beyond its quota a tenant is refused, with a time.
     let refused =
-        until("refused", || system.ask(0, "GET", "/safe/x", "q", "ks").filter(|m| m.status() == 429));
+        wait_until("refused", || system.ask(0, "GET", "/safe/x", "q", "ks").filter(|m| m.status() == 429));
     assert!(refused.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0));
 
     // The leader is killed right after an acknowledgement: the change is in force, and the next one is taken.
@@ -230,15 +230,17 @@
     system.kill(&format!("controller{}", leader + 1));
     let read = system.operator_call("GET /config HTTP/1.1", "");
     assert!(read.status() == 200 && text(&read).contains("0000000c"), "{}", text(&read));
-    until("the taken key is refused", || {
+    wait_until("the taken key is refused", || {
         system.ask(1, "GET", "/safe/x", "c", "k1").filter(|m| m.status() == 401)
     });
-    until("the new one works", || system.ask(1, "GET", "/safe/x", "d", "k4").filter(|m| m.status() == 200));
+    wait_until("the new one works", || {
+        system.ask(1, "GET", "/safe/x", "d", "k4").filter(|m| m.status() == 200)
+    });
 
     // It comes back with its disk emptied, and is let in: with it, and without another, a change is taken.
     std::fs::remove_dir_all(system.folder.path().join(format!("controller{}", leader + 1))).expect("removed");
     system.start_one(&format!("controller{}", leader + 1), false);
-    until("the emptied controller follows", || {
+    wait_until("the emptied controller follows", || {
         let m = call(system.controllers[leader], "GET /status HTTP/1.1", "")?;
         text(&m).contains("\"generation\":\"0000000c\"").then_some(())
     });
@@ -247,7 +249,7 @@
 
     // A proxy that is told to end goes on for a while and ends well.
     system.terminate("proxy3");
-    until("it leaves the directory", || {
+    wait_until("it leaves the directory", || {
         let m = call(directory, "GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1", "");
         m.filter(|m| m.status() == 200 && !text(m).contains(&system.fronts[2].to_string()))
     });
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -11,7 +11,7 @@
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time, WorkerId};
-use lynxstair_fakes::Message;
+use lynxstair_fakes::HttpMessage;
 use lynxstair_net::alarms::Alarms;
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::{configure_runtime, spawn};
@@ -22,7 +22,7 @@
 use lynxstair_proxy::worker_pool::WorkerPool;
 use lynxstair_routing::locality_balancer::Worker;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// All coroutines share one thread, and one test stops it: the tests come one after another.
 static ALONE: Mutex<()> = Mutex::new(());
@@ -103,13 +103,13 @@
         for _ in 0..3 {
             let (said, heard) = channel();
             spawn("a turn", move || said.send(()).expect("heard"));
-            heard.recv_timeout(PATIENCE).expect("a turn");
+            heard.recv_timeout(WAIT_TIMEOUT).expect("a turn");
         }
     }
 
     fn accept(&self) -> TcpStream {
         let (stream, _) = self.listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         stream
     }
@@ -121,7 +121,7 @@
         assert_eq!(request(&connection).as_deref(), Some("plain"));
         let said = answer(&format!("200 plain seal {headers} :p"), "");
         (&connection).write_all(said.as_bytes()).expect("written");
-        assert_eq!(heard.recv_timeout(PATIENCE).as_deref(), Ok("Ran Succeeded 200 p"));
+        assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 p"));
         connection
     }
 }
@@ -138,7 +138,7 @@
 
 /// Reads a whole request; its id.
 fn request(stream: &TcpStream) -> Option<String> {
-    let message = Message::read(&mut BufReader::with_capacity(1, stream))?;
+    let message = HttpMessage::read(&mut BufReader::with_capacity(1, stream))?;
     Some(message.header("attempt-id").to_string())
 }
 
@@ -271,14 +271,14 @@
                 _ => {}
             }
             let connection = (then != "resets").then_some(connection);
-            let got = heard.recv_timeout(PATIENCE).expect("it ends");
+            let got = heard.recv_timeout(WAIT_TIMEOUT).expect("it ends");
             // A connection that is kept carries the next request; any other one is ended from the other side.
             let next = rig.send(true, "next", 0, rig.after(20_000), &Arc::default());
             let is_reused = connection.as_ref().is_some_and(|c| matches!(c.peek(&mut [0]), Ok(1)));
             let over = connection.filter(|_| is_reused).unwrap_or_else(|| rig.accept());
             assert_eq!(request(&over).as_deref(), Some("next"), "{what}");
             (&over).write_all(answer("200 next seal close :n", "").as_bytes()).expect("written");
-            assert_eq!(next.recv_timeout(PATIENCE).as_deref(), Ok("Ran Succeeded 200 n"), "{what}");
+            assert_eq!(next.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 n"), "{what}");
             if (&got[..], is_reused) != (came, kept == "kept") {
                 wrong.push(format!("{what}, kept {is_kept}: {got}, reused {is_reused}"));
             }
@@ -315,14 +315,14 @@
         (true, 20_000, &gone, "NeverRan Cancelled"),
     ] {
         let heard = rig.send(may, "unsent", 0, rig.after(ms), cancel);
-        assert_eq!(heard.recv_timeout(PATIENCE).as_deref(), Ok(came));
+        assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok(came));
     }
     let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let [id, service, zone] = ["i-2", "s", "z"].map(str::to_string);
     let nobody = Arc::new(Worker { id, address, service, zone, number: WorkerId(2) });
     let listens = std::mem::replace(&mut rig.worker, nobody);
     let heard = rig.send(true, "nobody", 0, rig.after(20_000), &there);
-    assert_eq!(heard.recv_timeout(PATIENCE).as_deref(), Ok("NeverRan ConnectFailed"), "nobody listens");
+    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("NeverRan ConnectFailed"), "nobody listens");
     rig.worker = listens;
 
     // All of it, whether the worker has read it or not: it was with the kernel.
@@ -332,7 +332,7 @@
     let connection = std::iter::repeat_with(|| rig.accept()).find(brings).expect("the request");
     reset(&connection);
     drop(connection);
-    assert_eq!(heard.recv_timeout(PATIENCE).as_deref(), Ok("MayHaveRun Reset"), "unread");
+    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("MayHaveRun Reset"), "unread");
 
     // A part of it: its last byte never left. Who answers before the end has not waited for it.
     let socket = socket2::SockRef::from(&rig.listener);
@@ -358,7 +358,7 @@
             _ => {}
         }
         let connection = (then != "resets").then_some(connection);
-        assert_eq!(heard.recv_timeout(PATIENCE).as_deref(), Ok(came), "{then}");
+        assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok(came), "{then}");
         drop(connection);
     }
 }
@@ -378,7 +378,7 @@
         let over = rig.accept();
         assert_eq!(request(&over).as_deref(), Some("next"));
         (&over).write_all(answer("200 next seal close :n", "").as_bytes()).expect("written");
-        assert_eq!(next.recv_timeout(PATIENCE).as_deref(), Ok("Ran Succeeded 200 n"), "{says}");
+        assert_eq!(next.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 n"), "{says}");
     }
 }
 
@@ -410,7 +410,7 @@
             stood.send(()).expect("heard");
             let _ = woken.recv();
         });
-        stands.recv_timeout(PATIENCE).expect("it stands");
+        stands.recv_timeout(WAIT_TIMEOUT).expect("it stands");
         let is_late = number % 4 >= 2;
         if !is_late {
             (&connection).write_all(after).expect("written");
@@ -423,7 +423,7 @@
             (&connection).write_all(after).expect("written");
         }
         wake.send(()).expect("heard");
-        let came = heard.recv_timeout(PATIENCE).expect("it ends");
+        let came = heard.recv_timeout(WAIT_TIMEOUT).expect("it ends");
         // Where this test itself had no core in time, the round says nothing.
         if is_in_time {
             in_time += 1;
@@ -462,7 +462,7 @@
             })
             .collect();
         for (id, heard) in all {
-            let came = heard.recv_timeout(PATIENCE).expect("it ends");
+            let came = heard.recv_timeout(WAIT_TIMEOUT).expect("it ends");
             let has_run = ran.lock().expect("ran").contains(&id);
             let (verdict, _) = came.split_once(' ').expect("two words");
             let is_own = came == format!("Ran Succeeded 200 for-{id}");
@@ -484,7 +484,7 @@
     let mut rng = Rng::new(seed + 1);
     let mut reader = BufReader::new(stream);
     let mut before = "none".to_string();
-    while let Some(message) = Message::read(&mut reader) {
+    while let Some(message) = HttpMessage::read(&mut reader) {
         let id = message.header("attempt-id").to_string();
         let what = rng.next_u32() % 12;
         if what != 0 {
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_fakes::{Message, PATIENCE, until};
+use lynxstair_fakes::{HttpMessage, WAIT_TIMEOUT, wait_until};
 
 mod support;
 
@@ -17,7 +17,7 @@
 /// A client's connection to the proxy.
 fn connect(system: &System) -> TcpStream {
     let stream = TcpStream::connect(system.fronts[0]).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     stream
 }
 
@@ -38,7 +38,7 @@
             let (has, held) = (has.clone(), held.clone());
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
-                while let Some(message) = Message::read(&mut reader) {
+                while let Some(message) = HttpMessage::read(&mut reader) {
                     let id = message.header("attempt-id");
                     if id.starts_with("held") {
                         let (go, told) = channel();
@@ -85,12 +85,12 @@
     let (has, heard) = channel();
     let held = Held::default();
     let stop = worker(system.worker_address(1), system.controllers.clone(), has, held.clone());
-    let put = until("a configuration", || {
+    let put = wait_until("a configuration", || {
         let put = |h: &SocketAddr| call(*h, "PUT /config HTTP/1.1", CONFIGURATION);
         system.controllers.iter().find_map(|h| put(h).filter(|m| m.status() == 200))
     });
     assert_eq!(put.status(), 200);
-    until("served", || {
+    wait_until("served", || {
         call(system.fronts[0], "POST /warm HTTP/1.1\r\nAttempt-Id: warm", "").filter(|m| m.status() == 200)
     });
     let send = |stream: &TcpStream, text: &str| {
@@ -100,24 +100,24 @@
     // Before SIGTERM: one rests, one has a request at work, one has another behind that, one has sent a part.
     let [rests, works, two, part] = [0; 4].map(|_| connect(&system));
     send(&rests, &request("rests"));
-    assert_eq!(Message::read(&mut BufReader::new(&rests)).expect("an answer").body, b"rests");
+    assert_eq!(HttpMessage::read(&mut BufReader::new(&rests)).expect("an answer").body, b"rests");
     send(&works, &request("held-1"));
     send(&two, &(request("held-2") + &request("behind")));
     let whole = request("part");
     send(&part, &whole[..40]);
     let mut at_work: Vec<String> =
-        (0..2).map(|_| heard.recv_timeout(PATIENCE).expect("at the worker")).collect();
+        (0..2).map(|_| heard.recv_timeout(WAIT_TIMEOUT).expect("at the worker")).collect();
     at_work.sort();
     assert_eq!(at_work, ["held-1", "held-2"]);
     system.terminate("proxy1");
 
     // Clients still come for a while; what rests is ended then, with nothing said.
-    let late = until("not ready any more", || {
+    let late = wait_until("not ready any more", || {
         call(system.readiness(0), "GET /readiness HTTP/1.1", "").filter(|m| m.status() == 503)?;
         Some(connect(&system))
     });
     send(&late, &request("late"));
-    assert_eq!(Message::read(&mut BufReader::new(&late)).expect("an answer").body, b"late");
+    assert_eq!(HttpMessage::read(&mut BufReader::new(&late)).expect("an answer").body, b"late");
     let mut rest = Vec::new();
     assert!((&rests).read_to_end(&mut rest).is_ok() && rest.is_empty(), "closed, nothing said");
 
@@ -127,7 +127,7 @@
     for (stream, wanted) in [(&works, &["held-1"][..]), (&two, &["held-2", "behind"]), (&part, &["part"])] {
         let mut reader = BufReader::new(stream);
         for (n, id) in wanted.iter().enumerate() {
-            let answer = Message::read(&mut reader).unwrap_or_else(|| panic!("no answer to {id}"));
+            let answer = HttpMessage::read(&mut reader).unwrap_or_else(|| panic!("no answer to {id}"));
             assert_eq!((answer.status(), &answer.body[..]), (200, id.as_bytes()));
             let is_last = n + 1 == wanted.len();
             assert_eq!(answer.header("connection") == "close", is_last, "{id}");
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -8,14 +8,14 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use lynxstair_fakes::{Message, until};
+use lynxstair_fakes::{HttpMessage, wait_until};
 use tempfile::TempDir;
 
 /// The controllers of each system.
 const CONTROLLERS: usize = 3;
 
 /// Makes one HTTP call on a connection of its own. `head`: the request line and headers.
-pub fn call(to: SocketAddr, head: &str, body: &str) -> Option<Message> {
+pub fn call(to: SocketAddr, head: &str, body: &str) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
     let length = body.len();
@@ -24,7 +24,7 @@
         "{head}\r\nHost: h.example\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
     )
     .ok()?;
-    Message::read(&mut BufReader::new(stream))
+    HttpMessage::read(&mut BufReader::new(stream))
 }
 
 /// Three controllers and some proxies, as processes that end with the test.
@@ -120,8 +120,8 @@
     }
 
     /// The operator's call, to any controller; redirected, and repeated until the answer is clear.
-    pub fn operator_call(&self, head: &str, body: &str) -> Message {
-        until(head, || {
+    pub fn operator_call(&self, head: &str, body: &str) -> HttpMessage {
+        wait_until(head, || {
             self.controllers.iter().find_map(|controller| {
                 let mut response = call(*controller, head, body)?;
                 if response.status() == 307 {
