--- a/crates/cluster/src/control_port.rs
+++ b/crates/cluster/src/control_port.rs
@@ -10,6 +10,7 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::spawn_then;
+use lynxstair_net::server;
 use lynxstair_net::ticker::Ticker;
 use may::io::{CoIo, WaitIo};
 use tracing::warn;
@@ -26,11 +27,6 @@
 const IDLE_INTERVAL: Span = Span::from_millis(3_600_000);
 const READ_BYTES: usize = 512;
 
-/// Answers a request.
-pub(crate) trait RequestHandler: Send + Sync + 'static {
-    fn handle(&self, request: Request) -> Response;
-}
-
 struct Connection {
     io: CoIo<TcpStream>,
     since: Time,
@@ -48,32 +44,25 @@
 impl ControlPort {
     /// Listens on `addr`.
     pub fn listen(addr: SocketAddrV4, clock: Clock, ticker: Arc<Ticker>) -> Result<Arc<Self>, StartError> {
-        let listener = TcpListener::bind(addr)
-            .and_then(|listener| Ok(CoIo::new(listener)?))
-            .map_err(|source| StartError::ControlPort { addr, source })?;
+        let listener =
+            server::listen(addr.into()).map_err(|e| StartError::ControlPort { addr, source: e.source })?;
         let (connections, next_id) = (Mutex::default(), AtomicU64::new(0));
         Ok(Arc::new(ControlPort { listener, clock, ticker, connections, next_id }))
     }
 
-    /// Accepts connections, for ever. Runs on a coroutine.
-    pub fn accept_all(self: &Arc<Self>, handler: &Arc<impl RequestHandler>) {
-        loop {
-            match self.listener.inner().accept() {
-                Ok((stream, _)) => self.serve(handler, stream),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.listener.wait_io();
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => {
-                    // Out of descriptors, perhaps: the next connection tries again.
-                    warn!(%e, "fleet: control port");
-                    self.listener.wait_io();
-                }
-            }
-        }
+    /// Accepts connections and has `handler` answer their requests, for ever. Runs on a coroutine.
+    pub fn serve_all<H>(self: &Arc<Self>, handler: &Arc<H>)
+    where
+        H: Fn(Request) -> Response + Send + Sync + 'static,
+    {
+        let admit = |stream| self.admit(handler, stream);
+        server::accept_reporting(&self.listener, admit, |e| warn!(%e, "fleet: control port"));
     }
 
-    fn serve(self: &Arc<Self>, handler: &Arc<impl RequestHandler>, stream: TcpStream) {
+    fn admit<H>(self: &Arc<Self>, handler: &Arc<H>, stream: TcpStream)
+    where
+        H: Fn(Request) -> Response + Send + Sync + 'static,
+    {
         if lock(&self.connections).len() >= MAX_CONNECTIONS {
             return;
         }
@@ -104,10 +93,10 @@
 }
 
 impl Connection {
-    fn serve(&self, handler: &impl RequestHandler) {
+    fn serve(&self, handler: &impl Fn(Request) -> Response) {
         let Some(line) = self.read_line() else { return };
         let response = match serde_json::from_slice::<Request>(&line) {
-            Ok(request) => handler.handle(request),
+            Ok(request) => handler(request),
             Err(e) => Response::Refused { reason: format!("not understood: {e}") },
         };
         let Ok(mut bytes) = serde_json::to_vec(&response) else { return };
--- a/crates/cluster/src/exporter.rs
+++ b/crates/cluster/src/exporter.rs
@@ -225,14 +225,14 @@
         for _ in 0..MAX_BATCHES_PER_ROUND {
             let stored = stream.as_ref().and_then(|stream| self.progress.stored_up_to(stream));
             let request = Request::Usage { stream: stream.clone(), stored_up_to: stored.unwrap_or(0) };
-            let (kept, batch, pending) = fetch_batch(node, addr, &request)?;
-            self.progress.observe(&kept, pending);
-            let is_other_stream = stream.as_ref() != Some(&kept);
+            let fetched = fetch_batch(node, addr, request)?;
+            self.progress.observe(&fetched.stream, fetched.pending_milli_units);
+            let is_other_stream = stream.as_ref() != Some(&fetched.stream);
             if is_other_stream {
-                self.streams.insert(name.to_string(), kept.clone());
-                stream = Some(kept);
+                self.streams.insert(name.to_string(), fetched.stream.clone());
+                stream = Some(fetched.stream);
             }
-            match batch {
+            match fetched.batch {
                 Some(batch) => match self.export_batch(node, epoch, &batch)? {
                     Next::FetchMore => {}
                     Next::EndMember => return Ok(()),
@@ -290,20 +290,31 @@
     format!("{}/{:016x}", stream.gatekeeper, stream.directory_id)
 }
 
-/// A member's stream, its next batch, and the thousandths of a unit that the sink does not have yet.
+/// What a member answered.
+struct FetchedBatch {
+    /// The stream that it keeps.
+    stream: StreamId,
+    batch: Option<Arc<Batch>>,
+    /// Thousandths of a unit that the sink does not have yet.
+    pending_milli_units: u64,
+}
+
+/// A member's next batch.
 fn fetch_batch(
     node: &ClusterNode,
     addr: Option<SocketAddrV4>,
-    request: &Request,
-) -> Result<(StreamId, Option<Arc<Batch>>, u64), MemberError> {
+    request: Request,
+) -> Result<FetchedBatch, MemberError> {
     let response = match addr {
-        None => node.answer(request.clone()),
+        None => node.answer(request),
         Some(addr) => {
-            ask_member(node.source(), addr, request).map_err(|e| MemberError::Unavailable(e.to_string()))?
+            ask_member(node.source(), addr, &request).map_err(|e| MemberError::Unavailable(e.to_string()))?
         }
     };
     match response {
-        Response::Usage { stream, batch, pending_milli_units } => Ok((stream, batch, pending_milli_units)),
+        Response::Usage { stream, batch, pending_milli_units } => {
+            Ok(FetchedBatch { stream, batch, pending_milli_units })
+        }
         _ => Err(MemberError::Unavailable("keeps no uses".to_string())),
     }
 }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -17,7 +17,7 @@
 use tracing_appender::non_blocking::WorkerGuard;
 
 use crate::config::Config;
-use crate::control_port::{ControlPort, RequestHandler};
+use crate::control_port::ControlPort;
 use crate::datagrams::DatagramSocket;
 use crate::duties::Duties;
 use crate::error::StartError;
@@ -120,7 +120,10 @@
         let node = self.clone();
         spawn("cluster timer", move || node.run_timer());
         let node = self.clone();
-        spawn("cluster control port", move || node.control_port.accept_all(&node));
+        spawn("cluster control port", move || {
+            let answering = node.clone();
+            node.control_port.serve_all(&Arc::new(move |request| answering.answer(request)));
+        });
     }
 
     /// Tells the other members that this one leaves. Nobody waits for it: the gatekeeper ends when its requests
@@ -267,12 +270,6 @@
     }
 }
 
-impl RequestHandler for ClusterNode {
-    fn handle(&self, request: Request) -> Response {
-        self.answer(request)
-    }
-}
-
 fn refusal(reason: &str) -> Response {
     Response::Refused { reason: reason.to_string() }
 }
--- a/crates/config/src/settings_reload.rs
+++ b/crates/config/src/settings_reload.rs
@@ -21,6 +21,14 @@
 }
 
 impl ReloadTrigger {
+    /// The trigger of a process that may be isolated: it looks at the file even if that has not changed.
+    pub fn or_isolated(self, is_isolated: bool) -> ReloadTrigger {
+        match self {
+            ReloadTrigger::Periodic if is_isolated => ReloadTrigger::Isolated,
+            trigger => trigger,
+        }
+    }
+
     fn as_str(self) -> &'static str {
         match self {
             ReloadTrigger::Signal => "signal",
--- a/crates/controller/src/settings_watch.rs
+++ b/crates/controller/src/settings_watch.rs
@@ -23,10 +23,8 @@
 pub fn reload(controller: &Arc<Controller>, trigger: ReloadTrigger) {
     let now = controller.alarms.now();
     let is_isolated = controller.state().peers.peer_set.poll_isolated(now);
-    let trigger = match trigger {
-        ReloadTrigger::Periodic if is_isolated => ReloadTrigger::Isolated,
-        trigger => trigger,
-    };
     let mut reload = controller.reload.lock().unwrap_or_else(|e| e.into_inner());
-    reload.reload_seeds(trigger, |seeds| add_peers(controller, now, &mut controller.state(), seeds));
+    reload.reload_seeds(trigger.or_isolated(is_isolated), |seeds| {
+        add_peers(controller, now, &mut controller.state(), seeds)
+    });
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -343,8 +343,8 @@
     fn on_final_response(&mut self, now: Time, number: u64, response: Response) {
         let Some(pending) = self.pending.remove(&number) else { return };
         self.leader = pending.voter;
-        if self.is_query(number) {
-            return self.finish_query(number, response);
+        if let Some(query) = self.query_of(number) {
+            return query.finish(response);
         }
         match (&pending.request, response) {
             (
--- a/crates/leases/src/holder/queries.rs
+++ b/crates/leases/src/holder/queries.rs
@@ -29,6 +29,12 @@
     response: Option<Response>,
 }
 
+impl Query {
+    pub(super) fn finish(&mut self, response: Response) {
+        self.response = Some(response);
+    }
+}
+
 fn kept_for() -> Span {
     REQUEST_LIFETIME.times(KEPT_LIFETIMES)
 }
@@ -63,19 +69,14 @@
         }
     }
 
-    pub(super) fn is_query(&self, number: u64) -> bool {
-        self.queries.values().any(|query| query.number == number)
-    }
-
-    pub(super) fn finish_query(&mut self, number: u64, response: Response) {
-        if let Some(query) = self.queries.values_mut().find(|query| query.number == number) {
-            query.response = Some(response);
-        }
+    /// The query that a request was sent for.
+    pub(super) fn query_of(&mut self, number: u64) -> Option<&mut Query> {
+        self.queries.values_mut().find(|query| query.number == number)
     }
 
     /// Keeps why a query has no response yet, for where none comes.
     pub(super) fn note_failure(&mut self, number: u64, reason: &str) {
-        if let Some(query) = self.queries.values_mut().find(|query| query.number == number) {
+        if let Some(query) = self.query_of(number) {
             query.last_failure = Some(reason.to_string());
         }
     }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -24,7 +24,6 @@
 use crate::phase::Phase;
 use crate::raft_node::RaftNode;
 use crate::record::{PersistentState, Record};
-use crate::table::LeaseTable;
 use crate::times::{DisabledParts, Times};
 
 /// After so long a disk that failed is tried again.
@@ -197,11 +196,6 @@
         }
     }
 
-    /// The table as this voter has applied it, which may be less than a majority has.
-    pub fn table(&self) -> Option<&LeaseTable> {
-        self.node.as_ref().map(|node| &node.table)
-    }
-
     /// Whether this voter leads.
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -107,8 +107,17 @@
     listener.map_err(|source| ListenError { address, source })
 }
 
-/// Accepts connections and hands each to `admit`; never returns.
-pub fn accept(listener: &CoIo<TcpListener>, mut admit: impl FnMut(TcpStream)) {
+/// Accepts connections and hands each to `admit`; never returns. Errors are logged.
+pub fn accept(listener: &CoIo<TcpListener>, admit: impl FnMut(TcpStream)) {
+    accept_reporting(listener, admit, |e| log_limited!("accepting: {e}"));
+}
+
+/// The same, and hands errors to `report`.
+pub fn accept_reporting(
+    listener: &CoIo<TcpListener>,
+    mut admit: impl FnMut(TcpStream),
+    report: impl Fn(&io::Error),
+) {
     loop {
         match listener.inner().accept() {
             Ok((stream, _)) => admit(stream),
@@ -118,7 +127,7 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => {
                 // Out of descriptors: those that wait are let in once a connection ends.
-                log_limited!("accepting: {e}");
+                report(&e);
                 listener.wait_io();
             }
         }
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -56,12 +56,8 @@
 /// Looks at the settings file, which may change with a signal or without one: the seeds that it names are subscribed to.
 pub fn reload_settings(proxy: &Arc<Proxy>, trigger: ReloadTrigger) {
     let is_isolated = proxy.control().peer_set.poll_isolated(proxy.alarms.now());
-    let trigger = match trigger {
-        ReloadTrigger::Periodic if is_isolated => ReloadTrigger::Isolated,
-        trigger => trigger,
-    };
     let mut reload = proxy.reload.lock().unwrap_or_else(|e| e.into_inner());
-    reload.reload_seeds(trigger, |seeds| add_controllers(proxy, seeds));
+    reload.reload_seeds(trigger.or_isolated(is_isolated), |seeds| add_controllers(proxy, seeds));
 }
 
 /// Sends a heartbeat to every controller.
