--- a/crates/cluster/src/side.rs
+++ b/crates/cluster/src/side.rs
@@ -102,7 +102,7 @@
         socket.set_nonblocking(true).map_err(|e| format!("datagrams on {}: {e}", config.bind))?;
         let socket = CoIo::new(socket).map_err(|e| format!("datagrams on {}: {e}", config.bind))?;
         let control = Control::listen(config.control)?;
-        let ticker = Arc::new(Ticker::new(clock, Span::from_millis(1))?);
+        let ticker = Arc::new(Ticker::new(clock, Span::from_millis(1)).map_err(|e| format!("timer: {e}"))?);
 
         let owner = format!("{}/{}", config.fleet, config.name);
         let opened =
--- a/crates/config/src/command_line.rs
+++ b/crates/config/src/command_line.rs
@@ -1,84 +1,84 @@
-//! What the system's programs do alike when they begin: command line, settings file, logs.
+//! The command line that the system's programs share.
 
-use std::io::Write;
 use std::process::ExitCode;
 
-use logforth::filter::rustlog::RustLogFilterBuilder;
-use logforth::layout::JsonLayout;
-use logforth::record::Record;
-use logforth::{Append, Diagnostic, Error, Layout};
+use crate::settings::{SETTINGS_VARIABLE, Settings};
 
-use crate::settings::{Settings, VARIABLE};
+/// The command line or the settings file is bad.
+const EXIT_USAGE: u8 = 2;
+
+/// A program, as its command line describes it.
+#[derive(Clone, Copy, Debug)]
+pub struct Program {
+    /// Its name.
+    pub name: &'static str,
+    /// The text of `--help`.
+    pub help: &'static str,
+    /// Its version.
+    pub version: &'static str,
+}
 
 /// What the command line asks for.
-pub enum Asked {
+pub enum Invocation {
+    /// Serve, by these settings.
     Serve(Box<Settings>),
-    /// Nothing more: it was told what it asked, or what is wrong with it.
-    End(ExitCode),
+    /// End with this code; everything has been printed.
+    Exit(ExitCode),
 }
 
-/// Reads the command line and the settings file.
-pub fn ask(name: &str, about: &str, version: &str) -> Asked {
-    let bad = |what: String| {
-        eprintln!("{name}: {what}");
-        Asked::End(ExitCode::from(2))
-    };
-    let mut arguments = pico_args::Arguments::from_env();
-    if arguments.contains(["-h", "--help"]) {
-        println!("{about}");
-        return Asked::End(ExitCode::SUCCESS);
-    }
-    if arguments.contains(["-V", "--version"]) {
-        println!("{name} {version}");
-        return Asked::End(ExitCode::SUCCESS);
-    }
-    let (file, is_check) = match arguments.subcommand() {
-        Ok(None) => match std::env::var(VARIABLE) {
-            Ok(file) => (file, false),
-            Err(_) => return bad(format!("{VARIABLE} names no settings file")),
-        },
-        Ok(Some(word)) if word == "check" => match arguments.free_from_str::<String>() {
-            Ok(file) => (file, true),
-            Err(_) => return bad("check: a file is wanted".to_string()),
-        },
-        Ok(Some(word)) => return bad(format!("{word}: no such command; --help tells which there are")),
-        Err(e) => return bad(e.to_string()),
-    };
-    if let Some(more) = arguments.finish().first() {
-        return bad(format!("{}: not understood", more.to_string_lossy()));
-    }
-    match Settings::from_file(&file) {
-        Err(what) => bad(what),
-        Ok(_) if is_check => {
-            println!("{file}: good");
-            Asked::End(ExitCode::SUCCESS)
-        }
-        Ok(settings) => Asked::Serve(Box::new(settings)),
-    }
+enum Command {
+    Serve,
+    Check,
 }
 
-/// Standard error. A line that can't be written, on a full disk perhaps, is lost and ends nothing.
-#[derive(Debug)]
-struct Lossy(JsonLayout);
-
-impl Append for Lossy {
-    fn append(&self, record: &Record, more: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        let mut line = self.0.format(record, more)?;
-        line.push(b'\n');
-        let _ = std::io::stderr().write_all(&line);
-        Ok(())
+impl Program {
+    /// Reads the command line and the settings file, and prints what is asked for or wrong.
+    pub fn parse_arguments(&self) -> Invocation {
+        let mut arguments = pico_args::Arguments::from_env();
+        if arguments.contains(["-h", "--help"]) {
+            println!("{}", self.help);
+            return Invocation::Exit(ExitCode::SUCCESS);
+        }
+        if arguments.contains(["-V", "--version"]) {
+            println!("{} {}", self.name, self.version);
+            return Invocation::Exit(ExitCode::SUCCESS);
+        }
+        let (command, file) = match parse_command(arguments) {
+            Ok(command) => command,
+            Err(why) => return self.usage_error(&why),
+        };
+        match (command, Settings::from_file(&file)) {
+            (_, Err(error)) => self.usage_error(&error.to_string()),
+            (Command::Serve, Ok(settings)) => Invocation::Serve(Box::new(settings)),
+            (Command::Check, Ok(_)) => {
+                println!("{file}: good");
+                Invocation::Exit(ExitCode::SUCCESS)
+            }
+        }
     }
 
-    fn flush(&self) -> Result<(), Error> {
-        Ok(())
+    fn usage_error(&self, why: &str) -> Invocation {
+        eprintln!("{}: {why}", self.name);
+        Invocation::Exit(ExitCode::from(EXIT_USAGE))
     }
 }
 
-/// From here on log lines go to standard error, each a JSON object.
-pub fn log_json() {
-    // Libraries say only what is wrong.
-    let filter = RustLogFilterBuilder::from_spec("warn,lynxstair=info").build();
-    let to = Lossy(JsonLayout::default());
-    // A second call in one process (tests) changes nothing.
-    let _ = logforth::starter_log::builder().dispatch(|d| d.filter(filter).append(to)).try_apply();
+/// The command, and the settings file that it is for. The error is what to print.
+fn parse_command(mut arguments: pico_args::Arguments) -> Result<(Command, String), String> {
+    let command = match arguments.subcommand().map_err(|e| e.to_string())? {
+        None => {
+            let file = std::env::var(SETTINGS_VARIABLE)
+                .map_err(|_| format!("{SETTINGS_VARIABLE} names no settings file"))?;
+            (Command::Serve, file)
+        }
+        Some(name) if name == "check" => {
+            let file = arguments.free_from_str().map_err(|_| "check: a file is wanted".to_string())?;
+            (Command::Check, file)
+        }
+        Some(name) => return Err(format!("{name}: no such command; --help tells which there are")),
+    };
+    match arguments.finish().first() {
+        Some(surplus) => Err(format!("{}: not understood", surplus.to_string_lossy())),
+        None => Ok(command),
+    }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,14 @@
 //! What a process is configured with: the boot settings file, the operator's configuration, the command line. Reading and
 //! checking only: no socket, no clock, no thread.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
+pub mod bounds;
 pub mod command_line;
 pub mod configuration;
 pub mod json;
+pub mod logging;
 pub mod settings;
+pub mod settings_reload;
 pub mod table;
+mod validation;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,250 +1,252 @@
-//! The settings file of one process: YAML, turned into values and read by hand. Unknown fields are passed over;
-//! what is wrong is named by its key.
+//! The settings file of one process: YAML, turned into JSON values and read by hand. Unknown fields are ignored; what is
+//! wrong is named by its key.
 
+use std::fmt;
+use std::io;
 use std::net::{IpAddr, SocketAddr};
-use std::os::unix::fs::MetadataExt;
-use std::time::SystemTime;
 
 use lynxstair::types::Span;
 use yaml_rust2::{Yaml, YamlLoader};
 
-use crate::json::{self, Fault, Object, Value, at, fault, needed};
+use crate::bounds::Bounds;
+use crate::json::{self, Object, Value, ValueError, get, invalid, require};
+
+/// The environment variable that names the settings file.
+pub const SETTINGS_VARIABLE: &str = "LYNXSTAIR_BOOT";
+
+/// What holds where the file says nothing.
+const DEFAULT_MEMORY_MB: f64 = 128.0;
+const DEFAULT_MAX_FDS: f64 = 1024.0;
+const DEFAULT_HEARTBEAT_PERIOD_S: f64 = 1.5;
+const DEFAULT_TOLERATED: f64 = 1.0;
+/// No system has enough controllers to lose more of them at once.
+const MAX_TOLERATED: f64 = 8.0;
+
+/// Why a settings file can't be used. Trying again helps once the file was changed.
+#[derive(Debug)]
+pub enum SettingsError {
+    /// It can't be read.
+    Unreadable {
+        /// The file.
+        file: String,
+        /// Why.
+        source: io::Error,
+    },
+    /// Something in it is wrong.
+    Invalid {
+        /// The file.
+        file: String,
+        /// The key at fault.
+        source: ValueError,
+    },
+}
 
-pub const VARIABLE: &str = "LYNXSTAIR_BOOT";
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            SettingsError::Unreadable { file, source } => write!(f, "{file}: {source}"),
+            SettingsError::Invalid { file, source } => write!(f, "{file}: {source}"),
+        }
+    }
+}
 
-/// What the operators' rules ask for; seconds are read into spans.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
-    pub contact: Span,
-    pub drain: Span,
-    pub grace: Span,
-    pub converge: Span,
-    pub revoke_final: bool,
-    pub revoke: Span,
-    pub retry_ratio: f64,
-    pub retry_window: Span,
-    pub retry_slack: f64,
-    pub quota_window: Span,
-    pub quota_overshoot: f64,
-    pub quota_slack: f64,
-    pub cold_overshoot: f64,
-    pub cold_slack: f64,
-    pub evacuate: Span,
-    pub ttl_max: Span,
-    /// How long a machine still counts as lost after it is back, or after its start where it is new.
-    pub catch_up: Span,
-    /// How long a proper order of the operator may go without an acknowledgement.
-    pub ack: Span,
+impl std::error::Error for SettingsError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            SettingsError::Unreadable { source, .. } => Some(source),
+            SettingsError::Invalid { source, .. } => Some(source),
+        }
+    }
 }
 
+/// What the process may use of its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
+    /// Memory, in megabytes.
     pub memory_mb: u64,
+    /// File descriptors.
     pub max_fds: usize,
 }
 
+/// The settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
+    /// The name of the machine.
     pub node: String,
+    /// Its address.
     pub ip: IpAddr,
+    /// The zone that it stands in.
     pub zone: String,
+    /// The zone's region.
     pub region: String,
-    /// Each zone's region.
+    /// All zones, each with its region, in alphabetical order.
     pub zones: Vec<(String, String)>,
+    /// Where clients connect; proxies only.
     pub front: Option<SocketAddr>,
+    /// Where the platform asks whether clients may be sent here.
     pub readiness: Option<SocketAddr>,
+    /// Where workers and operators call; controllers only. Names the controller to others.
     pub control: Option<SocketAddr>,
+    /// Where clients ask for proxies; controllers only.
     pub directory: Option<SocketAddr>,
+    /// The first and the last port that processes may use between each other.
     pub ports: (u16, u16),
+    /// Control addresses of some controllers.
     pub seeds: Vec<SocketAddr>,
+    /// The whole system starts for the first time.
     pub bootstrap: bool,
+    /// What the process may use.
     pub limits: Limits,
+    /// Where it may store data; None on a machine without a disk.
     pub data_dir: Option<String>,
-    pub beat_period: Span,
+    /// How often a worker sends a heartbeat.
+    pub heartbeat_period: Span,
     /// How many machines may be lost at once with all rules kept.
     pub tolerated: usize,
+    /// The operators' rules.
     pub bounds: Bounds,
 }
 
 impl Settings {
-    /// Reads a file; what is wrong is named by file and key.
-    pub fn from_file(file: &str) -> Result<Settings, String> {
-        let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-        Settings::read(&text).map_err(|fault| format!("{file}: {fault}"))
+    /// Reads a file.
+    pub fn from_file(file: &str) -> Result<Settings, SettingsError> {
+        let text = std::fs::read_to_string(file)
+            .map_err(|source| SettingsError::Unreadable { file: file.to_string(), source })?;
+        Settings::from_yaml(&text).map_err(|source| SettingsError::Invalid { file: file.to_string(), source })
     }
 
     /// Where this process listens for the others of the system.
-    pub fn inner(&self) -> SocketAddr {
+    pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports.0)
     }
 
+    /// The region of a zone.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.zones.iter().find(|(z, _)| z == zone).map(|(_, r)| r.as_str())
     }
 
-    pub fn read(text: &str) -> Result<Settings, Fault> {
-        let documents = match YamlLoader::load_from_str(text) {
-            Ok(documents) => documents,
-            Err(e) => return fault("settings", format!("not YAML: {e}")),
-        };
-        let Some(first) = documents.first() else { return fault("settings", "empty") };
-        let value = turned(first);
-        let all = json::object(&value, "settings")?;
-        let own = |key: &str| needed(all, key, "").and_then(|v| json::text(v, key)).map(str::to_string);
-        let empty = Object::new();
-        let part = |key: &str| at(all, key).map_or(Ok(&empty), |v| json::object(v, key));
-        let bind = part("bind")?;
-        let bound = |key: &str| -> Result<Option<SocketAddr>, Fault> {
-            at(bind, key).map(|v| address(v, &format!("bind.{key}"))).transpose()
-        };
-        let ip = own("ip")?;
-        let Ok(ip) = ip.parse() else { return fault("ip", "an address is wanted") };
-        let ports = json::array(needed(all, "port-range", "")?, "port-range")?;
-        let ports: Vec<u16> = ports
-            .iter()
-            .map(|p| json::number(p, "port-range").map(|p| p as u16))
-            .collect::<Result<_, _>>()?;
-        let [from, to] = ports[..] else { return fault("port-range", "two ports are wanted") };
-        let seeds = json::array(needed(all, "seeds", "")?, "seeds")?;
-        let seeds = seeds.iter().map(|s| address(s, "seeds")).collect::<Result<_, _>>()?;
-        let limits = part("limits")?;
-        let limit = |key: &str, usual: f64| {
-            at(limits, key).map_or(Ok(usual), |v| json::number(v, &format!("limits.{key}")))
-        };
-        let mut zones = Vec::new();
-        for (zone, region) in part("zones")? {
-            zones.push((zone.clone(), json::text(region, "zones")?.to_string()));
-        }
-        zones.sort();
-        let budget = part("fault-budget")?;
-        let tolerated =
-            at(budget, "machines").map_or(Ok(1.0), |v| json::number(v, "fault-budget.machines"))?;
-        if !(0.0..=8.0).contains(&tolerated) || tolerated.fract() != 0.0 {
-            return fault("fault-budget.machines", "a whole number from 0 to 8 is wanted");
-        }
-        let period = at(all, "beat-period-s").map_or(Ok(1.5), |v| json::number(v, "beat-period-s"))?;
+    /// Reads the text of a settings file.
+    pub fn from_yaml(text: &str) -> Result<Settings, ValueError> {
+        let documents =
+            YamlLoader::load_from_str(text).or_else(|e| invalid("settings", format!("not YAML: {e}")))?;
+        let Some(first) = documents.first() else { return invalid("settings", "empty") };
+        let value = to_json(first);
+        let fields = json::as_object(&value, "settings")?;
+        let bind = Bind(section(fields, "bind")?);
+        // The keys that are most often wrong are named first.
+        let (ip, ports, seeds) = (read_ip(fields)?, read_ports(fields)?, read_seeds(fields)?);
         Ok(Settings {
-            node: own("node-name")?,
+            node: required_text(fields, "node-name")?,
             ip,
-            zone: own("zone")?,
-            region: own("region")?,
-            zones,
-            front: bound("front")?,
-            readiness: bound("readiness")?,
-            control: bound("control")?,
-            directory: bound("directory")?,
-            ports: (from, to),
+            zone: required_text(fields, "zone")?,
+            region: required_text(fields, "region")?,
+            zones: read_zones(fields)?,
+            front: bind.address("front")?,
+            readiness: bind.address("readiness")?,
+            control: bind.address("control")?,
+            directory: bind.address("directory")?,
+            ports,
             seeds,
-            bootstrap: at(all, "bootstrap").map_or(Ok(false), |v| json::truth(v, "bootstrap"))?,
-            limits: Limits {
-                memory_mb: limit("memory-mb", 128.0)? as u64,
-                max_fds: limit("max-fds", 1024.0)? as usize,
-            },
-            data_dir: at(all, "data-dir")
-                .map(|v| json::text(v, "data-dir").map(str::to_string))
+            bootstrap: get(fields, "bootstrap").map_or(Ok(false), |v| json::as_bool(v, "bootstrap"))?,
+            limits: read_limits(fields)?,
+            data_dir: get(fields, "data-dir")
+                .map(|v| json::as_str(v, "data-dir").map(str::to_string))
                 .transpose()?,
-            beat_period: Span::from_secs(period),
-            tolerated: tolerated as usize,
-            bounds: bounds(all)?,
+            heartbeat_period: Span::from_secs(number(
+                fields,
+                "beat-period-s",
+                "beat-period-s",
+                DEFAULT_HEARTBEAT_PERIOD_S,
+            )?),
+            tolerated: read_tolerated(fields)?,
+            bounds: Bounds::from_settings(fields)?,
         })
     }
 }
 
-/// The settings file while a program runs: it may change with a signal or without one. What may change in it is where
-/// other machines of the core are.
-#[derive(Debug, Default)]
-pub struct Reload {
-    file: String,
-    seen: Option<(SystemTime, u64, u64)>,
-}
+/// The addresses to listen on.
+struct Bind<'a>(Option<&'a Object>);
 
-impl Reload {
-    /// The file that the environment names, as it was read at the start.
-    pub fn from_environment() -> Reload {
-        Reload::new(std::env::var(VARIABLE).unwrap_or_default())
+impl Bind<'_> {
+    fn address(&self, key: &str) -> Result<Option<SocketAddr>, ValueError> {
+        let value = self.0.and_then(|fields| get(fields, key));
+        value.map(|v| read_address(v, &format!("bind.{key}"))).transpose()
     }
+}
 
-    pub fn new(file: String) -> Reload {
-        let mut reload = Reload { file, seen: None };
-        reload.seen = reload.stamp();
-        reload
-    }
+fn section<'a>(fields: &'a Object, key: &str) -> Result<Option<&'a Object>, ValueError> {
+    get(fields, key).map(|v| json::as_object(v, key)).transpose()
+}
 
-    /// The seeds that the file names now, where it has changed since it was looked at; or in any case, where `anyway`.
-    /// What can't be read changes nothing.
-    pub fn look(&mut self, anyway: bool) -> Option<Result<Vec<SocketAddr>, String>> {
-        let stamp = self.stamp();
-        if stamp == self.seen && !anyway {
-            return None;
-        }
-        self.seen = stamp;
-        Some(Settings::from_file(&self.file).map(|settings| settings.seeds))
-    }
+fn required_text(fields: &Object, key: &str) -> Result<String, ValueError> {
+    json::as_str(require(fields, key, "")?, key).map(str::to_string)
+}
 
-    fn stamp(&self) -> Option<(SystemTime, u64, u64)> {
-        let about = std::fs::metadata(&self.file).ok()?;
-        Some((about.modified().ok()?, about.len(), about.ino()))
-    }
+fn number(fields: &Object, key: &str, path: &str, default: f64) -> Result<f64, ValueError> {
+    get(fields, key).map_or(Ok(default), |v| json::as_number(v, path))
 }
 
-fn address(value: &Value, at: &str) -> Result<SocketAddr, Fault> {
-    let text = json::text(value, at)?;
-    text.parse().or_else(|_| fault(at, format!("{text} is no address with a port")))
+fn read_ip(fields: &Object) -> Result<IpAddr, ValueError> {
+    required_text(fields, "ip")?.parse().or_else(|_| invalid("ip", "an address is wanted"))
 }
 
-/// `name=value` texts, in a list or on one line between commas.
-fn bounds(all: &Object) -> Result<Bounds, Fault> {
-    let mut pairs = Vec::new();
-    match at(all, "bounds") {
-        Some(Value::Array(list)) => {
-            for item in list {
-                pairs.push(json::text(item, "bounds")?.to_string());
-            }
-        }
-        Some(Value::String(line)) => pairs.extend(line.split(',').map(str::to_string)),
-        _ => {}
-    }
-    let find = |name: &str| {
-        pairs.iter().filter_map(|p| p.split_once('=')).find(|(n, _)| n.trim() == name).map(|(_, v)| v.trim())
-    };
-    let figure = |name: &str, usual: f64| match find(name).map(str::parse::<f64>) {
-        None => Ok(usual),
-        Some(Ok(n)) if n.is_finite() && n >= 0.0 => Ok(n),
-        Some(_) => fault(format!("bounds.{name}"), "a number is wanted"),
-    };
-    let span = |name: &str, usual: f64| figure(name, usual).map(Span::from_secs);
-    Ok(Bounds {
-        contact: span("contact-s", 5.0)?,
-        drain: span("drain-s", 2.5)?,
-        grace: span("grace-s", 6.0)?,
-        converge: span("converge-s", 2.5)?,
-        revoke_final: find("revoke-final") == Some("true"),
-        revoke: span("revoke-s", 5.0)?,
-        retry_ratio: figure("retry-ratio", 0.2)?,
-        retry_window: span("retry-window-s", 10.0)?,
-        retry_slack: figure("retry-slack", 50.0)?,
-        quota_window: span("quota-window-s", 5.0)?,
-        quota_overshoot: figure("quota-overshoot", 0.1)?,
-        quota_slack: figure("quota-slack", 20.0)?,
-        cold_overshoot: figure("cold-overshoot", 1.5)?,
-        cold_slack: figure("cold-slack", 5.0)?,
-        evacuate: span("evacuate-s", 5.0)?,
-        ttl_max: span("ttl_max_s", 5.0)?,
-        catch_up: span("catch-up-s", 4.0)?,
-        ack: span("ack-s", 8.0)?,
+fn read_address(value: &Value, path: &str) -> Result<SocketAddr, ValueError> {
+    let text = json::as_str(value, path)?;
+    text.parse().or_else(|_| invalid(path, format!("{text} is no address with a port")))
+}
+
+fn read_ports(fields: &Object) -> Result<(u16, u16), ValueError> {
+    let ports = json::as_array(require(fields, "port-range", "")?, "port-range")?;
+    let read = |port| json::as_number(port, "port-range").map(|port| port as u16);
+    let ports: Vec<u16> = ports.iter().map(read).collect::<Result<_, _>>()?;
+    let [from, to] = ports[..] else { return invalid("port-range", "two ports are wanted") };
+    Ok((from, to))
+}
+
+fn read_seeds(fields: &Object) -> Result<Vec<SocketAddr>, ValueError> {
+    let seeds = json::as_array(require(fields, "seeds", "")?, "seeds")?;
+    seeds.iter().map(|seed| read_address(seed, "seeds")).collect()
+}
+
+fn read_limits(fields: &Object) -> Result<Limits, ValueError> {
+    let empty = Object::new();
+    let limits = section(fields, "limits")?.unwrap_or(&empty);
+    Ok(Limits {
+        memory_mb: number(limits, "memory-mb", "limits.memory-mb", DEFAULT_MEMORY_MB)? as u64,
+        max_fds: number(limits, "max-fds", "limits.max-fds", DEFAULT_MAX_FDS)? as usize,
     })
 }
 
-/// A YAML value as the values that everything else here reads.
-fn turned(yaml: &Yaml) -> Value {
+fn read_zones(fields: &Object) -> Result<Vec<(String, String)>, ValueError> {
+    let mut zones = Vec::new();
+    for (zone, region) in section(fields, "zones")?.into_iter().flatten() {
+        zones.push((zone.clone(), json::as_str(region, "zones")?.to_string()));
+    }
+    zones.sort();
+    Ok(zones)
+}
+
+fn read_tolerated(fields: &Object) -> Result<usize, ValueError> {
+    let path = "fault-budget.machines";
+    let empty = Object::new();
+    let budget = section(fields, "fault-budget")?.unwrap_or(&empty);
+    let machines = number(budget, "machines", path, DEFAULT_TOLERATED)?;
+    if !(0.0..=MAX_TOLERATED).contains(&machines) || machines.fract() != 0.0 {
+        return invalid(path, format!("a whole number from 0 to {MAX_TOLERATED} is wanted"));
+    }
+    Ok(machines as usize)
+}
+
+/// A YAML value as the JSON value that everything else here reads.
+fn to_json(yaml: &Yaml) -> Value {
     match yaml {
         Yaml::Real(text) => text.parse().map_or(Value::Null, Value::Number),
         Yaml::Integer(n) => Value::Number(*n as f64),
         Yaml::String(text) => Value::String(text.clone()),
         Yaml::Boolean(b) => Value::Boolean(*b),
-        Yaml::Array(list) => Value::Array(list.iter().map(turned).collect()),
+        Yaml::Array(list) => Value::Array(list.iter().map(to_json).collect()),
         Yaml::Hash(hash) => {
-            let pairs = hash.iter().filter_map(|(k, v)| Some((k.as_str()?.to_string(), turned(v))));
+            let pairs = hash.iter().filter_map(|(k, v)| Some((k.as_str()?.to_string(), to_json(v))));
             Value::Object(pairs.collect())
         }
         _ => Value::Null,
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,132 +1,150 @@
-//! Elections: one leader a term, chosen by a majority of the voters stored last, only from those that stored as much
-//! as each of that majority.
+//! Elections (Raft, section 5.2 and 5.4): one leader a term, elected by a majority of the voters stored last, and only if
+//! it has stored as much as each of that majority. Leadership transfer (Ongaro's thesis, section 3.10).
 
 use lynxstair::types::Time;
 use lynxstair_protocol::consensus::{LogId, Member, Message};
 
-use crate::role::{Leading, Role, SILENT};
-use crate::{Cairn, Do, Node};
+use crate::role::{ELECTION_TIMEOUT, LeaderState, Role};
+use crate::{Consensus, NodeAddress};
 
-impl Cairn {
-    /// Asks for votes; by a pre-vote first, so that one who was cut off disturbs nobody.
-    pub(crate) fn campaign(&mut self, now: Time, pre: bool) {
-        let term = self.record.term + 1;
-        let message = Message::RequestVote { term, last: self.record.last, pre };
-        let asked: Vec<_> = self.others().into_iter().map(|m| (m.node, message.clone())).collect();
-        if pre {
-            self.stand_as(Role::PreCandidate { yes: Vec::new(), since: now });
-            self.out.extend(asked.into_iter().map(|(to, message)| Do::Say(to, message)));
-        } else {
-            self.record.term = term;
-            self.record.vote = Some(self.me);
-            self.stand_as(Role::Candidate { yes: Vec::new(), since: now });
-            // Its own vote is on the disk before it asks for others'.
-            self.save(now, asked);
+impl Consensus {
+    /// Asks whether a campaign could succeed, so that a node that was partitioned off does not depose a working leader
+    /// (Ongaro's thesis, section 9.6).
+    pub(crate) fn start_pre_vote(&mut self, now: Time) {
+        let requests = self.vote_requests(true);
+        self.set_role(Role::PreCandidate { votes: Vec::new(), since: now });
+        for (to, message) in requests {
+            self.send(to, message);
         }
-        self.elected(now);
+        self.check_election(now);
     }
 
-    /// Whoever hears a leader has no use for another. Nothing is promised by the answer.
-    pub(crate) fn pre_vote(&mut self, now: Time, from: Node, term: u64, last: LogId) {
-        let hears = match &self.role {
-            Role::Follower { leader: Some(_), heard_at } => now - *heard_at < SILENT,
-            Role::Leader(l) => now - l.sure_at < SILENT,
+    /// Enters the next term and asks for votes.
+    pub(crate) fn start_election(&mut self, now: Time) {
+        let requests = self.vote_requests(false);
+        self.persistent.term += 1;
+        self.persistent.vote = Some(self.me);
+        self.set_role(Role::Candidate { votes: Vec::new(), since: now });
+        // Its own vote is synced before it asks for others': after a loss of power it could vote twice.
+        self.persist(now, requests);
+        self.check_election(now);
+    }
+
+    fn vote_requests(&self, is_pre_vote: bool) -> Vec<(NodeAddress, Message)> {
+        let message =
+            Message::RequestVote { term: self.persistent.term + 1, last: self.persistent.last, is_pre_vote };
+        self.other_voters().into_iter().map(|m| (m.node, message.clone())).collect()
+    }
+
+    /// A node that hears a leader has no use for another. The reply promises nothing.
+    pub(crate) fn handle_pre_vote(&mut self, now: Time, from: NodeAddress, term: u64, last: LogId) {
+        let hears_leader = match &self.role {
+            Role::Follower { leader: Some(_), heard_at } => now - *heard_at < ELECTION_TIMEOUT,
+            Role::Leader(leader) => now - leader.confirmed_at < ELECTION_TIMEOUT,
             _ => false,
         };
-        let granted = !hears && term > self.record.term && last >= self.record.last;
-        // Whoever is behind learns the term from a refusal: asking in an old one, it would be refused for ever.
-        let term = if granted { term } else { self.record.term };
-        let reply = Message::VoteReply { term, granted, pre: true, disk: self.record.disk };
-        self.out.push(Do::Say(from, reply));
+        let granted = !hears_leader && term > self.persistent.term && last >= self.persistent.last;
+        // A node that is behind learns the term from a refusal: asking in an old one, it would be refused for ever.
+        let term = if granted { term } else { self.persistent.term };
+        let disk = self.persistent.disk;
+        self.send(from, Message::VoteReply { term, granted, is_pre_vote: true, disk });
     }
 
-    pub(crate) fn vote(&mut self, now: Time, from: Node, term: u64, last: LogId) {
-        let behind = term < self.record.term;
-        let taken = term == self.record.term && self.record.vote.is_some_and(|v| v != from);
-        let granted = !behind && !taken && last >= self.record.last;
-        let reply = Message::VoteReply { term, granted, pre: false, disk: self.record.disk };
-        if granted {
-            if term > self.record.term {
-                self.follow(now, None);
-            }
-            self.record.term = term;
-            self.record.vote = Some(from);
-            if let Role::Follower { heard_at, .. } = &mut self.role {
-                *heard_at = now;
+    pub(crate) fn handle_vote_request(&mut self, now: Time, from: NodeAddress, term: u64, last: LogId) {
+        let is_late = term < self.persistent.term;
+        let has_voted = term == self.persistent.term && self.persistent.vote.is_some_and(|v| v != from);
+        let granted = !is_late && !has_voted && last >= self.persistent.last;
+        let disk = self.persistent.disk;
+        let reply = Message::VoteReply { term, granted, is_pre_vote: false, disk };
+        if !granted {
+            if term > self.persistent.term {
+                self.enter_term(now, term);
             }
-            // A vote goes out only once it is on the disk, also one that is given again: it may still be on its way.
-            return self.save(now, vec![(from, reply)]);
+            return self.send(from, reply);
+        }
+        if term > self.persistent.term {
+            self.become_follower(now, None);
         }
-        if term > self.record.term {
-            self.enter(now, term, None);
+        self.persistent.term = term;
+        self.persistent.vote = Some(from);
+        if let Role::Follower { heard_at, .. } = &mut self.role {
+            *heard_at = now;
         }
-        self.out.push(Do::Say(from, reply));
+        // A vote leaves once it is synced, also one that is given again: its first write may still be pending.
+        self.persist(now, vec![(from, reply)]);
     }
 
-    pub(crate) fn vote_replied(&mut self, now: Time, from: Member, term: u64, granted: bool, pre: bool) {
-        if !granted && term > self.record.term {
-            return self.enter(now, term, None);
+    pub(crate) fn handle_vote_reply(
+        &mut self,
+        now: Time,
+        from: Member,
+        term: u64,
+        granted: bool,
+        is_pre_vote: bool,
+    ) {
+        if !granted && term > self.persistent.term {
+            return self.enter_term(now, term);
         }
-        if !granted {
+        if !granted || !self.counts_vote_of(&from) {
             return;
         }
-        // A vote counts by the disk that gave it: an emptied one, or one that was removed, has none.
-        #[cfg(not(feature = "deliberate-faults"))]
-        let counts = self.record.state.voters.contains(&from);
-        #[cfg(feature = "deliberate-faults")]
-        let counts = self.record.state.voters.contains(&from) || self.has(crate::Fault::AnyVoteCounts);
-        if !counts {
-            return;
+        let own_term = self.persistent.term;
+        let votes = match &mut self.role {
+            Role::PreCandidate { votes, .. } if is_pre_vote && term == own_term + 1 => votes,
+            Role::Candidate { votes, .. } if !is_pre_vote && term == own_term => votes,
+            _ => return,
+        };
+        if !votes.contains(&from) {
+            votes.push(from);
+            self.check_election(now);
         }
-        let own_term = self.record.term;
-        match &mut self.role {
-            Role::PreCandidate { yes, .. } if pre && term == own_term + 1 && !yes.contains(&from) => {
-                yes.push(from);
-                self.elected(now);
-            }
-            Role::Candidate { yes, .. } if !pre && term == own_term && !yes.contains(&from) => {
-                yes.push(from);
-                self.elected(now);
-            }
-            _ => {}
+    }
+
+    /// A vote counts by the disk that gave it: an emptied disk, or one that was removed, has none.
+    fn counts_vote_of(&self, from: &Member) -> bool {
+        #[cfg(feature = "deliberate-faults")]
+        if self.has_fault(crate::Fault::AnyVoteCounts) {
+            return true;
         }
+        self.voters().contains(from)
     }
 
-    fn elected(&mut self, now: Time) {
+    /// Goes on to the next stage once a majority, this node included, agrees.
+    fn check_election(&mut self, now: Time) {
         let majority = self.majority();
         match &self.role {
-            Role::PreCandidate { yes, .. } if yes.len() + 1 >= majority => self.campaign(now, false),
-            Role::Candidate { yes, .. } if yes.len() + 1 >= majority => self.lead(now),
+            Role::PreCandidate { votes, .. } if votes.len() + 1 >= majority => self.start_election(now),
+            Role::Candidate { votes, .. } if votes.len() + 1 >= majority => self.become_leader(now),
             _ => {}
         }
     }
 
-    fn lead(&mut self, now: Time) {
-        self.has_heard = true;
-        self.stand_as(Role::Leader(Leading::begin(now, &self.others())));
-        // What was stored last goes on, written anew in this term: only then does it count.
-        let state = self.record.state.clone();
-        self.write(now, state);
-        self.speak(now);
+    fn become_leader(&mut self, now: Time) {
+        self.has_heard_leader = true;
+        self.set_role(Role::Leader(LeaderState::new(now, &self.other_voters())));
+        // The newest stored state is written anew in this term: only then does it count (Raft, section 5.4.2).
+        let state = self.persistent.state.clone();
+        self.append_state(now, state);
+        self.start_round(now);
     }
 
-    /// A leader that is to end, or whose place another has taken, gives way to the voter that holds everything, once nothing of its own is open.
-    pub(crate) fn hand_over(&mut self, now: Time) {
-        let Role::Leader(l) = &self.role else { return };
-        let is_outgoing = self.record.state.outgoing == Some(self.own());
-        if self.leaving.is_none() && !is_outgoing || self.is_open() {
+    /// A leader that shuts down, or whose place as a voter another has taken, has the voter that holds everything
+    /// campaign at once, as soon as nothing of its own is uncommitted.
+    pub(crate) fn transfer_leadership(&mut self, now: Time) {
+        let Role::Leader(leader) = &self.role else { return };
+        let is_outgoing = self.outgoing_voter() == Some(self.own_member());
+        if self.shutdown.is_none() && !is_outgoing || self.has_uncommitted() {
             return;
         }
-        let voters = &self.record.state.voters;
-        let fit = |m: &Member| {
-            let progress = l.progress.get(m)?;
-            let is_fit = progress.stored == self.record.last
-                && progress.leaving_at.is_none()
-                && now - progress.heard_at < SILENT;
-            is_fit.then_some((progress.round, m.node))
+        let candidate = |member: &Member| {
+            let progress = leader.progress.get(member)?;
+            let is_fit = progress.stored == self.persistent.last
+                && progress.leave_requested_at.is_none()
+                && now - progress.heard_at < ELECTION_TIMEOUT;
+            is_fit.then_some((progress.round, member.node))
         };
-        let Some((_, to)) = voters.iter().filter_map(fit).max() else { return };
-        self.out.push(Do::Say(to, Message::TimeoutNow { term: self.record.term }));
-        self.follow(now, None);
+        let Some((_, to)) = self.voters().iter().filter_map(candidate).max() else { return };
+        self.send(to, Message::TimeoutNow { term: self.persistent.term });
+        self.become_follower(now, None);
     }
 }
--- /dev/null
+++ b/crates/consensus/src/fault.rs
@@ -0,0 +1,12 @@
+//! Faults that tests put into the state machine, to see that their checks find them. Not in any program.
+
+/// A safety measure that is left out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Fault {
+    /// A learner counts towards what is committed.
+    LearnerCounts,
+    /// A voter is exchanged for another in one change, its predecessor not committed first.
+    TwoAtOnce,
+    /// Votes count whoever gives them, removed members and emptied disks too.
+    AnyVoteCounts,
+}
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,224 +1,267 @@
 //! Replication: heartbeat rounds, what is stored on which disk, and what is committed by that.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_protocol::consensus::{LogId, Member, Message, State};
+use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
 use lynxstair_protocol::messages::Bytes;
 
-use crate::reads::READ_GAP;
-use crate::role::{Progress, Role};
-use crate::{Cairn, Do, Node};
-
-/// How often a leader speaks.
-pub(crate) const ROUND: Span = Span::from_millis(100);
-/// A leader that no majority answered for so long steps down; one whose disk owes a write for so long, too.
-pub(crate) const UNHEARD: Span = Span::from_millis(800);
-pub(crate) const DISK_OWES: Span = Span::from_millis(700);
-/// A state that was sent is sent again where no word of it came for so many rounds.
-const ROUNDS_UNTOLD: u64 = 10;
-/// A leader waits so long for voters before what it acknowledges is on fewer disks than it should be.
-const THIN: Span = Span::from_millis(3_000);
+use crate::progress::{PeerContact, Progress};
+use crate::read_index::READ_BATCH_INTERVAL;
+use crate::role::{LeaderState, Role};
+use crate::{Action, Consensus, NodeAddress};
+
+/// How often a leader begins a round.
+pub(crate) const HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
+/// A leader that no majority answered for so long steps down.
+const LEADER_QUORUM_TIMEOUT: Span = Span::from_millis(800);
+/// So does one whose disk has not completed a write for so long.
+const DISK_WRITE_TIMEOUT: Span = Span::from_millis(700);
+/// A state that was sent is sent again after so many rounds without an acknowledgement.
+const RESEND_AFTER_ROUNDS: u64 = 10;
+/// For so long a leader waits for more voters before it acknowledges what is on fewer disks than it should be.
+const UNDER_REPLICATED_TIMEOUT: Span = Span::from_millis(3_000);
 /// So many rounds are remembered by their beginning: some seconds.
-const MOST_ROUNDS: usize = 64;
+const MAX_ROUND_STARTS: usize = 64;
 
-impl Cairn {
-    /// Proposes the state that is to replace the committed one; its number, or None where it can't.
-    pub fn propose(&mut self, now: Time, state: Vec<u8>) -> Option<u64> {
-        if !self.leads() || self.is_open() || self.leaving.is_some() || self.is_thin(now) {
+impl Consensus {
+    /// Proposes the configuration that is to replace the committed one. Returns the number by which
+    /// `Action::ProposalDone` tells its fate, or None where this node can't propose now.
+    pub fn propose(&mut self, now: Time, config: Vec<u8>) -> Option<u64> {
+        let may_propose = self.is_established_leader() && !self.has_uncommitted() && self.shutdown.is_none();
+        if !may_propose || self.is_under_replicated(now) {
             return None;
         }
-        let number = self.next_number();
-        let last = self.write(now, State { book: Bytes(state.into()), ..self.record.state.clone() });
-        if let Role::Leader(l) = &mut self.role {
-            l.proposed = Some((number, last));
+        let number = self.next_request();
+        let state = ReplicatedState { config: Bytes(config.into()), ..self.persistent.state.clone() };
+        let last = self.append_state(now, state);
+        if let Role::Leader(leader) = &mut self.role {
+            leader.proposal = Some((number, last));
         }
-        self.speak(now);
+        self.start_round(now);
         Some(number)
     }
 
-    /// Whether a majority is fewer disks than may be lost at once and one more, and voters may be on their way: so it is
-    /// just after the founding, and while emptied disks are taken out and in. Not for long: those that are not there by
-    /// then are lost already.
-    fn is_thin(&mut self, now: Time) -> bool {
-        let is_thin = self.majority() <= self.tolerated;
-        let Role::Leader(l) = &mut self.role else { return false };
-        l.thin_since = is_thin.then(|| l.thin_since.unwrap_or(now));
-        l.thin_since.is_some_and(|since| now - since < THIN)
+    /// Whether a majority is on no more disks than may be lost at once, while voters may be on their way: so it is just
+    /// after the founding, and while emptied disks are removed and added. Not for long: voters that are not there by
+    /// the time-out are lost already.
+    fn is_under_replicated(&mut self, now: Time) -> bool {
+        let is_now = self.majority() <= self.tolerated;
+        let Role::Leader(leader) = &mut self.role else { return false };
+        leader.under_replicated_since = is_now.then(|| leader.under_replicated_since.unwrap_or(now));
+        leader.under_replicated_since.is_some_and(|since| now - since < UNDER_REPLICATED_TIMEOUT)
     }
 
-    /// A leader's next state.
-    pub(crate) fn write(&mut self, now: Time, state: State) -> LogId {
-        let last = LogId { term: self.record.term, index: self.record.last.index + 1 };
-        self.record.last = last;
-        self.record.state = state;
-        self.save(now, Vec::new());
+    /// Writes a leader's next state; returns its position.
+    pub(crate) fn append_state(&mut self, now: Time, state: ReplicatedState) -> LogId {
+        let last = LogId { term: self.persistent.term, index: self.persistent.last.index + 1 };
+        self.persistent.last = last;
+        self.persistent.state = state;
+        self.persist(now, Vec::new());
         last
     }
 
-    /// A leader whose time has come steps down, hands over, mends the voters, or begins a round.
-    pub(crate) fn keep_leading(&mut self, now: Time) {
-        let owes = self.waiting.front().is_some_and(|w| now - w.since > DISK_OWES);
-        let Role::Leader(l) = &mut self.role else { return };
-        l.checked_at = now;
-        let pause = if l.round_wanted { READ_GAP } else { ROUND };
-        let is_due = now >= l.said_at + pause;
-        if now - l.sure_at > UNHEARD || owes {
-            return self.follow(now, None);
-        }
-        self.is_thin(now);
-        self.hand_over(now);
+    /// The periodic checks of a leader: it steps down, transfers leadership, changes the voters, or begins a round.
+    pub(crate) fn tick_leader(&mut self, now: Time) {
+        let disk_hangs = self.pending_writes.front().is_some_and(|w| now - w.since > DISK_WRITE_TIMEOUT);
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.checked_at = now;
+        let interval = if leader.round_wanted { READ_BATCH_INTERVAL } else { HEARTBEAT_INTERVAL };
+        let round_is_due = now >= leader.round_began_at + interval;
+        if now - leader.confirmed_at > LEADER_QUORUM_TIMEOUT || disk_hangs {
+            return self.become_follower(now, None);
+        }
+        // Only so that the time of an under-replicated quorum counts from its beginning.
+        self.is_under_replicated(now);
+        self.transfer_leadership(now);
         self.change_voters(now);
-        if is_due {
-            self.speak(now);
+        if round_is_due {
+            self.start_round(now);
         }
     }
 
-    /// A leader begins a round: says to all what stands.
-    pub(crate) fn speak(&mut self, now: Time) {
-        let (term, last, committed) = (self.record.term, self.record.last, self.committed);
-        let state = self.record.state.clone();
-        let alone = self.others().is_empty();
-        let Role::Leader(l) = &mut self.role else { return };
-        l.round += 1;
-        l.said_at = now;
-        l.round_wanted = false;
-        l.begun.push_back((l.round, now));
-        if l.begun.len() > MOST_ROUNDS {
-            l.begun.pop_front();
-        }
-        let stored: Vec<LogId> =
-            l.contacts.keys().map(|n| l.disk_at(*n).map_or(LogId::default(), |(_, p)| p.stored)).collect();
-        for ((to, contact), stored) in l.contacts.iter_mut().zip(stored) {
-            // Sent once, and again where no word of it came.
-            let untold = |(sent, round)| sent != last || l.round > round + ROUNDS_UNTOLD;
-            let is_due = stored != last && contact.sent.is_none_or(untold);
-            if is_due {
-                contact.sent = Some((last, l.round));
-            }
-            let state = is_due.then(|| state.clone());
-            let (echo, fresh) = match contact.clock {
-                // What the other did between its answer and now is later than its answer.
-                Some((clock, came)) if l.sure_at <= came => (clock, Some((came - l.sure_at).nanos())),
-                Some((clock, _)) => (clock, Some(0)),
-                None => (0, None),
-            };
-            let fresh = fresh.filter(|_| committed.term == term);
-            let message = Message::Append { term, round: l.round, last, state, committed, echo, fresh };
-            self.out.push(Do::Say(*to, message));
-        }
-        if alone {
-            l.sure_at = now;
-            l.sure_round = l.round;
-            self.answer_reads();
+    /// A leader begins a heartbeat round.
+    pub(crate) fn start_round(&mut self, now: Time) {
+        let (term, last, committed) = (self.persistent.term, self.persistent.last, self.committed);
+        let is_alone = self.other_voters().is_empty();
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.begin_round(now);
+        let stored: Vec<LogId> = leader
+            .contacts
+            .keys()
+            .map(|node| leader.current_disk(*node).map_or(LogId::default(), |(_, p)| p.stored))
+            .collect();
+        let (round, confirmed_at) = (leader.round, leader.confirmed_at);
+        for ((to, contact), stored) in leader.contacts.iter_mut().zip(stored) {
+            let state = contact.needs_state(stored, last, round).then(|| self.persistent.state.clone());
+            let (clock_echo, confirmed_ago) = contact.echo(confirmed_at);
+            let confirmed_ago = confirmed_ago.filter(|_| committed.term == term);
+            let message = Message::Append { term, round, last, state, committed, clock_echo, confirmed_ago };
+            self.actions.push(Action::Send(*to, message));
+        }
+        if is_alone {
+            leader.confirmed_at = now;
+            leader.confirmed_round = leader.round;
+            self.complete_reads();
         }
     }
 
-    pub(crate) fn append(
+    /// A round of the leader has arrived.
+    pub(crate) fn handle_append(
         &mut self,
         now: Time,
-        from: Node,
+        from: NodeAddress,
         (term, round): (u64, u64),
         last: LogId,
-        state: Option<State>,
+        state: Option<ReplicatedState>,
         committed: LogId,
     ) {
-        if term > self.record.term {
-            self.enter(now, term, None);
+        if term > self.persistent.term {
+            self.enter_term(now, term);
         }
-        self.has_heard = true;
+        self.has_heard_leader = true;
         match &mut self.role {
             Role::Follower { leader, heard_at } => {
                 *leader = Some(from);
                 *heard_at = now;
             }
-            _ => self.follow(now, Some(from)),
+            _ => self.become_follower(now, Some(from)),
         }
         if let Some(state) = state
-            && last > self.record.last
+            && last > self.persistent.last
         {
-            self.record.last = last;
-            self.record.state = state;
-            let (disk, clock) = (self.record.disk, now.nanos());
+            self.persistent.last = last;
+            self.persistent.state = state;
+            let (disk, clock) = (self.persistent.disk, now.nanos());
             let reply = Message::AppendReply { term, round, stored: last, disk, clock };
-            self.save(now, vec![(from, reply)]);
+            self.persist(now, vec![(from, reply)]);
         }
-        // Heard at once, whatever the disk does; what is stored is said when it is.
+        // The round is answered at once, whatever the disk does; what is stored is acknowledged once it is synced.
         let reply = self.append_reply(now, round);
-        self.out.push(Do::Say(from, reply));
-        if committed > self.committed && committed == self.record.last {
+        self.send(from, reply);
+        if committed > self.committed && committed == self.persistent.last {
             self.commit(committed);
         }
     }
 
     pub(crate) fn append_reply(&self, now: Time, round: u64) -> Message {
-        let (disk, clock) = (self.record.disk, now.nanos());
-        Message::AppendReply { term: self.record.term, round, stored: self.saved, disk, clock }
+        let (disk, clock) = (self.persistent.disk, now.nanos());
+        Message::AppendReply { term: self.persistent.term, round, stored: self.synced, disk, clock }
     }
 
-    /// An answer of this term came back.
-    pub(crate) fn append_replied(&mut self, now: Time, from: Member, round: u64, stored: LogId, clock: u64) {
-        let (majority, others) = (self.majority(), self.others());
-        let Role::Leader(l) = &mut self.role else { return };
-        let Some(contact) = l.contacts.get_mut(&from.node) else { return };
+    /// A reply of this term has arrived.
+    pub(crate) fn handle_append_reply(
+        &mut self,
+        now: Time,
+        from: Member,
+        round: u64,
+        stored: LogId,
+        clock: u64,
+    ) {
+        let (majority, others) = (self.majority(), self.other_voters());
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(contact) = leader.contacts.get_mut(&from.node) else { return };
         contact.seen_at = now;
         contact.clock = Some((clock, now));
-        let is_new = !l.progress.contains_key(&from);
-        let progress = l.progress.entry(from).or_insert_with(|| Progress::unheard(now));
-        progress.round = progress.round.max(round);
-        progress.heard_at = now;
-        // What a disk has stored it keeps: an answer that came late takes nothing back.
-        progress.stored = progress.stored.max(stored);
-        if is_new {
+        if !leader.progress.contains_key(&from) {
             // Another disk than the one that was sent something.
             contact.sent = None;
         }
-        // The newest round that a majority answered, by the disks that vote.
-        let mut rounds: Vec<u64> = others.iter().filter_map(|m| l.progress.get(m)).map(|p| p.round).collect();
-        rounds.sort_unstable_by(|a, b| b.cmp(a));
-        if majority >= 2
-            && let Some(sure) = rounds.get(majority - 2)
-        {
-            l.sure_round = l.sure_round.max(*sure);
-            if let Some((_, at)) = l.begun.iter().find(|(r, _)| r == sure) {
-                l.sure_at = l.sure_at.max(*at);
-            }
-        }
-        self.answer_reads();
-        self.count(now);
+        let progress = leader.progress.entry(from).or_insert_with(|| Progress::unheard(now));
+        progress.round = progress.round.max(round);
+        progress.heard_at = now;
+        // What a disk has stored it keeps: a reply that came late takes nothing back.
+        progress.stored = progress.stored.max(stored);
+        leader.confirm_rounds(majority, &others);
+        self.complete_reads();
+        self.advance_commit(now);
         self.change_voters(now);
     }
 
-    /// Whether what a leader wrote last is now on the disks of a majority of the voters.
-    pub(crate) fn count(&mut self, now: Time) {
-        let last = self.record.last;
-        let voters = &self.record.state.voters;
+    /// Commits the leader's newest state once it is on the disks of a majority of the voters. Only a state of the
+    /// current term is counted (Raft, section 5.4.2).
+    pub(crate) fn advance_commit(&mut self, now: Time) {
+        let last = self.persistent.last;
         let needed = self.majority();
-        let own = usize::from(self.saved >= last);
-        let Role::Leader(l) = &mut self.role else { return };
-        if last.term != self.record.term || self.committed >= last {
+        let own = usize::from(self.synced >= last);
+        if !matches!(self.role, Role::Leader(_))
+            || last.term != self.persistent.term
+            || self.committed >= last
+        {
             return;
         }
-        let holds = |m: &Member| l.progress.get(m).is_some_and(|p| p.stored == last);
-        let stored = own + voters.iter().filter(|m| holds(m)).count();
-        #[cfg(feature = "deliberate-faults")]
-        let stored = match self.fault {
-            Some(crate::Fault::LearnerCounts) => own + l.progress.keys().filter(|m| holds(m)).count(),
-            _ => stored,
-        };
-        if stored < needed {
+        if own + self.copies_elsewhere(last) < needed {
             return;
         }
-        let settled = l.proposed.take_if(|(_, at)| *at == last);
+        let Role::Leader(leader) = &mut self.role else { return };
+        let proposal = leader.proposal.take_if(|(_, at)| *at == last);
         self.commit(last);
-        if let Some((number, _)) = settled {
-            self.out.push(Do::Settled(number, true));
+        if let Some((number, _)) = proposal {
+            self.actions.push(Action::ProposalDone(number, true));
         }
         self.change_voters(now);
-        // Told at once.
-        self.speak(now);
+        // Followers learn of it at once.
+        self.start_round(now);
+    }
+
+    /// On how many disks of other voters a state is stored.
+    fn copies_elsewhere(&self, position: LogId) -> usize {
+        let Role::Leader(leader) = &self.role else { return 0 };
+        let has_copy = |m: &Member| leader.progress.get(m).is_some_and(|p| p.stored == position);
+        #[cfg(feature = "deliberate-faults")]
+        if self.has_fault(crate::Fault::LearnerCounts) {
+            return leader.progress.keys().filter(|m| has_copy(m)).count();
+        }
+        self.voters().iter().filter(|m| has_copy(m)).count()
     }
 
     fn commit(&mut self, at: LogId) {
         self.committed = at;
-        self.out.push(Do::Committed(at, self.record.state.book.clone()));
+        self.actions.push(Action::Committed(at, self.persistent.state.config.clone()));
+    }
+}
+
+impl LeaderState {
+    fn begin_round(&mut self, now: Time) {
+        self.round += 1;
+        self.round_began_at = now;
+        self.round_wanted = false;
+        self.round_starts.push_back((self.round, now));
+        if self.round_starts.len() > MAX_ROUND_STARTS {
+            self.round_starts.pop_front();
+        }
+    }
+
+    /// Finds the newest round that a majority answered, by the disks that vote.
+    fn confirm_rounds(&mut self, majority: usize, others: &[Member]) {
+        let mut rounds: Vec<u64> =
+            others.iter().filter_map(|m| self.progress.get(m)).map(|p| p.round).collect();
+        rounds.sort_unstable_by(|a, b| b.cmp(a));
+        // The leader itself is one of the majority, and counted from 0 the last of the others is two before it.
+        let Some(confirmed) = majority.checked_sub(2).and_then(|n| rounds.get(n)) else { return };
+        self.confirmed_round = self.confirmed_round.max(*confirmed);
+        if let Some((_, at)) = self.round_starts.iter().find(|(round, _)| round == confirmed) {
+            self.confirmed_at = self.confirmed_at.max(*at);
+        }
+    }
+}
+
+impl PeerContact {
+    /// Whether the newest state goes with this round: once, and again where no acknowledgement of it came.
+    fn needs_state(&mut self, stored: LogId, last: LogId, round: u64) -> bool {
+        let is_unacknowledged = |(sent, at): (LogId, u64)| sent != last || round > at + RESEND_AFTER_ROUNDS;
+        let is_due = stored != last && self.sent.is_none_or(is_unacknowledged);
+        if is_due {
+            self.sent = Some((last, round));
+        }
+        is_due
+    }
+
+    /// The peer's clock as last heard, and how long before its arrival the leader was confirmed. What the peer did
+    /// between its reply and now is later than its reply, so a confirmation since then counts as one at the reply.
+    fn echo(&self, confirmed_at: Time) -> (u64, Option<u64>) {
+        match self.clock {
+            Some((clock, came)) if confirmed_at <= came => (clock, Some((came - confirmed_at).nanos())),
+            Some((clock, _)) => (clock, Some(0)),
+            None => (0, None),
+        }
     }
 }
--- a/crates/control-state/src/directory.rs
+++ b/crates/control-state/src/directory.rs
@@ -1,201 +1,211 @@
-//! The directory of a hut: which gatekeepers clients may come to, as they say themselves on their lines to this hut,
-//! and as the other huts have it from theirs. So a hut that no gatekeeper has found yet can answer as well.
+//! The directory of a controller: which proxies clients may connect to, as they say themselves on their connections to this
+//! controller, and as the other controllers have it from theirs. So a controller that no proxy has found yet can answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use lynxstair::types::{Span, Time};
-use lynxstair_protocol::messages::{Edge, Readiness, Sighting};
-
-/// A gatekeeper, or a hut, that said nothing for so long is left out.
-const ABSENT: Span = Span::from_millis(2_500);
-/// Who has said that it leaves is not named any more, whatever others still have of it; remembered for so long.
-const REMEMBERED: Span = Span::from_millis(30_000);
-/// Answers go by what was found out within so long, unless something changed since.
-const FOUND: Span = Span::from_millis(50);
-/// As many as an answer may name.
-const MOST: usize = 64;
-
+use lynxstair_protocol::messages::{ProxyInfo, ProxyStatus, Readiness};
+
+/// A proxy, or a controller, that said nothing for so long is left out.
+const STATUS_TIMEOUT: Span = Span::from_millis(2_500);
+/// How long it is remembered that a proxy shuts down, whatever others still have of it; and which proxies could serve.
+const RETENTION: Span = Span::from_millis(30_000);
+/// Answers go by what was found within so long, unless something changed since.
+const CACHE_TTL: Span = Span::from_millis(50);
+/// How many addresses an answer may hold.
+const MAX_ANSWER: usize = 64;
+
+/// A proxy that is connected to this controller.
 #[derive(Debug)]
-struct Here {
-    sighting: Sighting,
+struct LocalProxy {
+    status: ProxyStatus,
     heard_at: Time,
 }
 
-/// What another hut says.
+/// What another controller says of the proxies that are connected to it.
 #[derive(Debug, Default)]
-struct There {
+struct RemoteView {
     heard_at: Time,
-    has_gathered: bool,
-    sightings: HashMap<String, Sighting>,
+    is_complete: bool,
+    statuses: HashMap<String, ProxyStatus>,
 }
 
+/// What one controller knows of the proxies.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// By the gatekeeper's name.
-    here: HashMap<String, Here>,
-    there: HashMap<SocketAddr, There>,
-    /// What the other huts were told last of those here.
-    told: HashMap<String, Sighting>,
-    /// Lives that leave, and when that was heard.
-    left: HashMap<String, (u64, Time)>,
-    /// Those that could serve when they were heard last, by whichever hut.
-    last: HashMap<String, (Edge, Time)>,
-    /// Those that clients may come to, as of then: look-ups are many.
-    found: Option<(Time, Vec<Edge>)>,
-    /// Answers so far: each begins with another of them, so that all are named as often, and as early.
-    answers: usize,
+    /// By the proxy's node name.
+    local: HashMap<String, LocalProxy>,
+    /// By the controller's address.
+    remote: HashMap<SocketAddr, RemoteView>,
+    /// What the other controllers were last told of the local ones.
+    published: HashMap<String, ProxyStatus>,
+    /// Incarnations that shut down, and when that was heard.
+    shutting_down: HashMap<String, (u64, Time)>,
+    /// Proxies that could serve when they were last heard, by whichever controller.
+    last_serving: HashMap<String, (ProxyInfo, Time)>,
+    /// Those that clients may connect to, as of then: look-ups are many.
+    cached: Option<(Time, Vec<ProxyInfo>)>,
+    /// Look-ups so far: each answer begins with another proxy, so that all are named as often, and as early.
+    lookups: usize,
 }
 
 impl Directory {
-    /// A gatekeeper says on its line to this hut how it is; whether others should hear of it at once.
-    pub fn hear(&mut self, now: Time, edge: &Edge, readiness: Readiness) -> bool {
-        self.note(now, edge, readiness);
-        let sighting = Sighting { edge: edge.clone(), readiness };
-        let old = self.here.insert(edge.node.clone(), Here { sighting, heard_at: now });
-        let was = old.map(|o| (o.sighting.edge.life, o.sighting.readiness));
-        let is_news = was != Some((edge.life, readiness));
+    /// A proxy says on its connection how it is. Returns whether others should learn of it at once.
+    pub fn on_heartbeat(&mut self, now: Time, proxy: &ProxyInfo, readiness: Readiness) -> bool {
+        self.remember(now, proxy, readiness);
+        let status = ProxyStatus { proxy: proxy.clone(), readiness };
+        let old = self.local.insert(proxy.node.clone(), LocalProxy { status, heard_at: now });
+        let before = old.map(|old| (old.status.proxy.incarnation, old.status.readiness));
+        let is_news = before != Some((proxy.incarnation, readiness));
         if is_news {
-            self.found = None;
+            self.cached = None;
         }
         is_news
     }
 
-    /// Its line to this hut has ended, unless a later life has one.
-    pub fn end(&mut self, node: &str, life: u64) {
-        if self.here.get(node).is_some_and(|h| h.sighting.edge.life == life) {
-            self.here.remove(node);
-            self.found = None;
+    /// A proxy's connection to this controller has ended, unless a later incarnation has one.
+    pub fn on_disconnected(&mut self, node: &str, incarnation: u64) {
+        if self.local.get(node).is_some_and(|local| local.status.proxy.incarnation == incarnation) {
+            self.local.remove(node);
+            self.cached = None;
         }
     }
 
-    /// Another hut is there. What it said stands while it is heard: the end of one of its lines says nothing, as it may
-    /// have opened another before.
-    pub fn hear_hut(&mut self, now: Time, hut: SocketAddr) {
-        if let Some(there) = self.there.get_mut(&hut) {
-            there.heard_at = now;
+    /// Another controller was heard. What it said stands while it is heard: the end of one of its connections says
+    /// nothing, as it may have opened another before.
+    pub fn on_controller_heard(&mut self, now: Time, controller: SocketAddr) {
+        if let Some(view) = self.remote.get_mut(&controller) {
+            view.heard_at = now;
         }
     }
 
-    /// What another hut says of those that follow it.
-    pub fn take(
+    /// Another controller says which proxies are connected to it.
+    pub fn apply_remote(
         &mut self,
         now: Time,
-        hut: SocketAddr,
-        sightings: Vec<Sighting>,
-        whole: bool,
-        has_gathered: bool,
+        controller: SocketAddr,
+        statuses: Vec<ProxyStatus>,
+        is_snapshot: bool,
+        is_complete: bool,
     ) {
-        sightings.iter().for_each(|s| self.note(now, &s.edge, s.readiness));
-        self.found = None;
-        let there = self.there.entry(hut).or_default();
-        (there.heard_at, there.has_gathered) = (now, has_gathered);
-        if whole {
-            there.sightings.clear();
+        statuses.iter().for_each(|s| self.remember(now, &s.proxy, s.readiness));
+        self.cached = None;
+        let view = self.remote.entry(controller).or_default();
+        (view.heard_at, view.is_complete) = (now, is_complete);
+        if is_snapshot {
+            view.statuses.clear();
         }
-        for sighting in sightings {
-            if sighting.readiness == Readiness::Gone {
-                there.sightings.remove(&sighting.edge.node);
+        for status in statuses {
+            if status.readiness == Readiness::Disconnected {
+                view.statuses.remove(&status.proxy.node);
             } else {
-                there.sightings.insert(sighting.edge.node.clone(), sighting);
+                view.statuses.insert(status.proxy.node.clone(), status);
             }
         }
     }
 
-    fn note(&mut self, now: Time, edge: &Edge, readiness: Readiness) {
+    fn remember(&mut self, now: Time, proxy: &ProxyInfo, readiness: Readiness) {
         match readiness {
-            Readiness::Leaving => {
-                self.left.insert(edge.node.clone(), (edge.life, now));
+            Readiness::ShuttingDown => {
+                self.shutting_down.insert(proxy.node.clone(), (proxy.incarnation, now));
             }
             Readiness::Ready | Readiness::Stale => {
-                self.last.insert(edge.node.clone(), (edge.clone(), now));
+                self.last_serving.insert(proxy.node.clone(), (proxy.clone(), now));
             }
-            Readiness::Starting | Readiness::Gone => {}
+            Readiness::Starting | Readiness::Disconnected => {}
         }
     }
 
-    fn present(&self, now: Time) -> impl Iterator<Item = &Sighting> {
-        self.here.values().filter(move |h| now - h.heard_at < ABSENT).map(|h| &h.sighting)
+    fn local_statuses(&self, now: Time) -> impl Iterator<Item = &ProxyStatus> {
+        let is_heard = move |local: &&LocalProxy| now - local.heard_at < STATUS_TIMEOUT;
+        self.local.values().filter(is_heard).map(|local| &local.status)
     }
 
-    /// All that follow this hut.
-    pub fn all(&self, now: Time) -> Vec<Sighting> {
-        self.present(now).cloned().collect()
+    /// All proxies that are connected to this controller.
+    pub fn snapshot(&self, now: Time) -> Vec<ProxyStatus> {
+        self.local_statuses(now).cloned().collect()
     }
 
-    /// What changed since this was asked last; lets go of what is long over.
-    pub fn news(&mut self, now: Time) -> Vec<Sighting> {
-        self.left.retain(|_, (_, at)| now - *at < REMEMBERED);
-        self.there.retain(|_, t| now - t.heard_at < REMEMBERED);
-        self.last.retain(|_, (_, at)| now - *at < REMEMBERED);
-        let present: HashMap<String, Sighting> =
-            self.present(now).map(|s| (s.edge.node.clone(), s.clone())).collect();
-        let is_news = |s: &&Sighting| self.told.get(&s.edge.node) != Some(*s);
-        let mut news: Vec<Sighting> = present.values().filter(is_news).cloned().collect();
-        let gone = self.told.values().filter(|t| !present.contains_key(&t.edge.node));
-        news.extend(gone.map(|t| Sighting { readiness: Readiness::Gone, ..t.clone() }));
-        self.told = present;
-        news
+    /// What changed since this was last called; forgets what is long over.
+    pub fn take_changes(&mut self, now: Time) -> Vec<ProxyStatus> {
+        self.shutting_down.retain(|_, (_, at)| now - *at < RETENTION);
+        self.remote.retain(|_, view| now - view.heard_at < RETENTION);
+        self.last_serving.retain(|_, (_, at)| now - *at < RETENTION);
+        let current: HashMap<String, ProxyStatus> =
+            self.local_statuses(now).map(|s| (s.proxy.node.clone(), s.clone())).collect();
+        let is_changed = |s: &&ProxyStatus| self.published.get(&s.proxy.node) != Some(*s);
+        let mut changes: Vec<ProxyStatus> = current.values().filter(is_changed).cloned().collect();
+        let disconnected = self.published.values().filter(|s| !current.contains_key(&s.proxy.node));
+        changes.extend(disconnected.map(|s| ProxyStatus { readiness: Readiness::Disconnected, ..s.clone() }));
+        self.published = current;
+        changes
     }
 
-    /// Whether another hut that has been up for long told what it has: then this one need not wait for its own.
-    pub fn knows_all(&self, now: Time) -> bool {
-        self.there.values().any(|t| t.has_gathered && now - t.heard_at < ABSENT)
+    /// Whether another controller has told all proxies that there are: then this one need not wait for its own.
+    pub fn has_complete_view(&self, now: Time) -> bool {
+        self.remote.values().any(|view| view.is_complete && now - view.heard_at < STATUS_TIMEOUT)
     }
 
-    /// Whether this life has said that it leaves.
-    fn has_left(&self, edge: &Edge) -> bool {
-        !self.left.is_empty() && self.left.get(&edge.node).is_some_and(|(life, _)| *life == edge.life)
+    /// Whether this incarnation has said that it shuts down.
+    fn is_shutting_down(&self, proxy: &ProxyInfo) -> bool {
+        self.shutting_down.get(&proxy.node).is_some_and(|(incarnation, _)| *incarnation == proxy.incarnation)
     }
 
-    /// Those that clients may come to: all that some hut has as ready, else those that serve on with an older book.
-    /// None that has said that it leaves, to whichever hut.
-    pub fn open(&self, now: Time) -> Vec<&Edge> {
-        let there = self.there.values().filter(|t| now - t.heard_at < ABSENT);
-        let mut best: HashMap<&str, &Sighting> = HashMap::new();
-        for sighting in self.present(now).chain(there.flat_map(|t| t.sightings.values())) {
-            if self.has_left(&sighting.edge) {
-                continue;
-            }
-            let node = &sighting.edge.node;
-            let rank = |s: &Sighting| match s.readiness {
-                Readiness::Ready => 2,
-                Readiness::Stale => 1,
-                _ => 0,
-            };
-            let other = best.get(node.as_str());
-            if rank(sighting) > other.map_or(0, |o| rank(o)) {
-                best.insert(node, sighting);
+    /// The proxies that clients may connect to: all that some controller has as ready, else those that serve on with a
+    /// configuration that is not confirmed. None that has told any controller that it shuts down.
+    pub fn serving(&self, now: Time) -> Vec<&ProxyInfo> {
+        let views = self.remote.values().filter(|view| now - view.heard_at < STATUS_TIMEOUT);
+        let statuses = self.local_statuses(now).chain(views.flat_map(|view| view.statuses.values()));
+        let mut best: HashMap<&str, &ProxyStatus> = HashMap::new();
+        for status in statuses.filter(|s| !self.is_shutting_down(&s.proxy)) {
+            let other = best.get(status.proxy.node.as_str());
+            if serving_rank(status) > other.map_or(0, |other| serving_rank(other)) {
+                best.insert(&status.proxy.node, status);
             }
         }
-        let of = |readiness| best.values().filter(move |s| s.readiness == readiness).map(|s| &s.edge);
-        let ready: Vec<&Edge> = of(Readiness::Ready).collect();
-        if ready.is_empty() { of(Readiness::Stale).collect() } else { ready }
+        let with = |readiness| best.values().filter(move |s| s.readiness == readiness).map(|s| &s.proxy);
+        let ready: Vec<&ProxyInfo> = with(Readiness::Ready).collect();
+        if ready.is_empty() { with(Readiness::Stale).collect() } else { ready }
     }
 
-    /// The answer to a client of this region: its own gatekeepers where there are any. Where no hut hears any
-    /// gatekeeper, a hut in touch with the others names those that were there last: they may be cut off from the huts
-    /// only. One out of touch names none then, as another hut may know better.
-    pub fn answer(&mut self, now: Time, region: &str, in_touch: bool) -> Vec<SocketAddr> {
-        if self.found.as_ref().is_none_or(|(at, _)| now - *at >= FOUND) {
-            self.found = Some((now, self.open(now).into_iter().cloned().collect()));
+    /// The answer to a client of this region: its own proxies where there are any. Where no controller hears any proxy, a
+    /// controller with quorum contact names those that were there last: they may be partitioned off from the controllers
+    /// only. One without names none then, as another controller may know better.
+    pub fn lookup(&mut self, now: Time, region: &str, has_quorum_contact: bool) -> Vec<SocketAddr> {
+        if self.cached.as_ref().is_none_or(|(at, _)| now - *at >= CACHE_TTL) {
+            self.cached = Some((now, self.serving(now).into_iter().cloned().collect()));
         }
-        let found = self.found.as_ref().map_or(&[][..], |(_, found)| found);
-        let mut open: Vec<&Edge> = found.iter().collect();
-        if open.is_empty() && in_touch {
-            let last = self.last.values().filter(|(_, at)| now - *at < REMEMBERED).map(|(edge, _)| edge);
-            open = last.filter(|edge| !self.has_left(edge)).collect();
+        let serving = self.cached.as_ref().map_or(&[][..], |(_, serving)| serving);
+        let mut candidates: Vec<&ProxyInfo> = serving.iter().collect();
+        if candidates.is_empty() && has_quorum_contact {
+            candidates = self.recently_serving(now);
         }
-        let mut near: Vec<&Edge> = open.iter().copied().filter(|e| e.region == region).collect();
+        let mut near: Vec<&ProxyInfo> = candidates.iter().copied().filter(|p| p.region == region).collect();
         if near.is_empty() {
-            near = open;
+            near = candidates;
         }
-        if !near.is_empty() {
-            self.answers = self.answers.wrapping_add(1);
-            let first = self.answers % near.len();
-            near.rotate_left(first);
+        let mut addresses: Vec<SocketAddr> = near.iter().map(|proxy| proxy.client_address).collect();
+        if !addresses.is_empty() {
+            self.lookups = self.lookups.wrapping_add(1);
+            let first = self.lookups % addresses.len();
+            addresses.rotate_left(first);
         }
-        near.truncate(MOST);
-        near.iter().map(|e| e.front).collect()
+        addresses.truncate(MAX_ANSWER);
+        addresses
+    }
+
+    fn recently_serving(&self, now: Time) -> Vec<&ProxyInfo> {
+        let recent = self.last_serving.values().filter(|(_, at)| now - *at < RETENTION);
+        recent.map(|(proxy, _)| proxy).filter(|proxy| !self.is_shutting_down(proxy)).collect()
+    }
+}
+
+/// Of what two controllers say of one proxy the better counts.
+fn serving_rank(status: &ProxyStatus) -> u8 {
+    match status.readiness {
+        Readiness::Ready => 2,
+        Readiness::Stale => 1,
+        Readiness::Starting | Readiness::ShuttingDown | Readiness::Disconnected => 0,
     }
 }
--- a/crates/control-state/src/failure_detector.rs
+++ b/crates/control-state/src/failure_detector.rs
@@ -1,97 +1,122 @@
-//! The watch of a hut over the workers' lives: what it answers to a worker that speaks, and whether it may say that
-//! one has fallen silent. A hut that is cut off from the others hears part of the workers only: it promises nothing,
-//! and takes nobody's silence for an end.
+//! The failure detector of a controller: what it answers to a worker's heartbeat, and whether it may call an instance
+//! unresponsive. A controller that is partitioned off hears a part of the workers only: it acknowledges nothing, and takes
+//! nobody's silence for an end.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_protocol::messages::Life;
+use lynxstair_protocol::messages::Instance;
 
-use crate::instance_registry::Register;
+use crate::instance_registry::InstanceRegistry;
 
-/// A watch that was not looked at for so long stood still: what was said meanwhile may lie unread.
-const STOOD: Span = Span::from_millis(1_500);
+/// A detector that was not called for so long stood still: heartbeats that came meanwhile may lie unread.
+const STANDSTILL: Span = Span::from_millis(1_500);
 
-/// How a hut stands to the majority of the core.
+/// How a controller stands to the quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Contact {
-    /// Out of touch with it.
-    Out,
-    /// In touch with the hut that leads it.
-    Follows,
-    Leads,
+pub enum QuorumRole {
+    /// Out of contact with it.
+    Isolated,
+    /// In contact with its leader.
+    Follower,
+    /// Leads it.
+    Leader,
 }
 
-/// What becomes of a worker's word.
+impl QuorumRole {
+    /// Of a node with or without quorum contact, that is or is not the established leader.
+    pub fn new(has_quorum_contact: bool, is_leader: bool) -> QuorumRole {
+        match (has_quorum_contact, is_leader) {
+            (false, _) => QuorumRole::Isolated,
+            (true, false) => QuorumRole::Follower,
+            (true, true) => QuorumRole::Leader,
+        }
+    }
+}
+
+/// What becomes of a worker's call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    /// Its life as it stands now, to be told to the other huts; None where nothing is known of it.
-    pub life: Option<Life>,
-    /// It is told to the road as well.
+pub struct HeartbeatOutcome {
+    /// The instance as it is known now, for the other controllers; None where nothing is known of it.
+    pub instance: Option<Instance>,
+    /// Proxies are told as well.
     pub is_news: bool,
-    /// Whether the worker may be told that it was heard. Else it calls the next hut.
-    pub is_promised: bool,
+    /// Whether the worker may be told that it was heard. Else it calls the next controller.
+    pub is_acknowledged: bool,
 }
 
-/// The register of a hut, and how the hut stands.
+/// The instance registry of a controller, and how that stands to the quorum.
 #[derive(Debug)]
-pub struct Watch {
-    register: Register,
-    beat: Span,
-    contact: Contact,
-    /// It leads, in touch with the majority, without a break since then.
-    leads_since: Option<Time>,
-    looked_at: Time,
+pub struct FailureDetector {
+    registry: InstanceRegistry,
+    heartbeat_period: Span,
+    quorum_role: QuorumRole,
+    /// It has led, in contact with the quorum, without a break since then.
+    leader_since: Option<Time>,
+    checked_at: Time,
 }
 
-impl Watch {
-    /// `beat`: how often a worker speaks.
-    pub fn new(now: Time, register: Register, beat: Span) -> Watch {
-        Watch { register, beat, contact: Contact::Out, leads_since: None, looked_at: now }
+impl FailureDetector {
+    /// `heartbeat_period`: how often a worker calls.
+    pub fn new(now: Time, registry: InstanceRegistry, heartbeat_period: Span) -> FailureDetector {
+        FailureDetector {
+            registry,
+            heartbeat_period,
+            quorum_role: QuorumRole::Isolated,
+            leader_since: None,
+            checked_at: now,
+        }
     }
 
-    pub fn register(&self) -> &Register {
-        &self.register
+    /// The instances that it watches.
+    pub fn registry(&self) -> &InstanceRegistry {
+        &self.registry
     }
 
-    /// How the hut stands now; to be told before each word of a worker and each sweep, once a second at least.
-    pub fn stand(&mut self, now: Time, contact: Contact) {
-        let stood_still = now - self.looked_at > STOOD;
-        self.looked_at = now;
-        self.contact = contact;
-        self.leads_since = match (contact, self.leads_since) {
-            (Contact::Leads, Some(since)) if !stood_still => Some(since),
-            (Contact::Leads, _) => Some(now),
+    /// How the controller stands now; to be told before each call of a worker and each detection, and once a second at
+    /// least.
+    pub fn set_quorum_role(&mut self, now: Time, quorum_role: QuorumRole) {
+        let stood_still = now - self.checked_at > STANDSTILL;
+        self.checked_at = now;
+        self.quorum_role = quorum_role;
+        self.leader_since = match (quorum_role, self.leader_since) {
+            (QuorumRole::Leader, Some(since)) if !stood_still => Some(since),
+            (QuorumRole::Leader, _) => Some(now),
             _ => None,
         };
     }
 
-    /// A worker says how it is.
-    pub fn beat(&mut self, now: Time, life: &Life) -> Answer {
-        let is_news = self.register.hear(now, life);
-        self.answer(now, &life.id, is_news)
+    /// A worker has sent a heartbeat.
+    pub fn record_heartbeat(&mut self, now: Time, instance: &Instance) -> HeartbeatOutcome {
+        let is_news = self.registry.update(now, instance);
+        self.outcome(now, &instance.id, is_news)
     }
 
-    /// A worker says that its life ends. Of a life that is not known here nobody could be told: another hut knows it.
-    pub fn leave(&mut self, now: Time, id: &str) -> Answer {
-        let is_known = self.register.leave(now, id).is_some();
-        let answer = self.answer(now, id, is_known);
-        Answer { is_promised: answer.is_promised && is_known, ..answer }
+    /// A worker says that it ends. An instance that is not known here is not acknowledged, as nobody could be told of it:
+    /// another controller knows it.
+    pub fn deregister(&mut self, now: Time, id: &str) -> HeartbeatOutcome {
+        let is_known = self.registry.deregister(now, id).is_some();
+        let outcome = self.outcome(now, id, is_known);
+        HeartbeatOutcome { is_acknowledged: outcome.is_acknowledged && is_known, ..outcome }
     }
 
-    fn answer(&self, now: Time, id: &str, is_news: bool) -> Answer {
-        let life = self.register.life(now, id);
-        Answer { life, is_news, is_promised: self.contact != Contact::Out }
+    fn outcome(&self, now: Time, id: &str, is_news: bool) -> HeartbeatOutcome {
+        let is_acknowledged = self.quorum_role != QuorumRole::Isolated;
+        HeartbeatOutcome { instance: self.registry.get(now, id), is_news, is_acknowledged }
     }
 
-    /// What another hut tells; what of it is news.
-    pub fn hear(&mut self, now: Time, lives: &[Life]) -> Vec<Life> {
-        let news: Vec<&Life> = lives.iter().filter(|life| self.register.hear(now, life)).collect();
-        news.iter().filter_map(|life| self.register.life(now, &life.id)).collect()
+    /// Takes over what another controller says; returns what of it is news.
+    pub fn apply_updates(&mut self, now: Time, instances: &[Instance]) -> Vec<Instance> {
+        let news: Vec<&Instance> =
+            instances.iter().filter(|instance| self.registry.update(now, instance)).collect();
+        news.iter().filter_map(|instance| self.registry.get(now, &instance.id)).collect()
     }
 
-    /// Who has fallen silent, as far as this hut may say so: it leads, in touch, and has done so for as long as makes a
-    /// life silent. All huts that acknowledge beats hand them to it, so nobody else has heard them either.
-    pub fn sweep(&mut self, now: Time) -> Vec<Life> {
-        let silent = self.register.sweep_since(now, self.beat, self.leads_since);
-        silent.iter().filter_map(|id| self.register.life(now, id)).collect()
+    /// Instances that have become unresponsive, as far as this controller may say so: it has led, in contact with the
+    /// quorum, for as long as makes an instance unresponsive. Every controller that acknowledges a heartbeat passes it on
+    /// to the leader, so nobody else has heard them either.
+    pub fn detect_unresponsive(&mut self, now: Time) -> Vec<Instance> {
+        self.registry.expire(now, self.heartbeat_period);
+        let Some(since) = self.leader_since else { return Vec::new() };
+        let unresponsive = self.registry.detect_unresponsive(now, self.heartbeat_period, since);
+        unresponsive.iter().filter_map(|id| self.registry.get(now, id)).collect()
     }
 }
--- a/crates/control-state/src/peer_set.rs
+++ b/crates/control-state/src/peer_set.rs
@@ -1,119 +1,126 @@
-//! Which huts a process keeps a line to: those that its settings name, and those that it was told of since. Who is
-//! long gone is let go of, so that lines to dead addresses do not pile up over many replacements.
+//! The controllers that a process keeps connections to: those that its settings name, and those that it was told of since.
+//! A controller that is long gone is dropped, so that connection attempts to dead addresses do not pile up over many
+//! replacements.
 
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
 use lynxstair::types::{Span, Time};
 
-/// No system has more huts than this.
-pub const MOST: usize = 16;
-/// A hut that was not heard for so long is let go of, unless something else speaks for it.
-const UNHEARD: Span = Span::from_millis(30_000);
+/// No system has more controllers than this.
+pub const MAX_PEERS: usize = 16;
+/// A controller that was not heard for so long is dropped, unless something else vouches for it.
+const PEER_RETENTION: Span = Span::from_millis(30_000);
 /// Where there are too many, one that was not heard for so long gives way.
-const GIVES_WAY: Span = Span::from_millis(3_000);
-/// Who had no line to any hut for so long looks whether the settings name others.
-const ALONE: Span = Span::from_millis(2_000);
+const REPLACEABLE_AFTER: Span = Span::from_millis(3_000);
+/// A process without a connection to any controller for so long looks whether the settings name others.
+const ISOLATION_TIMEOUT: Span = Span::from_millis(2_000);
 
-/// Huts say each half second that they are there: who was not heard for so long is not heard, and a line that has stood
-/// for so long and is not heard at its other end is opened anew.
-pub const DEAF: Span = Span::from_millis(1_500);
+/// Controllers send a heartbeat each half second: one that was not heard for so long is not heard, and a connection that
+/// was open for so long and is not heard at its other end is reopened.
+pub const PEER_TIMEOUT: Span = Span::from_millis(1_500);
+
+/// The right to keep the connection to a peer. A peer that was dropped and added again has another one, so that two
+/// coroutines never keep connections to the same peer.
+pub type ConnectionId = u64;
 
 #[derive(Debug)]
-struct Known {
-    /// Which of the keepers of lines keeps the one to it.
-    keeper: u64,
-    /// When it was first named, or heard last.
+struct Peer {
+    connection: ConnectionId,
+    /// When it was added, or heard last.
     heard_at: Time,
     /// It was heard, not only named.
     has_spoken: bool,
 }
 
+/// The set of peers.
 #[derive(Debug)]
-pub struct Huts {
-    known: IndexMap<SocketAddr, Known>,
-    keepers: u64,
-    /// When a line to any of them last stood, or the settings were looked at for want of one.
-    reached_at: Time,
+pub struct PeerSet {
+    peers: IndexMap<SocketAddr, Peer>,
+    last_connection: ConnectionId,
+    /// When a connection to any of them was last open, or the settings were looked at for want of one.
+    connected_at: Time,
 }
 
-impl Huts {
-    pub fn new(now: Time) -> Huts {
-        Huts { known: IndexMap::new(), keepers: 0, reached_at: now }
+impl PeerSet {
+    /// An empty set.
+    pub fn new(now: Time) -> PeerSet {
+        PeerSet { peers: IndexMap::new(), last_connection: 0, connected_at: now }
     }
 
-    pub fn all(&self) -> impl Iterator<Item = SocketAddr> {
-        self.known.keys().copied()
+    /// The addresses of all peers.
+    pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
+        self.peers.keys().copied()
     }
 
+    /// How many there are.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.peers.len()
     }
 
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.peers.is_empty()
     }
 
-    /// A hut is named. Where it was not known, the number of the keeper that is to keep a line to it from now on.
-    pub fn meet(&mut self, now: Time, hut: SocketAddr) -> Option<u64> {
-        if self.known.contains_key(&hut) {
+    /// Adds a peer. Where it was not known, returns the id of the connection that is to be kept to it from now on.
+    pub fn add(&mut self, now: Time, peer: SocketAddr) -> Option<ConnectionId> {
+        if self.peers.contains_key(&peer) {
             return None;
         }
-        if self.known.len() >= MOST {
-            let oldest = self.known.iter().min_by_key(|(_, known)| known.heard_at);
-            let (oldest, _) = oldest.filter(|(_, known)| now - known.heard_at > GIVES_WAY)?;
+        if self.peers.len() >= MAX_PEERS {
+            let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.heard_at);
+            let (oldest, _) = oldest.filter(|(_, peer)| now - peer.heard_at > REPLACEABLE_AFTER)?;
             let oldest = *oldest;
-            self.known.shift_remove(&oldest);
+            self.peers.shift_remove(&oldest);
         }
-        self.keepers += 1;
-        self.known.insert(hut, Known { keeper: self.keepers, heard_at: now, has_spoken: false });
-        Some(self.keepers)
+        self.last_connection += 1;
+        let connection = self.last_connection;
+        self.peers.insert(peer, Peer { connection, heard_at: now, has_spoken: false });
+        Some(connection)
     }
 
-    /// A hut is there.
-    pub fn heard(&mut self, now: Time, hut: SocketAddr) {
-        if let Some(known) = self.known.get_mut(&hut) {
-            (known.heard_at, known.has_spoken) = (now, true);
+    /// A peer was heard.
+    pub fn on_heard(&mut self, now: Time, peer: SocketAddr) {
+        if let Some(peer) = self.peers.get_mut(&peer) {
+            (peer.heard_at, peer.has_spoken) = (now, true);
         }
     }
 
-    /// Whether a hut was heard a moment ago.
-    pub fn hears(&self, now: Time, hut: SocketAddr) -> bool {
-        self.known.get(&hut).is_some_and(|known| now - known.heard_at < DEAF)
-    }
-
-    /// Those that were heard a moment ago, to be named to others: one that is gone is not handed round for ever.
-    pub fn heard_lately(&self, now: Time) -> Vec<SocketAddr> {
-        self.all().filter(|hut| self.is_speaking(now, *hut)).collect()
+    /// Whether a peer was heard, or added, a moment ago.
+    pub fn hears(&self, now: Time, peer: SocketAddr) -> bool {
+        self.peers.get(&peer).is_some_and(|peer| now - peer.heard_at < PEER_TIMEOUT)
     }
 
-    fn is_speaking(&self, now: Time, hut: SocketAddr) -> bool {
-        self.known.get(&hut).is_some_and(|k| k.has_spoken && now - k.heard_at < DEAF)
+    /// The peers that were heard a moment ago, to be named to others: a dead one is not named to each other for ever.
+    pub fn recently_heard(&self, now: Time) -> Vec<SocketAddr> {
+        let is_heard = |peer: &Peer| peer.has_spoken && now - peer.heard_at < PEER_TIMEOUT;
+        self.peers.iter().filter(|(_, peer)| is_heard(peer)).map(|(address, _)| *address).collect()
     }
 
-    /// Whether this keeper still keeps a line to it.
-    pub fn is_kept(&self, hut: SocketAddr, keeper: u64) -> bool {
-        self.known.get(&hut).is_some_and(|known| known.keeper == keeper)
+    /// Whether this connection is still the one to be kept to the peer.
+    pub fn is_current(&self, peer: SocketAddr, connection: ConnectionId) -> bool {
+        self.peers.get(&peer).is_some_and(|peer| peer.connection == connection)
     }
 
-    /// Lets go of those that were not heard for long, but for those that something else speaks for; how many went.
-    pub fn let_go(&mut self, now: Time, speaks_for: impl Fn(SocketAddr) -> bool) -> usize {
-        let before = self.known.len();
-        self.known.retain(|hut, known| now - known.heard_at <= UNHEARD || speaks_for(*hut));
-        before - self.known.len()
+    /// Drops peers that were not heard for long, but for those that something else vouches for. Returns how many.
+    pub fn drop_unheard(&mut self, now: Time, is_vouched_for: impl Fn(SocketAddr) -> bool) -> usize {
+        let before = self.peers.len();
+        self.peers.retain(|address, peer| now - peer.heard_at <= PEER_RETENTION || is_vouched_for(*address));
+        before - self.peers.len()
     }
 
-    /// A line to one of them stands.
-    pub fn reached(&mut self, now: Time) {
-        self.reached_at = now;
+    /// A connection to one of them is open.
+    pub fn on_connected(&mut self, now: Time) {
+        self.connected_at = now;
     }
 
-    /// Whether it is time to look who else there may be; then that counts as done.
-    pub fn is_alone(&mut self, now: Time) -> bool {
-        let is_alone = now - self.reached_at > ALONE;
-        if is_alone {
-            self.reached_at = now;
+    /// Whether no connection has been open for so long that the settings should be looked at; then that counts as done.
+    pub fn poll_isolated(&mut self, now: Time) -> bool {
+        let is_isolated = now - self.connected_at > ISOLATION_TIMEOUT;
+        if is_isolated {
+            self.connected_at = now;
         }
-        is_alone
+        is_isolated
     }
 }
--- a/crates/control-state/src/quota_limits.rs
+++ b/crates/control-state/src/quota_limits.rs
@@ -5,7 +5,7 @@
 /// small buckets would be rejected with tokens left elsewhere.
 pub const SLACK_PART: f64 = 0.6;
 /// The fraction of the granted overshoot that goes into a higher fill rate.
-pub const OVER_PART: f64 = 0.4;
+pub const OVERSHOOT_PART: f64 = 0.4;
 /// The least depth of a bucket, in tokens. With many proxies a share is less than a token. All buckets together could
 /// then hold more than the quota; the allocator blocks the tenant before they let it through.
-pub const DEPTH: f64 = 4.0;
+pub const MIN_DEPTH: f64 = 4.0;
