--- /dev/null
+++ b/crates/proxy/tests/support/mod.rs
@@ -0,0 +1,135 @@
+//! The system's programs on loopback, and plain HTTP calls to them.
+#![allow(dead_code, reason = "each test uses a part")]
+
+use std::collections::HashMap;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::process::{Child, Command, Stdio};
+use std::time::Duration;
+
+use lynxstair_fakes::{Message, until};
+use tempfile::TempDir;
+
+/// The controllers of each system.
+const CONTROLLERS: usize = 3;
+
+/// Makes one HTTP call on a connection of its own. `head`: the request line and headers.
+pub fn call(to: SocketAddr, head: &str, body: &str) -> Option<Message> {
+    let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
+    stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
+    let length = body.len();
+    write!(
+        stream,
+        "{head}\r\nHost: h.example\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+    )
+    .ok()?;
+    Message::read(&mut BufReader::new(stream))
+}
+
+/// Three controllers and some proxies, as processes that end with the test.
+pub struct System {
+    pub folder: TempDir,
+    pub children: HashMap<String, Child>,
+    /// The control addresses of the controllers.
+    pub controllers: Vec<SocketAddr>,
+    /// Where clients connect to the proxies.
+    pub fronts: Vec<SocketAddr>,
+    net: String,
+    grace_s: u32,
+}
+
+impl Drop for System {
+    fn drop(&mut self) {
+        for child in self.children.values_mut() {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+}
+
+impl System {
+    /// Starts everything. `net`: the second number of the loopback addresses, another one for each test program.
+    pub fn start(net: u32, proxies: usize, grace_s: u32) -> System {
+        let process = std::process::id();
+        let net = format!("127.{}.{}", net + process % 50, process / 50 % 250);
+        let at =
+            |n: usize, port: u16| -> SocketAddr { format!("{net}.{n}:{port}").parse().expect("an address") };
+        let controllers: Vec<SocketAddr> = (1..=CONTROLLERS).map(|n| at(n, 8383)).collect();
+        let fronts: Vec<SocketAddr> = (1..=proxies).map(|n| at(10 + n, 8389)).collect();
+        let folder = tempfile::tempdir().expect("a folder");
+        let mut system = System { folder, children: HashMap::new(), controllers, fronts, net, grace_s };
+        for n in 1..=CONTROLLERS {
+            system.start_one(&format!("controller{n}"), true);
+        }
+        for n in 1..=proxies {
+            system.start_one(&format!("proxy{n}"), true);
+        }
+        system
+    }
+
+    /// Starts `controllerN` or `proxyN`.
+    pub fn start_one(&mut self, name: &str, bootstrap: bool) {
+        let (kind, n) = name.split_at(name.len() - 1);
+        let n: usize = n.parse().expect("a number");
+        let own = if kind == "controller" { self.controllers[n - 1] } else { self.fronts[n - 1] };
+        let ip = own.ip();
+        let bind = if kind == "controller" {
+            format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n")
+        } else {
+            format!("  front: \"{own}\"\n  readiness: \"{ip}:8384\"\n")
+        };
+        let seeds: String = self.controllers.iter().map(|seed| format!("  - \"{seed}\"\n")).collect();
+        let settings = format!(
+            "node-name: \"{name}\"\nip: \"{ip}\"\nzone: \"z1\"\nregion: \"r1\"\nzones:\n  z1: \"r1\"\nbind:\n{bind}\
+             port-range:\n  - 7460\n  - 7475\nseeds:\n{seeds}bootstrap: {bootstrap}\nlimits:\n  memory-mb: 64\n  \
+             max-fds: 900\ndata-dir: \"{}\"\nbeat-period-s: 0.3\nbounds: \"revoke-final=true,grace-s={}\"\n",
+            self.folder.path().join(name).display(),
+            self.grace_s
+        );
+        let file = self.folder.path().join(format!("{name}.yaml"));
+        std::fs::write(&file, settings).expect("written");
+        let program =
+            Path::new(env!("CARGO_BIN_EXE_lynxstair-proxy")).with_file_name(format!("lynxstair-{kind}"));
+        assert!(program.exists(), "{}: run the tests with --workspace", program.display());
+        let child = Command::new(program).env("LYNXSTAIR_BOOT", &file).stderr(Stdio::null()).spawn();
+        self.children.insert(name.to_string(), child.expect("started"));
+    }
+
+    /// The address of a worker.
+    pub fn worker_address(&self, n: usize) -> SocketAddr {
+        format!("{}.{}:9000", self.net, 20 + n).parse().expect("an address")
+    }
+
+    /// The readiness address of a proxy.
+    pub fn readiness(&self, proxy: usize) -> SocketAddr {
+        SocketAddr::new(self.fronts[proxy].ip(), 8384)
+    }
+
+    /// Kills a process.
+    pub fn kill(&mut self, name: &str) {
+        let mut child = self.children.remove(name).expect("runs");
+        child.kill().expect("killed");
+        child.wait().expect("ended");
+    }
+
+    /// Tells a process to end (SIGTERM).
+    pub fn terminate(&self, name: &str) {
+        let process = self.children.get(name).expect("runs").id().to_string();
+        assert!(Command::new("kill").args(["-TERM", &process]).status().expect("told").success());
+    }
+
+    /// The operator's call, to any controller; redirected, and repeated until the answer is clear.
+    pub fn operator_call(&self, head: &str, body: &str) -> Message {
+        until(head, || {
+            self.controllers.iter().find_map(|controller| {
+                let mut response = call(*controller, head, body)?;
+                if response.status() == 307 {
+                    let leader = response.header("location").split('/').nth(2)?.parse().ok()?;
+                    response = call(leader, head, body)?;
+                }
+                (response.status() < 500 && response.status() != 307).then_some(response)
+            })
+        })
+    }
+}
