--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -51,14 +51,14 @@
     };
     Settings {
         gatekeepers: 3,
-        step: Span::from_millis(2),
+        time_resolution: Span::from_millis(2),
         operations: vec![operation],
         plans: vec![Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() }],
         has_counter: true,
         counter_timeout: Span::from_millis(50),
         idle_timeout: Span::from_millis(30_000),
         max_attempts: 3,
-        cold_capacity: 0.2,
+        initial_capacity: 0.2,
         warm_up: Span::from_millis(10_000),
         overload_recovery: Span::from_millis(2000),
         overload_multiple: 2.0,
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -77,7 +77,7 @@
                 let length = cursor.u32()? as usize;
                 let settings =
                     lynxstair_settings::read(cursor.bytes(length)?).map_err(RecordError::Settings)?;
-                self.instances.insert(instance, Gatekeeper::new(now, seed, &settings.decisions, port));
+                self.instances.insert(instance, Gatekeeper::new(now, seed, &settings.policy, port));
                 Ok(())
             }
             code::STOP => {
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -36,7 +36,7 @@
         let mut outbox = Outbox::new(now);
         let gatekeeper = Gatekeeper::new(now, seed, settings, &mut outbox);
         let next_due = AtomicU64::new(outbox.next_due().nanos());
-        let inner = Inner { gatekeeper, outbox, step: settings.step, last_request: 0 };
+        let inner = Inner { gatekeeper, outbox, step: settings.time_resolution, last_request: 0 };
         Dispatcher { inner: Mutex::new(inner), next_due }
     }
 
--- a/crates/dispatch/src/tests.rs
+++ b/crates/dispatch/src/tests.rs
@@ -20,7 +20,7 @@
     };
     let settings = Settings {
         gatekeepers: 2,
-        step: Span::from_millis(4),
+        time_resolution: Span::from_millis(4),
         operations: vec![operation(Idempotency::Idempotent), operation(Idempotency::NonIdempotent)],
         plans: vec![Plan { rate: 10.0, burst: 20.0, ..Plan::default() }],
         has_counter: true,
@@ -239,7 +239,7 @@
 #[test]
 fn timers_share_wake_ups() {
     let wakes = |opened_us: u64| {
-        let settings = Settings { step: Span::from_millis(4), ..Settings::default() };
+        let settings = Settings { time_resolution: Span::from_millis(4), ..Settings::default() };
         let opened = at(0) + Span::from_nanos(opened_us * 1000);
         let dispatcher: Dispatcher<u32> = Dispatcher::new(opened, 1, &settings);
         let first = dispatcher.next_due();
--- a/crates/gatekeeper/src/request_parser.rs
+++ b/crates/gatekeeper/src/request_parser.rs
@@ -111,14 +111,14 @@
         let integer = || value.parse::<u32>().ok().filter(|_| !value.starts_with('+'));
         let is_twice = match name.trim() {
             "units" => {
-                let number = value.parse::<f32>().ok().filter(|n| *n > 0.0 && *n <= bounds.units);
+                let number = value.parse::<f32>().ok().filter(|n| *n > 0.0 && *n <= bounds.max_units);
                 units.replace(number.ok_or(BAD)?).is_some()
             }
             "spread" => {
-                let number = integer().filter(|n| (1..=bounds.gatekeepers).contains(n));
+                let number = integer().filter(|n| (1..=bounds.max_gatekeepers).contains(n));
                 spread.replace(number.ok_or(BAD)?).is_some()
             }
-            "first" => first.replace(integer().filter(|n| *n < bounds.gatekeepers).ok_or(BAD)?).is_some(),
+            "first" => first.replace(integer().filter(|n| *n < bounds.max_gatekeepers).ok_or(BAD)?).is_some(),
             _ => false,
         };
         if is_twice {
--- a/crates/gatekeeper/src/request_parser/tests.rs
+++ b/crates/gatekeeper/src/request_parser/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn weights() {
     let bad = Err(HttpError::new(400, "bad weight"));
-    let bounds = RequestBounds { gatekeepers: 3, units: 4.0, operations: vec![] };
+    let bounds = RequestBounds { max_gatekeepers: 3, max_units: 4.0, operations: vec![] };
     let cases = [
         ("units=2,spread=3,first=1", Ok(Weight { units: 2.0, spread: 3.0 })),
         (" spread = 3 , units = 2.5, more=x", Ok(Weight { units: 2.5, spread: 3.0 })),
--- a/crates/gatekeeper/src/startup.rs
+++ b/crates/gatekeeper/src/startup.rs
@@ -80,11 +80,11 @@
     let settings = &config.settings;
     let (max_clients, max_workers) = split_descriptors(config.limits.sockets);
     limit_buffer_memory((config.limits.memory_mb << 20) as usize / BUFFER_DIVISOR);
-    let ticker = Ticker::new(clock, settings.decisions.step).map_err(GatekeeperError::Timer)?;
+    let ticker = Ticker::new(clock, settings.policy.time_resolution).map_err(GatekeeperError::Timer)?;
     let ticker = Arc::new(ticker);
     let lifecycle = Arc::new(Lifecycle::new());
     let dispatcher: Arc<ClientDispatcher> =
-        Arc::new(Dispatcher::new(clock.now(), config.seed, &settings.decisions));
+        Arc::new(Dispatcher::new(clock.now(), config.seed, &settings.policy));
     let pool = WorkerPool::new(settings.timeouts, max_workers);
     let forwarder = Arc::new(Forwarder::new(clock, ticker.clone(), dispatcher.clone(), pool));
     let registry = Arc::new(ClientRegistry::new(max_clients));
@@ -104,7 +104,7 @@
     });
     let discovery = Arc::new(new_discovery(config, clock, &dispatcher, &forwarder));
     let counter = Arc::new(new_counter(config, clock, &dispatcher));
-    let timeouts = settings.decisions.operations.iter().map(|operation| operation.integration_timeout);
+    let timeouts = settings.policy.operations.iter().map(|operation| operation.integration_timeout);
     let longest = timeouts.max().unwrap_or(MAX_COUNTED_TIMEOUT);
     let last_replies = longest.min(MAX_COUNTED_TIMEOUT) + LAST_REPLIES;
     Ok(Gatekeeper {
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -234,12 +234,12 @@
         };
         let settings = Settings {
             gatekeepers: self.proxies_sending_to(zone).div_ceil(CONCURRENCY_FACTOR),
-            step: STEP,
+            time_resolution: STEP,
             operations: self.work.get(service).map_or(Vec::new(), |w| w.iter().map(operation).collect()),
             plans: vec![Plan::default()],
             idle_timeout: IDLE_CONNECTION,
             max_attempts: 1,
-            cold_capacity: 1.0,
+            initial_capacity: 1.0,
             ..Settings::default()
         };
         let seed = self.seed ^ self.localities.len() as u64;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
 /// All that the settings say.
 pub struct GatekeeperSettings {
     /// What the decisions go by.
-    pub decisions: Settings,
+    pub policy: Settings,
     /// The names that peers use.
     pub names: Names,
     /// What a request may say.
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RequestBounds {
     /// How many gatekeepers there are, at most.
-    pub gatekeepers: u32,
+    pub max_gatekeepers: u32,
     /// The most units that it may take.
-    pub units: f32,
+    pub max_units: f32,
     /// The operations, by their ids.
     pub operations: Vec<OperationBounds>,
 }
@@ -93,14 +93,14 @@
     let timeouts = timeouts(&wire);
     let operations: Vec<Operation> = wire.classes.iter().map(operation).collect();
     let bounds = bounds(&wire, &operations);
-    let decisions = decisions(&wire, operations, &timeouts);
+    let policy = policy_settings(&wire, operations, &timeouts);
     let names = Names {
         operations: wire.classes.into_iter().map(|class| class.name).collect(),
         plans: wire.packages.into_iter().map(|package| package.name).collect(),
         zones: wire.areas,
         kinds: wire.shapes,
     };
-    Ok(GatekeeperSettings { decisions, names, bounds, timeouts })
+    Ok(GatekeeperSettings { policy, names, bounds, timeouts })
 }
 
 fn timeouts(wire: &Wire) -> Timeouts {
@@ -118,18 +118,18 @@
         is_idempotent: operation.idempotency == Idempotency::Idempotent,
     };
     RequestBounds {
-        gatekeepers: if wire.balancers > 0 { wire.balancers } else { u32::MAX },
-        units: Some(wire.family_info.max_units).filter(|units| *units > 0.0).unwrap_or(f32::MAX),
+        max_gatekeepers: if wire.balancers > 0 { wire.balancers } else { u32::MAX },
+        max_units: Some(wire.family_info.max_units).filter(|units| *units > 0.0).unwrap_or(f32::MAX),
         operations: operations.iter().map(operation).collect(),
     }
 }
 
-fn decisions(wire: &Wire, operations: Vec<Operation>, timeouts: &Timeouts) -> Settings {
+fn policy_settings(wire: &Wire, operations: Vec<Operation>, timeouts: &Timeouts) -> Settings {
     Settings {
-        me: wire.me,
+        gatekeeper_number: wire.me,
         gatekeepers: wire.balancers,
         zone: ZoneId(wire.my_zone),
-        step: Span::from_nanos(wire.step),
+        time_resolution: Span::from_nanos(wire.step),
         operations,
         plans: wire.packages.iter().map(plan).collect(),
         has_counter: wire.family_info.may_count,
@@ -144,11 +144,11 @@
         max_retry_after: Span::from_nanos(wire.limits.max_retry_after),
         allows_hedging: wire.limits.second_copies,
         max_attempts: wire.limits.max_attempts,
-        cold_capacity: wire.rules.start_capacity,
+        initial_capacity: wire.rules.start_capacity,
         warm_up: Span::from_nanos(wire.rules.warm_within),
         overload_recovery: Span::from_nanos(wire.rules.fall),
         overload_multiple: wire.rules.fall_multiple,
-        load: wire.load_report.fields.iter().map(|field| load_field(field)).collect(),
+        load_fields: wire.load_report.fields.iter().map(|field| load_field(field)).collect(),
     }
 }
 
@@ -186,8 +186,8 @@
         burst: package.depth,
         max_open: package.open,
         price: package.pays,
-        beyond_costs: package.beyond_costs,
-        beyond_earns: package.beyond_earns,
+        overage_cost: package.beyond_costs,
+        overage_revenue: package.beyond_earns,
         hard_limit_rate: package.hard_rate,
         hard_limit_burst: package.ceiling_burst,
     }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -71,7 +71,7 @@
     let gatekeepers = f64::from(settings.gatekeepers.max(1));
     DerivedSettings {
         gatekeepers,
-        margin: settings.step.times(2.0) + Span::from_millis(2),
+        margin: settings.time_resolution.times(2.0) + Span::from_millis(2),
         operations: settings.operations.iter().map(OperationLimits::from).collect(),
         plans: settings.plans.iter().map(plan_limits).collect(),
         has_counter: settings.has_counter,
@@ -82,10 +82,10 @@
         max_retry_after: Some(settings.max_retry_after).filter(|_| settings.sends_retry_after),
         allows_hedging: settings.allows_hedging,
         max_attempts: settings.max_attempts.max(1) as usize,
-        cold_capacity: settings.cold_capacity.clamp(0.01, 1.0),
+        initial_capacity: settings.initial_capacity.clamp(0.01, 1.0),
         warm_up: settings.warm_up,
-        cold_headroom: (settings.overload_multiple * COLD_HEADROOM_PART).max(1.0),
-        min_cold_rate: 1.0 / settings.overload_recovery.secs().max(1.0) / gatekeepers,
+        slow_start_headroom: (settings.overload_multiple * COLD_HEADROOM_PART).max(1.0),
+        min_slow_start_rate: 1.0 / settings.overload_recovery.secs().max(1.0) / gatekeepers,
         resubscribe_after: settings.subscribe_within.times(0.1).max(Span::from_millis(200)),
     }
 }
--- a/src/policy/deliveries.rs
+++ b/src/policy/deliveries.rs
@@ -32,8 +32,8 @@
         };
         self.attempts.insert((id, number), attempt);
         request.tried.push(worker_id);
-        request.unproven += 1;
-        request.may_have_run.get_or_insert((now, worker.zone, worker.cell));
+        request.possibly_run += 1;
+        request.first_possible_run.get_or_insert((now, worker.zone, worker.cell));
         request.enter(if is_hedge { RequestStage::Hedged } else { RequestStage::Sent });
         if let Some(tenant) = self.tenants.get_mut(&request.tenant) {
             tenant.in_flight += 1;
@@ -101,7 +101,7 @@
             Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All, _)
         );
         request.enter(RequestStage::Answered);
-        if request.may_have_run.is_none() || may_run_again {
+        if request.first_possible_run.is_none() || may_run_again {
             port.throttle(id, self.retry_after_full(&request));
         } else {
             port.fail(id);
@@ -189,7 +189,7 @@
     /// when there is no capacity to spare.
     fn retry(&mut self, now: Time, id: RequestId, request: &mut OpenRequest, port: &mut impl Port) -> bool {
         let idempotency = self.settings.operation(request.operation).idempotency;
-        if idempotency == Idempotency::NonIdempotent && request.may_have_run.is_some() {
+        if idempotency == Idempotency::NonIdempotent && request.first_possible_run.is_some() {
             return false;
         }
         let may_retry = request.tried.len() < self.settings.max_attempts && self.has_retry_budget();
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -132,8 +132,8 @@
     fn refill_slow_start(&mut self, now: Time) {
         let settings = &self.settings;
         for worker in self.workers.values_mut().filter(|worker| worker.started_at.is_some()) {
-            let usable = (worker.warm_fraction(now, settings) * settings.cold_headroom).min(1.0);
-            let rate = (self.state.peak_rate * worker.weight * usable).max(settings.min_cold_rate);
+            let usable = (worker.warm_fraction(now, settings) * settings.slow_start_headroom).min(1.0);
+            let rate = (self.state.peak_rate * worker.weight * usable).max(settings.min_slow_start_rate);
             worker.slow_start.refill(now, rate, COLD_BURST);
         }
     }
@@ -145,9 +145,9 @@
         let state = &mut self.state;
         let elapsed = now - state.rate_at;
         state.rate_at = now;
-        state.success_rate = state.success_rate * elapsed.fading(RATE_WINDOW_S) + 1.0 / RATE_WINDOW_S;
+        state.success_rate = state.success_rate * elapsed.decay_factor(RATE_WINDOW_S) + 1.0 / RATE_WINDOW_S;
         let rate = state.success_rate / warm.max(1e-9);
-        state.peak_rate = (state.peak_rate * elapsed.fading(PEAK_WINDOW_S)).max(rate);
+        state.peak_rate = (state.peak_rate * elapsed.decay_factor(PEAK_WINDOW_S)).max(rate);
     }
 
     /// Keeps attempts away from a worker for a while, and has its health checked then.
@@ -232,7 +232,7 @@
 
 /// Whether a request that may have run on another worker may be sent to this one.
 fn may_run_on(settings: &DerivedSettings, request: &OpenRequest, worker: &Worker, now: Time) -> bool {
-    match (settings.operation(request.operation).idempotency, request.may_have_run) {
+    match (settings.operation(request.operation).idempotency, request.first_possible_run) {
         (Idempotency::Deduplicated(scope, window), Some((sent_at, zone, cell))) => {
             now + settings.margin < sent_at + window
                 && match scope {
--- a/src/state.rs
+++ b/src/state.rs
@@ -80,9 +80,9 @@
     /// The workers tried, one for each attempt, in their order.
     pub tried: Vec<WorkerId>,
     /// How many attempts are not proved never to have run.
-    pub unproven: u32,
+    pub possibly_run: u32,
     /// Where and when the first attempt that may have run was sent, by the worker's zone and cell then.
-    pub may_have_run: Option<(Time, ZoneId, CellId)>,
+    pub first_possible_run: Option<(Time, ZoneId, CellId)>,
 }
 
 impl OpenRequest {
@@ -108,9 +108,9 @@
 
     /// One of its attempts is proved never to have run.
     pub fn on_never_ran(&mut self) {
-        self.unproven -= 1;
-        if self.unproven == 0 {
-            self.may_have_run = None;
+        self.possibly_run -= 1;
+        if self.possibly_run == 0 {
+            self.first_possible_run = None;
         }
     }
 }
@@ -168,7 +168,7 @@
 
     /// The fraction of a kind of work that failed lately. It decays over `over` seconds where nothing more is heard.
     pub fn failure_rate(&self, work: WorkKind, now: Time, over: f64) -> f64 {
-        self.failure_rates.get(&work).map_or(0.0, |(rate, at)| rate * (now - *at).fading(over))
+        self.failure_rates.get(&work).map_or(0.0, |(rate, at)| rate * (now - *at).decay_factor(over))
     }
 
     /// The cost of one more attempt. What is in flight counts by its expected latency: a large request is as much as many
@@ -181,7 +181,7 @@
     pub fn warm_fraction(&self, now: Time, settings: &DerivedSettings) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age = (now - started_at).secs() / settings.warm_up.secs().max(1e-3);
-        (settings.cold_capacity + (1.0 - settings.cold_capacity) * age).min(1.0)
+        (settings.initial_capacity + (1.0 - settings.initial_capacity) * age).min(1.0)
     }
 
     /// Whether slow start lets it have another attempt.
@@ -326,7 +326,8 @@
 impl GatekeeperState {
     /// Updates the mean number of attempts in flight, by how many there are now.
     pub fn update_mean(&mut self, now: Time, in_flight: f64, over: f64) -> f64 {
-        self.mean_in_flight += (in_flight - self.mean_in_flight) * (1.0 - (now - self.mean_at).fading(over));
+        self.mean_in_flight +=
+            (in_flight - self.mean_in_flight) * (1.0 - (now - self.mean_at).decay_factor(over));
         self.mean_at = now;
         self.mean_in_flight
     }
@@ -416,13 +417,13 @@
     /// The most attempts for one request.
     pub max_attempts: usize,
     /// The fraction of its capacity that a worker has right after its start.
-    pub cold_capacity: f64,
+    pub initial_capacity: f64,
     /// How long after its start a worker has all of its capacity.
     pub warm_up: Span,
     /// The multiple of what a cold worker is sure to do that it may be sent.
-    pub cold_headroom: f64,
+    pub slow_start_headroom: f64,
     /// Attempts in a second that a cold worker may get in any case.
-    pub min_cold_rate: f64,
+    pub min_slow_start_rate: f64,
     /// How soon a failed subscription is repeated.
     pub resubscribe_after: Span,
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -62,8 +62,8 @@
     }
 
     /// The factor by which a value has decayed after this span, with a time constant of `over` seconds.
-    pub fn fading(self, over: f64) -> f64 {
-        (-self.secs() / over).exp()
+    pub fn decay_factor(self, time_constant_s: f64) -> f64 {
+        (-self.secs() / time_constant_s).exp()
     }
 
     /// The span multiplied by a factor; zero where the factor is negative.
@@ -298,7 +298,7 @@
     pub quota_used: Option<f32>,
     /// The units that it took, in place of the estimate that was charged.
     pub actual_units: Option<f32>,
-    /// The worker's load report, as `Settings::load` orders it.
+    /// The worker's load report, as `Settings::load_fields` orders it.
     pub load: &'a [f32],
 }
 
@@ -351,9 +351,9 @@
     /// What the plan costs its tenants.
     pub price: f64,
     /// What use beyond the quota costs.
-    pub beyond_costs: f64,
+    pub overage_cost: f64,
     /// What use beyond the quota earns.
-    pub beyond_earns: f64,
+    pub overage_revenue: f64,
     /// The hard rate limit, in units a second, that is never exceeded; 0 for none.
     pub hard_limit_rate: f64,
     /// The burst of the hard limit, in units.
@@ -377,13 +377,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This gatekeeper's number.
-    pub me: u32,
+    pub gatekeeper_number: u32,
     /// How many gatekeepers there are.
     pub gatekeepers: u32,
     /// This gatekeeper's zone.
     pub zone: ZoneId,
     /// Events closer together than this count as simultaneous.
-    pub step: Span,
+    pub time_resolution: Span,
     /// The operations, by their ids.
     pub operations: Vec<Operation>,
     /// The plans, by their ids.
@@ -413,7 +413,7 @@
     /// The most attempts for one request.
     pub max_attempts: u32,
     /// The fraction of its capacity that a worker has right after its start.
-    pub cold_capacity: f64,
+    pub initial_capacity: f64,
     /// How long after its start a worker has all of its capacity.
     pub warm_up: Span,
     /// How long a worker takes to recover from being overloaded while it is cold.
@@ -421,5 +421,5 @@
     /// The multiple of its capacity that overloads a cold worker.
     pub overload_multiple: f64,
     /// The values of a worker's load report, in their order.
-    pub load: Vec<LoadField>,
+    pub load_fields: Vec<LoadField>,
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -62,7 +62,7 @@
     let plan = Plan { rate: 2.0, burst: 8.0, price: 1.0, ..Plan::default() };
     Settings {
         gatekeepers: 2,
-        step: Span::from_millis(2),
+        time_resolution: Span::from_millis(2),
         operations: vec![
             operation(Idempotency::Idempotent),
             operation(Idempotency::NonIdempotent),
@@ -88,7 +88,7 @@
         max_retry_after: Span::from_millis(1000),
         allows_hedging: true,
         max_attempts: 3,
-        cold_capacity: 0.2,
+        initial_capacity: 0.2,
         warm_up: Span::from_millis(10_000),
         overload_recovery: Span::from_millis(2000),
         overload_multiple: 2.0,
