--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! Admission gateway for services sold by plan. The decisions live in [`policy`]; how they are
-//! called and answered is in [`port`].
+//! Admission control for services sold by plan. [`policy`] decides on requests; [`port`] is the interface
+//! for its actions.
 #![forbid(unsafe_code)]
 
 pub mod policy;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,8 +1,7 @@
-//! The decisions of one gatekeeper.
+//! The decision module of a gatekeeper: admission control, worker selection, retries and quotas.
 //!
-//! A caller reports events by the methods of [`Gatekeeper`]; each decides at once and answers through a [`Port`]. What is
-//! remembered is in `src/state.rs`. Nothing here knows a protocol, a deployment or another instance. `docs/design.md` says
-//! what is kept of the operators' design, what was added, and when each exception acts.
+//! Callers report events to a [`Gatekeeper`], which acts through a [`Port`] before each call returns. Its
+//! state is in `src/state.rs`. The module is independent of protocols, deployments and other instances.
 
 mod deliveries;
 mod quota;
@@ -25,31 +24,30 @@
 use quota::*;
 use workers::*;
 
-/// How often a tenant's use is reported (the operators' design).
 const REPORT_INTERVAL: Span = Span::from_millis(1000);
-/// Calls to the counter in a second at first, over the square root of the number of gatekeepers.
+/// Initial counter calls per second, divided by the square root of the number of gatekeepers.
 const INITIAL_CALL_RATE: f64 = 100.0;
-/// A tenant that has sent nothing for this long is dropped once its bucket is full.
+/// Time without requests after which a tenant is dropped once its bucket is full.
 const TENANT_RETENTION: Span = Span::from_millis(20_000);
-/// `Retry-After` where all workers are full, in typical latencies.
+/// `Retry-After` if all workers are full, in typical latencies.
 const RETRY_AFTER_LATENCIES: f64 = 0.3;
-/// Retries that one request earns, and the most that can be saved up.
+/// Retries that one request adds to the retry budget, and the maximum of the budget.
 const RETRIES_PER_REQUEST: f64 = 0.3;
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Typical latencies of silence that make a worker unhealthy, and after which an attempt is checked on.
+/// Silence that makes a worker unhealthy, and time after which an attempt is checked, in typical latencies.
 const SILENCE_LATENCIES: f64 = 4.0;
-/// How often the periodic upkeep runs. Where it is late by the threshold, the process had stalled.
+/// Interval of the periodic maintenance, and the delay of it that indicates a stall of the process.
 const TICK_INTERVAL: Span = Span::from_millis(200);
 const STALL_THRESHOLD: Span = Span::from_millis(100);
-/// The weight of a new sample in a running mean.
+/// Weight of a new sample in a moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// The fraction of the multiple that overloads a cold worker which is made use of.
-const COLD_HEADROOM_PART: f64 = 0.6;
-/// How many sizes of requests are told apart; and the typical latency before any is known, as a fraction of the objective.
+/// Fraction of the overload multiple that slow start uses.
+const OVERLOAD_HEADROOM_FRACTION: f64 = 0.6;
+/// Number of size classes of requests, and the initial typical latency as a fraction of the objective.
 const SIZE_CLASSES: usize = 17;
-const INITIAL_LATENCY_PART: f64 = 0.1;
+const INITIAL_LATENCY_FRACTION: f64 = 0.1;
 
-/// One gatekeeper's decisions, with all that it remembers.
+/// Decides on the requests of one gatekeeper, and holds their state.
 pub struct Gatekeeper {
     settings: DerivedSettings,
     rng: Rng,
@@ -71,7 +69,7 @@
     let gatekeepers = f64::from(settings.gatekeepers.max(1));
     DerivedSettings {
         gatekeepers,
-        margin: settings.time_resolution.times(2.0) + Span::from_millis(2),
+        deadline_margin: settings.time_resolution.times(2.0) + Span::from_millis(2),
         operations: settings.operations.iter().map(OperationLimits::from).collect(),
         plans: settings.plans.iter().map(plan_limits).collect(),
         has_counter: settings.has_counter,
@@ -84,14 +82,14 @@
         max_attempts: settings.max_attempts.max(1) as usize,
         initial_capacity: settings.initial_capacity.clamp(0.01, 1.0),
         warm_up: settings.warm_up,
-        slow_start_headroom: (settings.overload_multiple * COLD_HEADROOM_PART).max(1.0),
+        slow_start_headroom: (settings.overload_multiple * OVERLOAD_HEADROOM_FRACTION).max(1.0),
         min_slow_start_rate: 1.0 / settings.overload_recovery.secs().max(1.0) / gatekeepers,
         resubscribe_after: settings.subscribe_within.times(0.1).max(Span::from_millis(200)),
     }
 }
 
 impl Gatekeeper {
-    /// A gatekeeper that knows no worker and no tenant yet. `seed`: of its draws.
+    /// Creates a gatekeeper without workers and tenants. `seed` initializes its random numbers.
     pub fn new(now: Time, seed: u64, settings: &Settings, port: &mut impl Port) -> Self {
         if settings.must_subscribe {
             port.subscribe();
@@ -99,10 +97,11 @@
         port.set_timer(TICK_INTERVAL, TimerEvent::Tick.tag());
         let client_timeouts = settings.operations.iter().map(|o| o.integration_timeout.secs()).collect();
         let settings = derive(settings);
-        let latencies = |o: &OperationLimits| vec![o.objective.secs() * INITIAL_LATENCY_PART; SIZE_CLASSES];
+        let latencies =
+            |o: &OperationLimits| vec![o.objective.secs() * INITIAL_LATENCY_FRACTION; SIZE_CLASSES];
         let state = GatekeeperState {
             retry_budget: MAX_RETRY_BUDGET,
-            rate_at: now,
+            rates_updated_at: now,
             typical_latency_s: settings.operations.iter().map(latencies).collect(),
             call_rate: INITIAL_CALL_RATE / settings.gatekeepers.sqrt(),
             tick_due: now + TICK_INTERVAL,
@@ -120,7 +119,7 @@
         }
     }
 
-    /// A request has arrived: it is sent to a worker or throttled, at once. This is the ordinary path, from top to bottom.
+    /// Handles a new request: sends it to a worker or rejects it at once.
     pub fn on_request(&mut self, now: Time, request: &Request, port: &mut impl Port) {
         let id = request.id;
         let (operations, plans) = (self.settings.operations.len(), self.settings.plans.len());
@@ -130,20 +129,20 @@
         self.detect_stall(now);
         let units = request.units();
 
-        // The quota: the window's throttle, then the local bucket, then the other limits.
+        // Quota: the window's throttle, then the local bucket, then the other limits.
         self.refresh_tenant(now, request);
         self.schedule_report(now, request.tenant, port);
         if let Err(wait) = self.check_quota(now, request, units) {
             return port.throttle(id, self.retry_after(wait));
         }
 
-        // The worker: if none is free, one request more would only be late.
+        // Worker: if none has capacity, a further request would only be late.
         let mut open = OpenRequest {
             operation: request.operation,
             plan: request.plan,
             tenant: request.tenant,
             units,
-            arrived_at: now.saturating_sub(self.time_unread(now, request)),
+            arrived_at: now.saturating_sub(self.stall_delay(now, request)),
             deadline: request.deadline,
             ..OpenRequest::default()
         };
@@ -151,43 +150,44 @@
             return port.throttle(id, None);
         }
         let Some(worker) = self.pick_worker(now, &open) else {
-            return port.throttle(id, self.retry_after_full(&open));
+            return port.throttle(id, self.retry_after_at_capacity(&open));
         };
 
-        // The charge, then the attempt.
         let tenant = self.tenants.get_mut(&request.tenant).expect("refreshed above");
         tenant.charge(units);
-        charge_estimated_use(tenant, now);
+        charge_peer_estimate(tenant, now);
         self.state.retry_budget = (self.state.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
         self.send_attempt(now, id, &mut open, worker, port);
         self.requests.insert(id, open);
     }
 
-    /// How long a request lay unread in a stall: what is missing of the time after which clients of its operation give up.
-    fn time_unread(&mut self, now: Time, request: &Request) -> Span {
+    /// Estimates the time that a request waited unread during a stall: the mean time to the deadline, less
+    /// what is left of it.
+    fn stall_delay(&mut self, now: Time, request: &Request) -> Span {
         let left = (request.deadline - now).secs();
         let timeout = &mut self.state.client_timeout_s[request.operation.0 as usize];
         if now != self.state.resumed_at {
             *timeout += SAMPLE_WEIGHT * (left - *timeout);
             return Span::default();
         }
-        Span::from_secs((*timeout - left).max(0.0)).min(self.state.stalled)
+        Span::from_secs((*timeout - left).max(0.0)).min(self.state.stall_duration)
     }
 
-    /// Whether an answer can still come in time to be worth something.
+    /// Returns `true` if an answer can still be in time to have a value.
     fn can_be_in_time(&self, now: Time, request: &OpenRequest) -> bool {
         let operation = self.settings.operation(request.operation);
         let in_time = request.arrived_at + operation.objective;
         let objective = if operation.is_late_useful { request.deadline } else { in_time };
-        now + self.typical_latency(request) < objective && now + self.settings.margin < request.deadline
+        now + self.typical_latency(request) < objective
+            && now + self.settings.deadline_margin < request.deadline
     }
 
     fn retry_after(&self, wait: Span) -> Option<Span> {
-        self.settings.max_retry_after.map(|most| wait.min(most).max(Span::from_millis(1)))
+        self.settings.max_retry_after.map(|max| wait.min(max).max(Span::from_millis(1)))
     }
 
-    /// `Retry-After` where all workers are full: one is free once an attempt ends.
-    fn retry_after_full(&self, request: &OpenRequest) -> Option<Span> {
+    /// `Retry-After` if all workers are full: capacity is available once an attempt ends.
+    fn retry_after_at_capacity(&self, request: &OpenRequest) -> Option<Span> {
         self.retry_after(self.typical_latency(request).times(RETRY_AFTER_LATENCIES))
     }
 
@@ -196,7 +196,7 @@
         Span::from_secs(latencies[size_class(request.units)])
     }
 
-    /// The client has left or was answered by somebody else: nothing more is owed for the request.
+    /// Ends a request whose client has left or was answered elsewhere.
     pub fn on_expired(&mut self, id: RequestId, port: &mut impl Port) {
         if let Some(mut request) = self.requests.remove(&id) {
             request.enter(RequestStage::Answered);
@@ -204,7 +204,7 @@
         }
     }
 
-    /// The answer to a request has begun to come; the request can't be retried any more.
+    /// Records that the response stream of a request has started. The request can no longer be retried.
     pub fn on_stream_started(&mut self, now: Time, id: RequestId, worker: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.silent_since = now;
@@ -216,13 +216,13 @@
         }
     }
 
-    /// A timer is due.
+    /// Handles an expired timer.
     pub fn on_timer(&mut self, now: Time, tag: TimerTag, port: &mut impl Port) {
         self.detect_stall(now);
         match TimerEvent::from_tag(tag) {
             Some(TimerEvent::Tick) => self.tick(now, port),
             Some(TimerEvent::AttemptCheck(id, attempt)) => self.check_attempt(now, (id, attempt), port),
-            Some(TimerEvent::UsageReport(tenant)) => self.report_use(now, tenant, port),
+            Some(TimerEvent::UsageReport(tenant)) => self.report_usage(now, tenant, port),
             Some(TimerEvent::HealthCheck(id)) => self.check_health(id, port),
             Some(TimerEvent::Subscribe) => port.subscribe(),
             None => {}
@@ -235,24 +235,25 @@
         port.set_timer(TICK_INTERVAL, TimerEvent::Tick.tag());
     }
 
-    /// A process that was stalled reads all that came meanwhile at once: the workers' silence was its own.
+    /// Detects a stall of the process. Events of that time arrive at once afterwards, so no worker counts as
+    /// silent.
     fn detect_stall(&mut self, now: Time) {
         let state = &mut self.state;
         if now - state.tick_due < STALL_THRESHOLD || now == state.resumed_at {
             return;
         }
         state.resumed_at = now;
-        state.stalled = now - state.tick_due + TICK_INTERVAL.times(0.5);
+        state.stall_duration = now - state.tick_due + TICK_INTERVAL.times(0.5);
         self.workers.values_mut().for_each(|worker| worker.silent_since = now);
     }
 
-    /// A subscription to the list of workers has failed.
+    /// Handles a failed subscription to the list of workers.
     pub fn on_list_failed(&mut self, port: &mut impl Port) {
         port.set_timer(self.settings.resubscribe_after, TimerEvent::Subscribe.tag());
     }
 }
 
-/// Sizes of one operation's requests are told apart in steps of a unit; the last class holds all larger ones.
+/// Size class of a request: its units, rounded up. The last class holds all larger requests.
 fn size_class(units: f64) -> usize {
     (units.ceil() as usize).min(SIZE_CLASSES - 1)
 }
--- a/src/policy/deliveries.rs
+++ b/src/policy/deliveries.rs
@@ -1,10 +1,10 @@
-//! Attempts (deliveries, in the operators' design): how they are sent, what their end says of a worker, what follows.
+//! Attempts (deliveries): sending, evaluation of outcomes, retries and hedges.
 
 use super::*;
 
-/// The weight of a new failure in the failure rate of a kind of work.
+/// Weight of a new outcome in a failure rate, except for time-outs.
 const FAILURE_WEIGHT: f64 = 0.5;
-/// The most that one latency counts, in typical latencies.
+/// Maximum of one latency sample, in typical latencies.
 const MAX_RELATIVE_LATENCY: f64 = 10.0;
 
 impl Gatekeeper {
@@ -26,7 +26,7 @@
             worker: worker_id,
             sent_at: now,
             work: request.work(),
-            size: size_class(request.units),
+            size_class: size_class(request.units),
             expected_s,
             tenant: request.tenant,
         };
@@ -38,7 +38,7 @@
         if let Some(tenant) = self.tenants.get_mut(&request.tenant) {
             tenant.in_flight += 1;
         }
-        port.send_attempt(id, worker_id, request.deadline.saturating_sub(self.settings.margin));
+        port.send_attempt(id, worker_id, request.deadline.saturating_sub(self.settings.deadline_margin));
         let operation = self.settings.operation(request.operation);
         if operation.idempotency != Idempotency::NonIdempotent {
             let silence = Span::from_secs(expected_s * SILENCE_LATENCIES);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// An attempt has ended: its request is answered, retried, or waits for another attempt.
+    /// Handles the end of an attempt: its request is answered, retried, or waits for another attempt.
     pub fn on_attempt_ended(&mut self, now: Time, report: &AttemptReport, port: &mut impl Port) {
         self.detect_stall(now);
         let id = report.request_id;
@@ -83,7 +83,7 @@
         self.retry_or_answer(now, id, request, report.outcome, port);
     }
 
-    /// Nothing is in flight: another attempt, or the final answer at once.
+    /// Retries a request that has no attempt in flight, or sends its final answer.
     fn retry_or_answer(
         &mut self,
         now: Time,
@@ -102,7 +102,7 @@
         );
         request.enter(RequestStage::Answered);
         if request.first_possible_run.is_none() || may_run_again {
-            port.throttle(id, self.retry_after_full(&request));
+            port.throttle(id, self.retry_after_at_capacity(&request));
         } else {
             port.fail(id);
         }
@@ -119,10 +119,10 @@
         }
     }
 
-    /// What the end of an attempt says of its worker.
+    /// Updates the statistics of a worker and the typical latency with the outcome of an attempt.
     fn record_outcome(&mut self, now: Time, report: &AttemptReport, attempt: &Attempt, port: &mut impl Port) {
         let duration = report.duration.secs();
-        // Time-outs do not count as late: lost answers and dead workers look the same.
+        // Time-outs do not count as late: a lost answer looks like a failed worker.
         let is_answered = matches!(report.outcome, Outcome::Succeeded | Outcome::Errored);
         let was_running = now != self.state.resumed_at;
         let operation = attempt.work.0;
@@ -135,15 +135,15 @@
         if is_answered || matches!(report.outcome, Outcome::Full | Outcome::Reset) {
             worker.silent_since = now;
         }
-        // Each of the other ends closes the connection.
-        worker.connected_at = (is_answered || report.outcome == Outcome::Full).then_some(now);
-        // One kind of work may fail while the others go on: the failure rate is of that kind only.
-        let rate = worker.failure_rate(attempt.work, now, FAILURE_WINDOW_S);
+        // All other outcomes close the connection.
+        worker.connection_idle_since = (is_answered || report.outcome == Outcome::Full).then_some(now);
+        // The failure rate is kept per kind of work, as one kind may fail while others succeed.
+        let rate = worker.failure_rate(attempt.work, now, FAILURE_DECAY_S);
         let failed = if report.outcome == Outcome::Succeeded { 0.0 } else { 1.0 };
-        // A time-out says less of the worker than a rejection or an error.
+        // A time-out is weaker evidence against a worker than a rejection or an error.
         let weight = if report.outcome == Outcome::TimedOut { SAMPLE_WEIGHT } else { FAILURE_WEIGHT };
         worker.failure_rates.insert(attempt.work, (rate + weight * (failed - rate), now));
-        let typical = &mut self.state.typical_latency_s[operation.0 as usize][attempt.size];
+        let typical = &mut self.state.typical_latency_s[operation.0 as usize][attempt.size_class];
         let sample = (duration / typical.max(1e-6)).min(MAX_RELATIVE_LATENCY);
         let latency = &mut worker.relative_latency;
         match report.outcome {
@@ -162,8 +162,8 @@
         }
     }
 
-    /// An attempt that is late at an unhealthy worker, dead or partitioned off, is sent to another one. One that is late at
-    /// a worker that goes on answering is left alone: a hedge would only add to the load that made it late.
+    /// Hedges or cancels a late attempt if its worker is unhealthy. At a responsive worker the attempt is
+    /// left alone, as a hedge would add to the load that delays it.
     pub(super) fn check_attempt(&mut self, now: Time, key: AttemptKey, port: &mut impl Port) {
         let (id, number) = key;
         let Some(attempt) = self.attempts.get(&key) else { return };
@@ -175,7 +175,7 @@
         if request.stage == RequestStage::Sent && self.settings.allows_hedging {
             self.retry(now, id, &mut request, port);
         } else if request.stage == RequestStage::Sent && self.settings.can_cancel && self.has_retry_budget() {
-            // Its end as cancelled makes room for the next.
+            // The cancelled attempt is followed by a retry.
             port.cancel(id, number);
         }
         self.requests.insert(id, request);
@@ -185,8 +185,7 @@
         self.state.retry_budget >= 1.0
     }
 
-    /// Makes one more attempt, where it can still be of use and the retry budget allows it: retries multiply the load just
-    /// when there is no capacity to spare.
+    /// Sends another attempt if it can still be useful and the retry budget allows it.
     fn retry(&mut self, now: Time, id: RequestId, request: &mut OpenRequest, port: &mut impl Port) -> bool {
         let idempotency = self.settings.operation(request.operation).idempotency;
         if idempotency == Idempotency::NonIdempotent && request.first_possible_run.is_some() {
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,28 +1,29 @@
-//! The interface of the decisions.
+//! The outgoing interface of the decision module.
 //!
-//! Events come in as calls of the methods of [`crate::policy::Gatekeeper`]; what it decides goes out through a [`Port`],
-//! at once and in the order given. Any protocol can be put before the decisions by calling the one and implementing the
-//! other.
+//! Events are reported by calling the methods of [`crate::policy::Gatekeeper`], which executes its decisions
+//! through a [`Port`] before it returns, in order. Any protocol can be connected by making those calls and
+//! implementing this trait.
 
 use crate::types::{AttemptNumber, CounterKey, RequestId, Span, Time, TimerTag, WorkerId};
 
-/// Carries out what the decisions ask for.
+/// Executes the actions of the decision module.
 pub trait Port {
-    /// Sends a request to a worker, to be given up at `deadline`. The first call for a request is attempt 0, the next 1,
-    /// and so on.
+    /// Sends a request to a worker and gives up at `deadline`. The attempts of a request are numbered from 0
+    /// in the order of these calls.
     fn send_attempt(&mut self, request: RequestId, worker: WorkerId, deadline: Time);
-    /// The final answer: rejected unprocessed, so that trying again is harmless.
+    /// Sends the final answer: rejected without processing, so that a retry is safe.
     fn throttle(&mut self, request: RequestId, retry_after: Option<Span>);
-    /// The final answer: an error. The request may have run.
+    /// Sends the final answer: an error. The request may have been processed.
     fn fail(&mut self, request: RequestId);
-    /// Cancels an attempt that is in flight.
+    /// Cancels an attempt in flight.
     fn cancel(&mut self, request: RequestId, attempt: AttemptNumber);
-    /// Checks a worker's health.
+    /// Starts a health check of a worker.
     fn check_health(&mut self, worker: WorkerId);
-    /// Adds to a shared count. `retention`: how long the counter keeps it; it counts only for a key that is new.
+    /// Adds to a shared count. The counter keeps a new key for `retention`, which is ignored for a known
+    /// key.
     fn add_to_counter(&mut self, key: CounterKey, retention: Span, amount: f32);
-    /// Has `Gatekeeper::on_timer` called with the tag after this time.
+    /// Schedules a call of `Gatekeeper::on_timer` with `tag`, `after` this time.
     fn set_timer(&mut self, after: Span, tag: TimerTag);
-    /// Subscribes to the list of workers, where it does not come by itself.
+    /// Subscribes to the list of workers, if the list requires a subscription.
     fn subscribe(&mut self);
 }
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -1,6 +1,6 @@
-//! Pseudo-random numbers: a multiply-with-carry generator, started from the seed that an instance is given.
+//! Pseudo-random numbers from a multiply-with-carry generator.
 
-/// A generator. The same seed gives the same numbers in every build.
+/// A deterministic generator. The same seed gives the same sequence in every build.
 #[derive(Clone, Debug)]
 pub struct Rng {
     word: u64,
@@ -9,12 +9,12 @@
 
 impl Rng {
     const FACTOR: u64 = 4_294_957_665;
-    /// How many numbers are discarded at the start, so that similar seeds do not give similar first numbers.
+    /// Numbers discarded at the start, so that similar seeds do not give similar first numbers.
     const DISCARDED: usize = 8;
 
-    /// A generator for a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
-        // A pair of zeros would stay zero for ever; the constants only keep it away from there.
+        // The constants avoid the state of all zeros, which the generator never leaves.
         let mut rng = Rng { word: (seed & 0xffff_ffff) ^ 0x9e37_79b9, carry: (seed >> 32) | 1 };
         for _ in 0..Self::DISCARDED {
             rng.next_u32();
@@ -22,7 +22,7 @@
         rng
     }
 
-    /// A number of 32 bits.
+    /// Returns the next 32-bit number.
     pub fn next_u32(&mut self) -> u32 {
         let sum = Self::FACTOR * self.word + self.carry;
         self.word = sum & 0xffff_ffff;
@@ -30,7 +30,7 @@
         self.word as u32
     }
 
-    /// A number from 0 to under 1.
+    /// Returns the next number in the range from 0 to below 1.
     pub fn next_f64(&mut self) -> f64 {
         f64::from(self.next_u32()) / 4_294_967_296.0
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gatekeeper remembers, grouped by how long it lives.
+//! State of a gatekeeper: per attempt, request, worker and tenant, and for the gatekeeper as a whole.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
     Time, WorkerId, WorkerInfo, WorkerPhase, ZoneId,
 };
 
-/// Requests of one operation and plan: what is learnt of a worker is learnt for each of these.
+/// Kind of work, by operation and plan. Failure rates of workers are kept for each kind.
 pub type WorkKind = (OperationId, PlanId);
 
 /// A token bucket. Rate and depth are given with each refill.
 #[derive(Clone, Copy, Default)]
 pub struct TokenBucket {
-    /// The tokens that it holds; negative where more was taken than there was.
+    /// Number of tokens; negative if more were taken than available.
     pub level: f64,
-    /// When it was last refilled.
+    /// Time of the last refill.
     pub refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// Refills it up to now, at `rate` tokens a second and up to `depth`; returns its level.
+    /// Refills the bucket up to `now`, at `rate` tokens per second up to `depth`, and returns the level.
     pub fn refill(&mut self, now: Time, rate: f64, depth: f64) -> f64 {
         self.level = (self.level + rate * (now - self.refilled_at).secs()).min(depth);
         self.refilled_at = now;
@@ -28,65 +28,66 @@
     }
 }
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 pub struct Attempt {
-    /// The worker that it was sent to.
+    /// Worker that the attempt was sent to.
     pub worker: WorkerId,
-    /// When it was sent.
+    /// Send time.
     pub sent_at: Time,
-    /// The kind of work.
+    /// Kind of work.
     pub work: WorkKind,
-    /// The size class of its request.
-    pub size: usize,
-    /// The typical latency of such a request when it was sent, in seconds.
+    /// Size class of the request.
+    pub size_class: usize,
+    /// Typical latency of such requests at the send time, in seconds.
     pub expected_s: f64,
-    /// Whose request it is.
+    /// Tenant of the request.
     pub tenant: TenantId,
 }
 
-/// How far a request has come.
+/// Stage of an open request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Admitted, and no attempt is in flight.
+    /// Admitted, with no attempt in flight.
     #[default]
     Admitted,
-    /// One attempt is in flight.
+    /// One attempt in flight.
     Sent,
-    /// Two are in flight.
+    /// Two attempts in flight.
     Hedged,
-    /// Its answer has started; it belongs to the client.
+    /// The response stream has started; the request can no longer be retried.
     Streaming,
-    /// Its final answer is given.
+    /// Final answer sent.
     Answered,
 }
 
-/// A request that is open.
+/// A request without a final answer.
 #[derive(Default)]
 pub struct OpenRequest {
-    /// How far it has come.
+    /// Current stage.
     pub stage: RequestStage,
-    /// What it asks for.
+    /// Requested operation.
     pub operation: OperationId,
-    /// Its tenant's plan.
+    /// Plan of the tenant.
     pub plan: PlanId,
-    /// Whose quota it was charged to.
+    /// Tenant whose quota was charged.
     pub tenant: TenantId,
-    /// The units that it was charged.
+    /// Units charged.
     pub units: f64,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived_at: Time,
-    /// When its client gives up.
+    /// Time after which the client no longer waits.
     pub deadline: Time,
-    /// The workers tried, one for each attempt, in their order.
+    /// Workers tried, one per attempt, in order.
     pub tried: Vec<WorkerId>,
-    /// How many attempts are not proved never to have run.
+    /// Number of attempts that may have been processed.
     pub possibly_run: u32,
-    /// Where and when the first attempt that may have run was sent, by the worker's zone and cell then.
+    /// Send time of the first attempt that may have been processed, and its worker's zone and cell at that
+    /// time.
     pub first_possible_run: Option<(Time, ZoneId, CellId)>,
 }
 
 impl OpenRequest {
-    /// Enters a stage. Every change of stage is made here.
+    /// Moves the request to a stage. All stage changes go through here.
     pub fn enter(&mut self, to: RequestStage) {
         let is_legal = match self.stage {
             RequestStage::Admitted => matches!(to, RequestStage::Sent | RequestStage::Answered),
@@ -101,12 +102,12 @@
         self.stage = to;
     }
 
-    /// Its kind of work.
+    /// Kind of work.
     pub fn work(&self) -> WorkKind {
         (self.operation, self.plan)
     }
 
-    /// One of its attempts is proved never to have run.
+    /// Records that one of the attempts was not processed.
     pub fn on_never_ran(&mut self) {
         self.possibly_run -= 1;
         if self.possibly_run == 0 {
@@ -115,41 +116,41 @@
     }
 }
 
-/// A worker, for as long as it is listed.
+/// A listed worker.
 #[derive(Default)]
 pub struct Worker {
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: CellId,
-    /// It takes nothing new.
+    /// `true` if the worker accepts no new requests.
     pub is_draining: bool,
-    /// Its capacity in relation to others.
+    /// Capacity relative to other workers.
     pub weight: f64,
-    /// When it started; None where that is long ago.
+    /// Start time; `None` if the worker has warmed up.
     pub started_at: Option<Time>,
-    /// Attempts of this gatekeeper that are in flight there.
+    /// Number of this gatekeeper's attempts in flight at the worker.
     pub in_flight: u32,
-    /// The same by their expected latencies, in seconds.
+    /// Sum of the expected latencies of the attempts in flight, in seconds.
     pub load_s: f64,
-    /// Its latency in relation to what is typical for all workers.
+    /// Latency relative to the typical latency of all workers.
     pub relative_latency: f64,
-    /// Since when attempts are in flight without an answer of any kind.
+    /// Start of the current period without a reply of any kind.
     pub silent_since: Time,
-    /// The fraction that failed of each kind of work, and when that was last updated.
+    /// Failure rate of each kind of work, and the time of its last update.
     pub failure_rates: BTreeMap<WorkKind, (f64, Time)>,
-    /// Until then it is ejected: nothing is sent to it where another worker can do it.
+    /// End of the ejection. Until then the worker only receives attempts if no healthy worker is eligible.
     pub ejected_until: Time,
-    /// When a connection to it was last left open.
-    pub connected_at: Option<Time>,
-    /// A health check is to be made or in flight.
+    /// Time at which a connection was last left open; `None` if the last attempt closed its connection.
+    pub connection_idle_since: Option<Time>,
+    /// `true` if a health check is scheduled or in flight.
     pub is_being_checked: bool,
-    /// What may still be sent to it while it is cold.
+    /// Attempts that slow start still admits while the worker is warming up.
     pub slow_start: TokenBucket,
 }
 
 impl Worker {
-    /// Takes over what the list says of it.
+    /// Applies an entry of the list of workers.
     pub fn update(&mut self, info: &WorkerInfo) {
         self.is_draining = info.phase == WorkerPhase::Draining;
         self.weight = info.weight();
@@ -157,7 +158,7 @@
         self.cell = info.cell;
     }
 
-    /// An attempt was sent to it, whose latency is expected to be `expected_s` seconds.
+    /// Records an attempt sent to the worker, with an expected latency in seconds.
     pub fn on_sent(&mut self, now: Time, expected_s: f64) {
         if self.in_flight == 0 {
             self.silent_since = now;
@@ -166,180 +167,181 @@
         self.load_s += expected_s;
     }
 
-    /// The fraction of a kind of work that failed lately. It decays over `over` seconds where nothing more is heard.
-    pub fn failure_rate(&self, work: WorkKind, now: Time, over: f64) -> f64 {
-        self.failure_rates.get(&work).map_or(0.0, |(rate, at)| rate * (now - *at).decay_factor(over))
+    /// Failure rate of a kind of work, decayed since its last update.
+    pub fn failure_rate(&self, work: WorkKind, now: Time, time_constant_s: f64) -> f64 {
+        self.failure_rates
+            .get(&work)
+            .map_or(0.0, |(rate, at)| rate * (now - *at).decay_factor(time_constant_s))
     }
 
-    /// The cost of one more attempt. What is in flight counts by its expected latency: a large request is as much as many
-    /// small ones.
+    /// Cost of the load in flight. Attempts count by expected latency, as large requests take longer.
     pub fn cost(&self) -> f64 {
         self.load_s * self.relative_latency / self.weight
     }
 
-    /// The fraction of its capacity that it is sure to have by now.
+    /// Fraction of its full capacity that the worker has at `now`.
     pub fn warm_fraction(&self, now: Time, settings: &DerivedSettings) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age = (now - started_at).secs() / settings.warm_up.secs().max(1e-3);
         (settings.initial_capacity + (1.0 - settings.initial_capacity) * age).min(1.0)
     }
 
-    /// Whether slow start lets it have another attempt.
+    /// Returns `true` if slow start admits another attempt.
     pub fn has_slow_start_token(&self, now: Time, settings: &DerivedSettings) -> bool {
         self.warm_fraction(now, settings) >= 1.0 || self.slow_start.level >= 1.0
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn on_ended(&mut self, expected_s: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.load_s = if self.in_flight == 0 { 0.0 } else { (self.load_s - expected_s).max(0.0) };
     }
 }
 
-/// What the shared counter is known to hold for one tenant and window.
+/// State of the shared counter for one tenant and window.
 #[derive(Default)]
 pub struct SharedCount {
-    /// The number of the window.
+    /// Number of the window.
     pub window: u64,
-    /// The last total that came back.
+    /// Last total returned by the counter.
     pub total: f64,
-    /// What a counter that came back empty had held before.
+    /// Total held by the counter before it lost its state.
     pub lost: f64,
-    /// What is known not to have been added.
-    pub unadded: f64,
-    /// What was sent in a call that has no answer yet.
+    /// Amount that failed calls did not add.
+    pub not_added: f64,
+    /// Amount sent in a call that is in flight.
     pub in_flight: Option<f64>,
-    /// When that was sent.
+    /// Time of the last call.
     pub called_at: Time,
 }
 
-/// A tenant, until its bucket is full and idle.
+/// A tenant with recent requests.
 #[derive(Default)]
 pub struct Tenant {
-    /// Its plan.
+    /// Plan of the tenant.
     pub plan: PlanId,
-    /// At how many gatekeepers its requests arrive.
+    /// Number of gatekeepers that receive the tenant's requests.
     pub spread: f64,
-    /// Its quota.
+    /// Token bucket of the quota.
     pub tokens: TokenBucket,
-    /// This gatekeeper's share of its hard rate limit.
+    /// This gatekeeper's share of the hard rate limit.
     pub hard_limit: TokenBucket,
-    /// Attempts that are in flight for it.
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    /// When its last request came.
-    pub seen_at: Time,
-    /// The mean time between its requests here, in seconds.
+    /// Arrival time of the last request.
+    pub last_request_at: Time,
+    /// Mean time between requests at this gatekeeper, in seconds.
     pub arrival_gap_s: f64,
-    /// Units admitted here and not yet reported.
+    /// Units admitted here that are not reported to the counter.
     pub unreported: f64,
-    /// A report is due.
+    /// `true` if a report is scheduled.
     pub is_report_due: bool,
-    /// What is known of the shared count.
+    /// State of the shared counter.
     pub shared: SharedCount,
-    /// Units that the other gatekeepers admit in a second, by the totals.
-    pub others_rate: f64,
-    /// Units admitted here since the last total.
-    pub own_since: f64,
-    /// Units charged for the other gatekeepers by estimate since then.
-    pub estimated: f64,
-    /// When the last total came.
+    /// Units per second admitted by the other gatekeepers, averaged over the totals.
+    pub peer_rate: f64,
+    /// Units admitted here that the last total does not include.
+    pub admitted_since_total: f64,
+    /// Units charged since the last total for the estimated usage at other gatekeepers.
+    pub peer_estimate: f64,
+    /// Time of the last total.
     pub total_at: Time,
-    /// Until then everything is throttled: the window's quota is used up.
+    /// End of the throttling that follows an exhausted window quota.
     pub throttled_until: Time,
 }
 
 impl Tenant {
-    /// Charges the units of a request that was admitted.
+    /// Charges the units of an admitted request.
     pub fn charge(&mut self, units: f64) {
         self.tokens.level -= units;
         self.hard_limit.level -= units;
-        self.own_since += units;
+        self.admitted_since_total += units;
         if self.is_report_due {
             self.unreported += units;
         }
     }
 
-    /// Replaces what was charged for a request by the units that it took.
+    /// Replaces the estimated charge of a request by its actual units.
     pub fn correct_charge(&mut self, charged: f64, actual: f64) {
         self.tokens.level -= actual - charged;
         self.unreported += actual - charged;
     }
 
-    /// A window has begun `elapsed` ago. What was estimated for the time before it stays charged.
+    /// Enters a window that began `elapsed` ago. Units estimated for the time before it stay charged.
     pub fn enter_window(&mut self, now: Time, window: u64, elapsed: Span) {
         self.shared = SharedCount { window, ..SharedCount::default() };
-        self.estimated = self.estimated.min(self.others_rate * elapsed.secs());
+        self.peer_estimate = self.peer_estimate.min(self.peer_rate * elapsed.secs());
         self.total_at = self.total_at.max(now.saturating_sub(elapsed));
-        self.own_since = self.unreported;
+        self.admitted_since_total = self.unreported;
     }
 
-    /// All that was not reported goes to the counter in a call now; how much that is.
+    /// Marks all unreported units as sent in a call at `now`, and returns their sum.
     pub fn begin_report(&mut self, now: Time) -> f64 {
-        let amount = self.unreported + self.shared.unadded;
+        let amount = self.unreported + self.shared.not_added;
         self.unreported = 0.0;
-        self.shared.unadded = 0.0;
+        self.shared.not_added = 0.0;
         self.shared.in_flight = Some(amount);
         self.shared.called_at = now;
         amount
     }
 }
 
-/// What a gatekeeper remembers of itself and of the workers together.
+/// State of the gatekeeper and of its workers as a whole.
 #[derive(Default)]
 pub struct GatekeeperState {
-    /// Retries that may still be made.
+    /// Retries that the retry budget still allows.
     pub retry_budget: f64,
-    /// Attempts that succeed in a second, lately.
+    /// Successful attempts per second, as a decaying average.
     pub success_rate: f64,
-    /// The highest of it lately, for a unit of weight of the workers.
+    /// Decaying peak of the success rate per unit of warm worker weight.
     pub peak_rate: f64,
-    /// When the two were updated.
-    pub rate_at: Time,
-    /// Calls to the counter that may be made now.
+    /// Time of the last update of the two rates.
+    pub rates_updated_at: Time,
+    /// Token bucket of the calls to the counter.
     pub counter_calls: TokenBucket,
-    /// Calls to the counter that may be made in a second.
+    /// Calls to the counter per second that are allowed.
     pub call_rate: f64,
-    /// When that was last cut.
+    /// Time of the last reduction of the call rate.
     pub call_cut_at: Time,
-    /// When the next periodic upkeep is due.
+    /// Due time of the next periodic maintenance.
     pub tick_due: Time,
-    /// When it was last found that the process had stalled.
+    /// Time at which the last stall of the process was detected.
     pub resumed_at: Time,
-    /// How long it had stalled then.
-    pub stalled: Span,
-    /// How long the clients of each operation wait for one attempt, in seconds.
+    /// Estimated duration of that stall.
+    pub stall_duration: Span,
+    /// Mean time from arrival to deadline for each operation, in seconds.
     pub client_timeout_s: Vec<f64>,
-    /// The typical latency of each operation and size class, in seconds.
+    /// Typical latency of each operation and size class, in seconds.
     pub typical_latency_s: Vec<Vec<f64>>,
-    /// The fraction of the attempts that ended lately which took too much of the latency objective.
+    /// Moving average of the fraction of attempts that are late.
     pub late_fraction: f64,
-    /// How many attempts may be in flight.
+    /// Maximum number of attempts in flight.
     pub concurrency_limit: f64,
-    /// When that was last cut.
+    /// Time of the last reduction of the concurrency limit.
     pub limit_cut_at: Time,
-    /// How many attempts were in flight lately, on average.
+    /// Mean number of attempts in flight.
     pub mean_in_flight: f64,
-    /// When that was updated.
-    pub mean_at: Time,
+    /// Time of the last update of the mean.
+    pub mean_updated_at: Time,
 }
 
 impl GatekeeperState {
-    /// Updates the mean number of attempts in flight, by how many there are now.
-    pub fn update_mean(&mut self, now: Time, in_flight: f64, over: f64) -> f64 {
-        self.mean_in_flight +=
-            (in_flight - self.mean_in_flight) * (1.0 - (now - self.mean_at).decay_factor(over));
-        self.mean_at = now;
+    /// Updates the mean number of attempts in flight with the current number, and returns it.
+    pub fn update_mean(&mut self, now: Time, in_flight: f64, time_constant_s: f64) -> f64 {
+        self.mean_in_flight += (in_flight - self.mean_in_flight)
+            * (1.0 - (now - self.mean_updated_at).decay_factor(time_constant_s));
+        self.mean_updated_at = now;
         self.mean_in_flight
     }
 }
 
-/// What the decisions derive from an operation's settings.
+/// Values derived from an operation's settings.
 pub struct OperationLimits {
-    /// The latency that an answer should stay below.
+    /// Latency within which an answer is in time.
     pub objective: Span,
-    /// An answer after the latency objective is still worth something.
+    /// `true` if an answer after the latency objective still has a value.
     pub is_late_useful: bool,
-    /// Whether it may run again.
+    /// Rule for repeating a request.
     pub idempotency: Idempotency,
 }
 
@@ -353,28 +355,28 @@
     }
 }
 
-/// What the decisions derive from a plan's settings.
+/// Values derived from a plan's settings.
 pub struct PlanLimits {
-    /// Units a second; None where the plan has no quota.
+    /// Quota in units per second; `None` if the plan has no quota.
     pub rate: Option<f64>,
-    /// Units that may come on top of the rate at once.
+    /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// How many requests may be open at once; 0 for no limit.
+    /// Maximum number of concurrent requests; 0 for no limit.
     pub max_open: u32,
-    /// The hard rate limit, in units a second; 0 for none.
+    /// Hard rate limit in units per second; 0 for none.
     pub hard_limit_rate: f64,
-    /// Its burst, in units.
+    /// Capacity of the hard limit's token bucket, in units.
     pub hard_limit_burst: f64,
-    /// The window that use is counted in by all gatekeepers together.
+    /// Window over which all gatekeepers count usage together.
     pub window: Span,
-    /// The units that all may admit in a window.
+    /// Units that all gatekeepers together may admit in a window.
     pub window_quota: f64,
-    /// How long the counter keeps a window's count.
+    /// Time for which the counter keeps the count of a window.
     pub retention: Span,
 }
 
 impl PlanLimits {
-    /// A plan whose use is counted in windows of this length; values below zero count as zero.
+    /// Derives the limits of a plan. Negative values count as zero.
     pub fn new(plan: &Plan, window: Span, retention: Span) -> Self {
         let (rate, burst) = (plan.rate.max(0.0), plan.burst.max(0.0));
         PlanLimits {
@@ -390,55 +392,55 @@
     }
 }
 
-/// What the decisions derive from the settings, once, at the start.
+/// Values derived from the settings at the start.
 pub struct DerivedSettings {
-    /// How many gatekeepers there are.
+    /// Number of gatekeepers.
     pub gatekeepers: f64,
-    /// An answer is on its way to the client for no longer than this.
-    pub margin: Span,
-    /// The operations, by their ids.
+    /// Time reserved before a request's deadline for returning the answer.
+    pub deadline_margin: Span,
+    /// Operations, indexed by `OperationId`.
     pub operations: Vec<OperationLimits>,
-    /// The plans, by their ids.
+    /// Plans, indexed by `PlanId`.
     pub plans: Vec<PlanLimits>,
-    /// There is a shared counter.
+    /// `true` if the gatekeepers share a counter of usage.
     pub has_counter: bool,
-    /// An answer of the counter after this time is late.
+    /// Time after which a reply of the counter is late.
     pub counter_timeout: Span,
-    /// How long an idle connection to a worker stays open.
+    /// Time after which an idle connection to a worker is closed.
     pub idle_timeout: Span,
-    /// Workers answer health checks.
+    /// `true` if workers answer health checks.
     pub has_health_checks: bool,
-    /// Attempts can be cancelled.
+    /// `true` if attempts can be cancelled.
     pub can_cancel: bool,
-    /// The longest time that a rejection may tell; None where it tells none.
+    /// Longest `Retry-After` time; `None` if rejections carry none.
     pub max_retry_after: Option<Span>,
-    /// A second attempt may be made while the first is in flight.
+    /// `true` if a second attempt may be sent while the first is in flight.
     pub allows_hedging: bool,
-    /// The most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// The fraction of its capacity that a worker has right after its start.
+    /// Fraction of its capacity that a worker has at its start.
     pub initial_capacity: f64,
-    /// How long after its start a worker has all of its capacity.
+    /// Time after its start at which a worker has its full capacity.
     pub warm_up: Span,
-    /// The multiple of what a cold worker is sure to do that it may be sent.
+    /// Multiple of its current capacity that a worker may be sent while it is warming up.
     pub slow_start_headroom: f64,
-    /// Attempts in a second that a cold worker may get in any case.
+    /// Attempts per second that slow start always admits.
     pub min_slow_start_rate: f64,
-    /// How soon a failed subscription is repeated.
+    /// Delay before a failed subscription is repeated.
     pub resubscribe_after: Span,
 }
 
 impl DerivedSettings {
-    /// An operation that is known to be configured.
+    /// Returns the limits of a configured operation.
     pub fn operation(&self, id: OperationId) -> &OperationLimits {
         &self.operations[usize::from(id.0)]
     }
 
-    /// A plan that is known to be configured.
+    /// Returns the limits of a configured plan.
     pub fn plan(&self, id: PlanId) -> &PlanLimits {
         &self.plans[usize::from(id.0)]
     }
 }
 
-/// The key of an attempt.
+/// Key of an attempt.
 pub type AttemptKey = (RequestId, AttemptNumber);
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,4 @@
-//! Ids, time, and what the decisions are told: requests, workers, outcomes, settings.
+//! Identifiers, time, and the inputs of the decision module: requests, workers, outcomes and settings.
 
 use std::ops::{Add, Sub};
 
@@ -6,12 +6,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
-/// A length of time, in nanoseconds. Arithmetic saturates: there is no negative one.
+/// A non-negative length of time, in nanoseconds. Arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(u64);
 
 impl Time {
-    /// The point `n` nanoseconds after the clock's zero.
+    /// Returns the point `n` nanoseconds after the clock's zero.
     pub const fn from_nanos(n: u64) -> Self {
         Time(n)
     }
@@ -21,52 +21,52 @@
         self.0
     }
 
-    /// The number of complete periods of this length before this point.
+    /// Number of complete periods of `length` between the clock's zero and this point.
     pub fn periods(self, length: Span) -> u64 {
         self.0 / length.0.max(1)
     }
 
-    /// The point that lies `span` earlier, or the clock's zero.
+    /// Returns the point `span` earlier, but no earlier than the clock's zero.
     pub fn saturating_sub(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// Zero length.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `n` nanoseconds.
+    /// Creates a span of `n` nanoseconds.
     pub const fn from_nanos(n: u64) -> Self {
         Span(n)
     }
 
-    /// A span of `n` milliseconds.
+    /// Creates a span of `n` milliseconds.
     pub const fn from_millis(n: u64) -> Self {
         Span(n * 1_000_000)
     }
 
-    /// A span of `s` seconds; zero where `s` is not a positive number.
+    /// Creates a span of `s` seconds; zero if `s` is negative or not a number.
     pub fn from_secs(s: f64) -> Self {
         Span((s.max(0.0) * 1e9) as u64)
     }
 
-    /// Its length in nanoseconds.
+    /// Length in nanoseconds.
     pub const fn nanos(self) -> u64 {
         self.0
     }
 
-    /// Its length in seconds.
+    /// Length in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// The factor by which a value has decayed after this span, with a time constant of `over` seconds.
+    /// Factor of an exponential decay over this span, with a time constant in seconds.
     pub fn decay_factor(self, time_constant_s: f64) -> f64 {
         (-self.secs() / time_constant_s).exp()
     }
 
-    /// The span multiplied by a factor; zero where the factor is negative.
+    /// Multiplies the span by `factor`; zero if the factor is negative.
     pub fn times(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor.max(0.0)) as u64)
     }
@@ -81,7 +81,7 @@
 
 impl Sub for Time {
     type Output = Span;
-    /// Zero where the other point is later.
+    /// Returns zero if `earlier` is the later point.
     fn sub(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -103,47 +103,47 @@
 }
 
 ids! {
-    /// A request of a client; unique among those that are open.
+    /// Identifier of a client's request, unique among open requests.
     RequestId(u32);
-    /// A worker. Opaque: four bytes of address and a port, as one number.
+    /// Identifier of a worker, opaque to the decision module.
     WorkerId(u64);
-    /// A tenant, whose quota a request is charged to.
+    /// Identifier of a tenant.
     TenantId(u64);
-    /// An operation, by its position in the settings.
+    /// Index of an operation in the settings.
     OperationId(u8);
-    /// A plan, by its position in the settings.
+    /// Index of a plan in the settings.
     PlanId(u16);
-    /// A zone, by its position in the settings.
+    /// Index of a zone in the settings.
     ZoneId(u16);
-    /// A kind of worker, by its position in the settings.
+    /// Index of a kind of worker in the settings.
     KindId(u16);
-    /// A cell: a group of workers within a zone.
+    /// Identifier of a cell, a group of workers within a zone.
     CellId(u16);
-    /// Which attempt of a request, from 0.
+    /// Number of an attempt within its request, from 0.
     AttemptNumber(u8);
-    /// The key of a count at the shared counter: one tenant in one window.
+    /// Key of a count at the shared counter, for one tenant and window.
     CounterKey(u64);
-    /// What a timer gives back when it is due: a `TimerEvent` as a number.
+    /// Number passed back when a timer fires; encodes a [`TimerEvent`].
     TimerTag(u64);
 }
 
-/// What a timer is set for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// It is time to check on an attempt that is in flight.
+    /// Checks an attempt that may be late.
     AttemptCheck(RequestId, AttemptNumber),
-    /// A tenant's usage is to be reported.
+    /// Reports a tenant's usage to the shared counter.
     UsageReport(TenantId),
-    /// A worker's health is to be checked.
+    /// Checks a worker's health.
     HealthCheck(WorkerId),
-    /// The list of workers is to be subscribed to.
+    /// Subscribes to the list of workers.
     Subscribe,
-    /// The periodic upkeep.
+    /// Runs the periodic maintenance.
     Tick,
 }
 
 impl TimerEvent {
-    /// The event as the number that the timer gives back.
+    /// Encodes the event as a tag.
     pub fn tag(self) -> TimerTag {
         let (kind, value) = match self {
             TimerEvent::AttemptCheck(request, attempt) => {
@@ -157,7 +157,7 @@
         TimerTag(kind << 56 | value)
     }
 
-    /// The event that a tag stands for; None for a number that is no tag.
+    /// Decodes a tag; `None` if its event code is unknown.
     pub fn from_tag(tag: TimerTag) -> Option<Self> {
         let value = tag.0 & ((1 << 56) - 1);
         match tag.0 >> 56 {
@@ -171,255 +171,255 @@
     }
 }
 
-/// How an attempt, a health check or a counter call ended.
+/// Result of an attempt, a health check or a counter call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered with success.
+    /// A success was returned.
     Succeeded,
-    /// It was answered with an error.
+    /// An error was returned.
     Errored,
-    /// The other side rejected it unprocessed, for want of capacity.
+    /// Rejected unprocessed by the other side for lack of capacity.
     Full,
-    /// No answer came in time.
+    /// No answer before the deadline.
     TimedOut,
-    /// No connection came up, or the last byte of the request was never sent.
+    /// The connection could not be established, or the request was not sent completely.
     ConnectFailed,
     /// The connection broke before the answer was complete.
     Reset,
-    /// It was cancelled from this side.
+    /// Cancelled by this side.
     Cancelled,
-    /// It was never made, as its request was answered before.
+    /// Never sent because its request was answered first.
     Superseded,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns `true` if the outcome proves that the worker did not process the attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Superseded)
     }
 }
 
-/// The state of a worker, as the list of workers has it.
+/// State of a worker in the list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerPhase {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// No longer exists.
     Removed,
 }
 
-/// What a list of workers replaces.
+/// Scope of an update to the list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only the workers that it names.
+    /// Replaces only the listed workers.
     Delta,
-    /// Everything: workers that it does not name are gone.
+    /// Replaces the whole list; workers that are not listed are removed.
     Full,
-    /// Everything, by a copy that may be old.
+    /// Replaces the whole list by a copy that may be stale.
     Cached,
 }
 
 /// An entry of the list of workers.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerInfo {
-    /// Which worker.
+    /// Identifier of the worker.
     pub worker: WorkerId,
-    /// The zone that it runs in.
+    /// Zone of the worker.
     pub zone: ZoneId,
-    /// Its kind.
+    /// Kind of the worker.
     pub kind: KindId,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: CellId,
-    /// Its state.
+    /// State of the worker.
     pub phase: WorkerPhase,
-    /// Its capacity in relation to others; not a positive number where that is not known.
+    /// Capacity relative to other workers; unknown unless positive and finite.
     pub weight: f32,
-    /// When it started; None where that is long ago.
+    /// Start time; `None` if the worker has warmed up.
     pub started_at: Option<Time>,
 }
 
 impl WorkerInfo {
-    /// Its capacity in relation to others; 1 where that is not known.
+    /// Capacity relative to other workers; 1 if unknown.
     pub fn weight(&self) -> f64 {
         if self.weight.is_finite() && self.weight > 0.0 { f64::from(self.weight) } else { 1.0 }
     }
 }
 
-/// A request as it arrives.
+/// A client's request on arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// When its client gives up.
+    /// Time after which the client no longer waits.
     pub deadline: Time,
-    /// Whose quota it is charged to.
+    /// Tenant whose quota is charged.
     pub tenant: TenantId,
-    /// What it asks for.
+    /// Requested operation.
     pub operation: OperationId,
-    /// The tenant's plan.
+    /// Plan of the tenant.
     pub plan: PlanId,
-    /// How many gatekeepers may get this tenant's requests; below 1 where that is not known.
+    /// Number of gatekeepers that may receive the tenant's requests; unknown unless finite and at least 1.
     pub spread: f32,
-    /// The units of the quota that it takes; negative or not a number where that is not known.
+    /// Units of the quota that the request uses; unknown unless finite and not negative.
     pub units: f32,
 }
 
 impl Request {
-    /// The units of the quota that it takes; 1 where that is not known.
+    /// Units of the quota that the request uses; 1 if unknown.
     pub fn units(&self) -> f64 {
         if self.units.is_finite() && self.units >= 0.0 { f64::from(self.units) } else { 1.0 }
     }
 
-    /// At how many of the gatekeepers the tenant's requests arrive; at all where that is not known.
+    /// Number of gatekeepers that receive the tenant's requests, at most `gatekeepers`; all if unknown.
     pub fn spread_among(&self, gatekeepers: f64) -> f64 {
         let is_known = self.spread.is_finite() && self.spread >= 1.0;
         if is_known { f64::from(self.spread).min(gatekeepers) } else { gatekeepers }
     }
 }
 
-/// The end of an attempt.
+/// Report of an attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptReport<'a> {
-    /// The request.
+    /// Identifier of the request.
     pub request_id: RequestId,
-    /// Which of its attempts.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// The worker that it went to.
+    /// Worker that the attempt was sent to.
     pub worker: WorkerId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Duration of the attempt.
     pub duration: Span,
-    /// Nothing more is owed for the request.
+    /// `true` if the request needs no further attempt or reply.
     pub is_final: bool,
-    /// The tenant's use of its rate in a past period by all gatekeepers, as a fraction.
+    /// Fraction of the tenant's rate that all gatekeepers together used in a past period.
     pub quota_used: Option<f32>,
-    /// The units that it took, in place of the estimate that was charged.
+    /// Units that the request used, which replace the estimate charged on admission.
     pub actual_units: Option<f32>,
-    /// The worker's load report, as `Settings::load_fields` orders it.
+    /// Load report of the worker, in the order of `Settings::load_fields`.
     pub load: &'a [f32],
 }
 
-/// Where repeats of one request are recognized and dropped.
+/// Scope within which workers recognize and drop repeats of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Everywhere.
+    /// All workers.
     All,
-    /// Within a zone.
+    /// Workers of one zone.
     Zone,
-    /// Within a cell.
+    /// Workers of one cell.
     Cell,
 }
 
-/// Whether a request that may have run may run again.
+/// Rule for repeating a request that may have been processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Always.
+    /// May always be repeated.
     Idempotent,
     /// Repeats are dropped within the scope, for a window from the first attempt that may have run.
     Deduplicated(DedupScope, Span),
-    /// Never.
+    /// Must not be repeated.
     NonIdempotent,
 }
 
-/// What the settings say of an operation.
+/// Settings of an operation.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// The latency that an answer should stay below.
+    /// Latency within which an answer is in time.
     pub latency_objective: Span,
-    /// The longest time that a client waits.
+    /// Longest time that a client waits for an answer.
     pub integration_timeout: Span,
-    /// What an answer after the objective is worth, as a fraction of one in time.
+    /// Value of an answer after the latency objective, as a fraction of the value of one in time.
     pub late_value: f32,
-    /// What an answer in time is worth.
+    /// Value of an answer in time.
     pub billed_value: f32,
-    /// Whether it may run again.
+    /// Rule for repeating a request.
     pub idempotency: Idempotency,
 }
 
-/// What the settings say of a plan.
+/// Settings of a plan.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// The quota, in units a second; 0 for none.
+    /// Quota in units per second; 0 for none.
     pub rate: f64,
-    /// Units that may come on top of the rate at once.
+    /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// How many requests may be open at once; 0 for no limit.
+    /// Maximum number of concurrent requests; 0 for no limit.
     pub max_open: u32,
-    /// What the plan costs its tenants.
+    /// Price of the plan.
     pub price: f64,
-    /// What use beyond the quota costs.
+    /// Cost of usage beyond the quota.
     pub overage_cost: f64,
-    /// What use beyond the quota earns.
+    /// Revenue from usage beyond the quota.
     pub overage_revenue: f64,
-    /// The hard rate limit, in units a second, that is never exceeded; 0 for none.
+    /// Hard rate limit in units per second, never exceeded; 0 for none.
     pub hard_limit_rate: f64,
-    /// The burst of the hard limit, in units.
+    /// Capacity of the hard limit's token bucket, in units.
     pub hard_limit_burst: f64,
 }
 
-/// A value of a worker's load report; others are of no use here.
+/// Meaning of a value in a worker's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests that it works on.
+    /// Number of requests in process.
     Inflight,
-    /// Requests that wait there.
+    /// Number of queued requests.
     Queue,
-    /// Its mean latency, in milliseconds.
+    /// Mean latency, in milliseconds.
     LatencyMs,
-    /// Anything else.
+    /// Any other value.
     Other,
 }
 
-/// What a gatekeeper is configured with.
+/// Settings of a gatekeeper.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This gatekeeper's number.
+    /// Number of this gatekeeper.
     pub gatekeeper_number: u32,
-    /// How many gatekeepers there are.
+    /// Number of gatekeepers.
     pub gatekeepers: u32,
-    /// This gatekeeper's zone.
+    /// Zone of this gatekeeper.
     pub zone: ZoneId,
     /// Events closer together than this count as simultaneous.
     pub time_resolution: Span,
-    /// The operations, by their ids.
+    /// Operations, indexed by `OperationId`.
     pub operations: Vec<Operation>,
-    /// The plans, by their ids.
+    /// Plans, indexed by `PlanId`.
     pub plans: Vec<Plan>,
-    /// There is a shared counter.
+    /// `true` if the gatekeepers share a counter of usage.
     pub has_counter: bool,
-    /// How long an answer of the counter may take.
+    /// Time after which a reply of the counter is late.
     pub counter_timeout: Span,
-    /// The period that use is billed by.
+    /// Billing period of usage.
     pub metering_period: Span,
-    /// The list of workers comes only after a subscription.
+    /// `true` if the list of workers is only sent after a subscription.
     pub must_subscribe: bool,
-    /// How soon after the start the subscription has to be made.
+    /// Time after the start within which the subscription must be made.
     pub subscribe_within: Span,
-    /// How long an idle connection to a worker stays open.
+    /// Time after which an idle connection to a worker is closed.
     pub idle_timeout: Span,
-    /// Workers answer health checks.
+    /// `true` if workers answer health checks.
     pub has_health_checks: bool,
-    /// Attempts can be cancelled.
+    /// `true` if attempts can be cancelled.
     pub can_cancel: bool,
-    /// Rejections tell when to come back.
+    /// `true` if rejections carry a `Retry-After` time.
     pub sends_retry_after: bool,
-    /// The longest time that a rejection may tell.
+    /// Longest `Retry-After` time.
     pub max_retry_after: Span,
-    /// A second attempt may be made while the first is in flight (hedged requests).
+    /// `true` if a second attempt may be sent while the first is in flight (hedged requests).
     pub allows_hedging: bool,
-    /// The most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// The fraction of its capacity that a worker has right after its start.
+    /// Fraction of its capacity that a worker has at its start.
     pub initial_capacity: f64,
-    /// How long after its start a worker has all of its capacity.
+    /// Time after its start at which a worker has its full capacity.
     pub warm_up: Span,
-    /// How long a worker takes to recover from being overloaded while it is cold.
+    /// Time that a worker needs to recover from an overload while it is warming up.
     pub overload_recovery: Span,
-    /// The multiple of its capacity that overloads a cold worker.
+    /// Multiple of its current capacity at which a worker that is warming up is overloaded.
     pub overload_multiple: f64,
-    /// The values of a worker's load report, in their order.
+    /// Meanings of the values in a worker's load report, in their order.
     pub load_fields: Vec<LoadField>,
 }
