--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,65 +1,65 @@
-//! Why the adapter ends. No error can be retried: a stream that was read wrongly once can't be read on.
+//! Errors of the adapter. All are permanent: after a malformed frame the rest of the input can't be parsed.
 
 use std::fmt;
 use std::io;
 
 use lynxstair_settings::SettingsError;
 
-/// Why the adapter ends.
+/// An error that ends the adapter.
 #[derive(Debug)]
 pub enum AdapterError {
     /// Standard input can't be read.
     Input(io::Error),
     /// Standard output can't be written.
     Output(io::Error),
-    /// The input ends within the length of a frame.
-    LengthCutShort,
-    /// A frame can't have this length, in bytes.
-    BadLength(u32),
+    /// The input ends within the length field of a frame.
+    TruncatedLength,
+    /// The length of a frame, in bytes, is out of range.
+    InvalidLength(u32),
     /// The input ends within a frame.
-    FrameCutShort {
-        /// The bytes that came.
+    TruncatedFrame {
+        /// Number of bytes received.
         received: usize,
-        /// The length of the frame.
+        /// Length of the frame, in bytes.
         length: u32,
     },
-    /// The reply to a batch is longer than a frame may be.
+    /// The reply to a batch is too long for the length field.
     ReplyTooLong,
-    /// A record of a batch can't be read.
+    /// A record of a batch can't be parsed.
     Batch {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u32,
-        /// What is wrong.
+        /// Cause of the error.
         source: RecordError,
     },
 }
 
-/// What is wrong with a record.
+/// An error in a record.
 #[derive(Debug)]
 pub enum RecordError {
-    /// The frame ends within it.
-    CutShort {
-        /// The bytes that are missing a part.
+    /// The frame ends within the record.
+    Truncated {
+        /// Number of bytes expected.
         expected: usize,
-        /// The bytes that are left.
+        /// Number of bytes left in the frame.
         left: usize,
     },
-    /// There is no event with this code.
+    /// Unknown event code.
     UnknownEvent(u8),
-    /// There is no outcome with this code.
+    /// Unknown outcome code.
     UnknownOutcome(u8),
-    /// There is no phase of a worker with this code.
+    /// Unknown worker phase code.
     UnknownPhase(u8),
-    /// There is no kind of list update with this code.
+    /// Unknown code of a list update.
     UnknownListUpdate(u8),
-    /// Lists have other numbers.
-    BadListNumber,
-    /// A list has more rows than can be.
+    /// The number of a list is out of range.
+    InvalidListNumber,
+    /// The length of a list overflows.
     ListTooLong,
-    /// The settings of an instance can't be read.
+    /// The settings of an instance can't be parsed.
     Settings(SettingsError),
-    /// Bytes are left over behind the last record.
-    Surplus,
+    /// Bytes follow the last record.
+    TrailingBytes,
 }
 
 impl fmt::Display for AdapterError {
@@ -67,12 +67,12 @@
         match self {
             AdapterError::Input(source) => write!(f, "input: {source}"),
             AdapterError::Output(source) => write!(f, "output: {source}"),
-            AdapterError::LengthCutShort => f.write_str("frame: input ends inside the length"),
-            AdapterError::BadLength(length) => write!(f, "frame: a length of {length} bytes can't be"),
-            AdapterError::FrameCutShort { received, length } => {
-                write!(f, "frame: {received} of {length} bytes came before the end of input")
+            AdapterError::TruncatedLength => f.write_str("frame: input ended within the length field"),
+            AdapterError::InvalidLength(length) => write!(f, "frame: invalid length of {length} bytes"),
+            AdapterError::TruncatedFrame { received, length } => {
+                write!(f, "frame: input ended after {received} of {length} bytes")
             }
-            AdapterError::ReplyTooLong => f.write_str("reply: too long"),
+            AdapterError::ReplyTooLong => f.write_str("reply: length exceeds 32 bits"),
             AdapterError::Batch { batch, source } => write!(f, "batch {batch}: {source}"),
         }
     }
@@ -91,17 +91,17 @@
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RecordError::CutShort { expected, left } => {
+            RecordError::Truncated { expected, left } => {
                 write!(f, "record: {expected} bytes expected, {left} left in the frame")
             }
-            RecordError::UnknownEvent(code) => write!(f, "record: no event has the code {code}"),
-            RecordError::UnknownOutcome(code) => write!(f, "record: no outcome has the code {code}"),
-            RecordError::UnknownPhase(code) => write!(f, "list: no phase has the code {code}"),
-            RecordError::UnknownListUpdate(code) => write!(f, "list: no scope has the code {code}"),
-            RecordError::BadListNumber => f.write_str("list: numbers go from 0 to 15"),
-            RecordError::ListTooLong => f.write_str("list: too long"),
+            RecordError::UnknownEvent(code) => write!(f, "record: unknown event code {code}"),
+            RecordError::UnknownOutcome(code) => write!(f, "record: unknown outcome code {code}"),
+            RecordError::UnknownPhase(code) => write!(f, "list: unknown worker phase code {code}"),
+            RecordError::UnknownListUpdate(code) => write!(f, "list: unknown update code {code}"),
+            RecordError::InvalidListNumber => f.write_str("list: number is not between 0 and 15"),
+            RecordError::ListTooLong => f.write_str("list: length overflows"),
             RecordError::Settings(source) => source.fmt(f),
-            RecordError::Surplus => f.write_str("bytes left over after the last record"),
+            RecordError::TrailingBytes => f.write_str("record: trailing bytes after the last record"),
         }
     }
 }
--- a/crates/adapter/src/frame.rs
+++ b/crates/adapter/src/frame.rs
@@ -1,4 +1,5 @@
-//! Frames of the bench's wire, and reading values out of them. Numbers are little-endian, addresses big-endian.
+//! Frames of the simulator's protocol, and parsing of their values. Numbers are little-endian, addresses
+//! big-endian.
 
 use std::io::Read;
 
@@ -6,58 +7,58 @@
 
 use crate::error::{AdapterError, RecordError};
 
-/// The longest frame, in bytes: far over any batch, so that a larger length is taken for a broken frame.
+/// Maximum length of a frame, in bytes. A larger length indicates a malformed frame.
 const MAX_FRAME_LEN: u32 = 1 << 30;
-/// A frame's length, time, count of records and batch number, in bytes.
+/// Length of a frame's header, in bytes: length, time, number of records and batch number.
 const HEADER_LEN: u32 = 20;
-/// A frame's length, in bytes.
+/// Length of a frame's length field, in bytes.
 const LENGTH_LEN: u32 = 4;
-/// An entry of a list of workers, in bytes.
+/// Length of an entry of a list of workers, in bytes.
 pub const WORKER_INFO_LEN: usize = 25;
 
-/// Reads one complete frame, without its length; false at the end of the input.
+/// Reads the next frame, without its length field. Returns `false` at the end of the input.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     let mut length = Vec::with_capacity(LENGTH_LEN as usize);
     input.by_ref().take(LENGTH_LEN.into()).read_to_end(&mut length).map_err(AdapterError::Input)?;
     if length.is_empty() {
         return Ok(false);
     }
-    let length: [u8; LENGTH_LEN as usize] = length.try_into().map_err(|_| AdapterError::LengthCutShort)?;
+    let length: [u8; LENGTH_LEN as usize] = length.try_into().map_err(|_| AdapterError::TruncatedLength)?;
     let length = u32::from_le_bytes(length);
     if !(HEADER_LEN..=MAX_FRAME_LEN).contains(&length) {
-        return Err(AdapterError::BadLength(length));
+        return Err(AdapterError::InvalidLength(length));
     }
     let rest = u64::from(length - LENGTH_LEN);
     frame.clear();
-    // Grows with what really comes, never by the length that was claimed.
+    // The buffer grows with the bytes received rather than by the length field.
     input.by_ref().take(rest).read_to_end(frame).map_err(AdapterError::Input)?;
     if (frame.len() as u64) < rest {
         let received = frame.len() + LENGTH_LEN as usize;
-        return Err(AdapterError::FrameCutShort { received, length });
+        return Err(AdapterError::TruncatedFrame { received, length });
     }
     Ok(true)
 }
 
-/// A position in a frame; each read is checked against its end.
+/// A position in a frame. Reads beyond its end fail.
 pub struct Cursor<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Cursor<'a> {
-    /// The beginning of these bytes.
+    /// Starts at the first of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Cursor { rest: bytes }
     }
 
-    /// Whether nothing is left.
+    /// Returns `true` if no bytes are left.
     pub fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
 
-    /// The next `n` bytes.
+    /// Reads the next `n` bytes.
     pub fn bytes(&mut self, n: usize) -> Result<&'a [u8], RecordError> {
         if n > self.rest.len() {
-            return Err(RecordError::CutShort { expected: n, left: self.rest.len() });
+            return Err(RecordError::Truncated { expected: n, left: self.rest.len() });
         }
         let (head, rest) = self.rest.split_at(n);
         self.rest = rest;
@@ -118,13 +119,13 @@
         })
     }
 
-    /// A worker's load report.
+    /// Reads the load report of a worker.
     pub fn load(&mut self) -> Result<Vec<f32>, RecordError> {
         let n = self.u8()?;
         (0..n).map(|_| self.f32()).collect()
     }
 
-    /// An entry of a list of workers.
+    /// Reads an entry of a list of workers.
     pub fn worker_info(&mut self) -> Result<WorkerInfo, RecordError> {
         Ok(WorkerInfo {
             worker: self.worker()?,
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the gatekeeper instances: reads the records of a batch and calls the instance that each is for.
+//! Hosts gatekeeper instances: parses the records of a batch and calls the instance of each.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 use crate::frame::{Cursor, WORKER_INFO_LEN};
 use crate::reply::{Reply, WirePort};
 
-/// The codes of the records that a batch is made of.
+/// Codes of the records in a batch.
 mod code {
     pub const START: u8 = 16;
     pub const WORKER_LIST: u8 = 17;
@@ -28,23 +28,23 @@
     pub const STORE_LIST: u8 = 27;
 }
 
-/// How many lists of workers are kept by their number.
-const LISTS: usize = 16;
+/// Number of stored lists of workers.
+const LIST_COUNT: usize = 16;
 
-/// The instances of one process. They share nothing.
+/// Gatekeeper instances of one process. They share no state.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<u32, Gatekeeper>,
-    /// Lists of workers by their number, until another takes its place.
-    lists: [Vec<WorkerInfo>; LISTS],
+    /// Stored lists of workers, by number.
+    lists: [Vec<WorkerInfo>; LIST_COUNT],
     reply: Reply,
 }
 
 impl Host {
-    /// Handles the records of a frame; the reply is a frame.
+    /// Handles the records of a frame and returns the reply frame.
     pub fn handle_batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, AdapterError> {
         let mut cursor = Cursor::new(frame);
-        // A frame is never shorter than its header.
+        // Frames are at least as long as their header.
         let header = |source| AdapterError::Batch { batch: 0, source };
         let now = cursor.time().map_err(header)?;
         let records = cursor.u32().map_err(header)?;
@@ -58,7 +58,7 @@
         for _ in 0..records {
             self.handle_record(now, cursor)?;
         }
-        if cursor.is_empty() { Ok(()) } else { Err(RecordError::Surplus) }
+        if cursor.is_empty() { Ok(()) } else { Err(RecordError::TrailingBytes) }
     }
 
     fn handle_record(&mut self, now: Time, cursor: &mut Cursor) -> Result<(), RecordError> {
@@ -95,7 +95,7 @@
     }
 
     fn store_list(&mut self, cursor: &mut Cursor) -> Result<(), RecordError> {
-        let slot = self.lists.get_mut(cursor.u8()? as usize).ok_or(RecordError::BadListNumber)?;
+        let slot = self.lists.get_mut(cursor.u8()? as usize).ok_or(RecordError::InvalidListNumber)?;
         let rows = cursor.u32()? as usize;
         let length = rows.checked_mul(WORKER_INFO_LEN).ok_or(RecordError::ListTooLong)?;
         let mut entries = Cursor::new(cursor.bytes(length)?);
@@ -111,12 +111,12 @@
     now: Time,
     cursor: &mut Cursor,
     gatekeeper: Option<&mut Gatekeeper>,
-    lists: &[Vec<WorkerInfo>; LISTS],
+    lists: &[Vec<WorkerInfo>; LIST_COUNT],
     port: &mut WirePort,
 ) -> Result<(), RecordError> {
     let update = cursor.u8()?;
     cursor.u64()?;
-    let list = lists.get(cursor.u8()? as usize).ok_or(RecordError::BadListNumber)?;
+    let list = lists.get(cursor.u8()? as usize).ok_or(RecordError::InvalidListNumber)?;
     let update = match update {
         0 => Some(ListUpdate::Delta),
         1 => Some(ListUpdate::Full),
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-/// Handles an event of one request. What comes for an instance that is not up is read and dropped, here and below.
+/// Handles an event of one request. Events for an instance that is not running are parsed and ignored.
 fn handle_request_event(
     now: Time,
     code: u8,
@@ -174,7 +174,7 @@
     Ok(())
 }
 
-/// Handles an event that concerns no single request.
+/// Handles an event that does not belong to a request; ignored if the instance is not running.
 fn handle_event(
     now: Time,
     code: u8,
@@ -198,7 +198,7 @@
                 gatekeeper.on_health_check(now, worker, outcome, port);
             }
         }
-        // Messages between instances: none is sent, and what comes is ignored.
+        // Instances send no messages to each other and ignore those they receive.
         code::MESSAGE => {
             cursor.u16()?;
             let length = cursor.u16()? as usize;
@@ -233,7 +233,7 @@
     })
 }
 
-/// The end of an attempt, but for the worker's load report that follows. A use or an amount of 0 stands for none.
+/// Reads the end of an attempt up to the worker's load report. A use or an amount of 0 means none.
 fn read_report<'a>(cursor: &mut Cursor) -> Result<AttemptReport<'a>, RecordError> {
     let request_id = RequestId(cursor.u32()?);
     let duration = cursor.span()?;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! `lynxstair-adapter`: hosts gatekeeper instances behind the bench's wire, on standard input and output.
+//! `lynxstair-adapter`: hosts gatekeeper instances for a simulator, on standard input and output.
 //!
-//! Batches of records come in as frames and are answered by one frame each. A frame that can't be read ends the process
-//! with one line that says why.
+//! Each frame contains a batch of records and is answered by one frame. A malformed frame ends the process
+//! with a one-line error message.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -16,8 +16,8 @@
 use frame::read_frame;
 use host::Host;
 
-/// The buffer of the input, in bytes.
-const INPUT_BUFFER: usize = 1 << 16;
+/// Size of the input buffer, in bytes.
+const INPUT_BUFFER_LEN: usize = 1 << 16;
 
 fn main() -> ExitCode {
     match run() {
@@ -30,7 +30,7 @@
 }
 
 fn run() -> Result<(), AdapterError> {
-    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_LEN, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut frame = Vec::new();
     let mut host = Host::default();
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -1,11 +1,11 @@
-//! The reply to a batch, written as the decisions are made.
+//! The reply to a batch, which records the actions of the decision module.
 
 use lynxstair::port::Port;
 use lynxstair::types::{AttemptNumber, CounterKey, RequestId, Span, Time, TimerTag, WorkerId};
 
 use crate::error::AdapterError;
 
-/// The codes of the records that a reply is made of.
+/// Codes of the records in a reply.
 mod code {
     pub const SEND_ATTEMPT: u8 = 16;
     pub const THROTTLE: u8 = 17;
@@ -17,10 +17,10 @@
     pub const ADD_TO_COUNTER: u8 = 28;
 }
 
-/// A frame's length, count of records and batch number, in bytes.
+/// Length of a frame's header, in bytes: length, number of records and batch number.
 const HEADER_LEN: usize = 12;
 
-/// The reply to one batch.
+/// Reply to one batch.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -28,12 +28,12 @@
 }
 
 impl Reply {
-    /// The port of one instance.
+    /// Returns the port of an instance.
     pub fn for_instance(&mut self, instance: u32) -> WirePort<'_> {
         WirePort { reply: self, instance }
     }
 
-    /// The complete frame; the reply is empty afterwards.
+    /// Returns the complete frame and clears the reply.
     pub fn take(&mut self, batch: u32) -> Result<Vec<u8>, AdapterError> {
         let total = self.records.len() + HEADER_LEN;
         let length = u32::try_from(total).map_err(|_| AdapterError::ReplyTooLong)?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Writes what one instance decides.
+/// Records the actions of one instance.
 pub struct WirePort<'a> {
     reply: &'a mut Reply,
     instance: u32,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: calls the decision module under one lock and hands out what it decided.
+//! Calls the decision module under one lock and returns its decisions.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,26 +17,26 @@
 struct Inner<T> {
     gatekeeper: Gatekeeper,
     outbox: Outbox<T>,
-    /// Events within one step are reported to the module as simultaneous: it recognizes what lay unread while the process
-    /// was stalled by its having come at one time.
-    step: Span,
+    /// Events closer together than this are reported with the same time. After a stall, the decision module
+    /// recognizes the waiting requests by it.
+    time_resolution: Span,
     last_request: u32,
 }
 
-/// Decides on requests for one gatekeeper. `T` is what the caller knows a request by.
+/// Decides on the requests of one gatekeeper. `T` is the caller's context of a request.
 pub struct Dispatcher<T> {
     inner: Mutex<Inner<T>>,
-    /// When `tick` is due, in nanoseconds.
+    /// Time at which `tick` is due, in nanoseconds.
     next_due: AtomicU64,
 }
 
 impl<T: Clone> Dispatcher<T> {
-    /// A dispatcher that knows no worker yet. `seed`: of the module's draws.
+    /// Creates a dispatcher without workers. `seed` initializes the random numbers of the decision module.
     pub fn new(now: Time, seed: u64, settings: &Settings) -> Self {
         let mut outbox = Outbox::new(now);
         let gatekeeper = Gatekeeper::new(now, seed, settings, &mut outbox);
         let next_due = AtomicU64::new(outbox.next_due().nanos());
-        let inner = Inner { gatekeeper, outbox, step: settings.time_resolution, last_request: 0 };
+        let inner = Inner { gatekeeper, outbox, time_resolution: settings.time_resolution, last_request: 0 };
         Dispatcher { inner: Mutex::new(inner), next_due }
     }
 
@@ -44,29 +44,30 @@
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// When `tick` is to be called next.
+    /// Time of the next call of `tick`.
     pub fn next_due(&self) -> Time {
         Time::from_nanos(self.next_due.load(Ordering::Relaxed))
     }
 
-    /// Calls the module; false where it panicked.
+    /// Calls the decision module; returns `false` if it panicked.
     fn call(
         &self,
         now: Time,
         inner: &mut Inner<T>,
         event: impl FnOnce(Time, &mut Gatekeeper, &mut Outbox<T>),
     ) -> bool {
-        if now - inner.outbox.now >= inner.step {
+        if now - inner.outbox.now >= inner.time_resolution {
             inner.outbox.now = now;
         }
         let now = inner.outbox.now;
         let (gatekeeper, outbox) = (&mut inner.gatekeeper, &mut inner.outbox);
-        let is_done = catch_panic(|| event(now, gatekeeper, outbox));
+        let has_completed = catch_panic(|| event(now, gatekeeper, outbox));
         self.next_due.store(inner.outbox.next_due().nanos(), Ordering::Relaxed);
-        is_done
+        has_completed
     }
 
-    /// A request has arrived: the worker that gets it, or its final reply. It is given another id than the one that it has.
+    /// Handles a new request: returns the attempt to send or the final reply. The request gets a new
+    /// identifier, which is returned too.
     pub fn dispatch(&self, now: Time, mut request: Request, context: T) -> (RequestId, Decision<T>) {
         let mut inner = self.inner();
         inner.last_request = inner.last_request.wrapping_add(1);
@@ -88,8 +89,10 @@
         (id, decision)
     }
 
-    /// An attempt has ended: what follows, and which other attempts nobody waits for any more. `quota_used`: the tenant's
-    /// use of its rate by all gatekeepers, as a fraction, where the worker told it.
+    /// Handles the end of an attempt: returns the next action, and other attempts of the request to abort.
+    ///
+    /// `quota_used` is the fraction of the tenant's rate that all gatekeepers used, if the worker reported
+    /// it.
     pub fn report(
         &self,
         now: Time,
@@ -99,7 +102,7 @@
         quota_used: Option<f32>,
     ) -> (NextStep<T>, Vec<Cancellation<T>>) {
         let mut inner = self.inner();
-        // Where the request is answered already, the module still hears how the attempt ended.
+        // The outcome is reported to the decision module even if the request is answered.
         let open = inner.outbox.requests.get_mut(&ended.request_id);
         let is_answered = open.map(|open| open.in_flight = open.in_flight.saturating_sub(1)).is_none();
         let is_final = is_answered || outcome == Outcome::Succeeded;
@@ -114,7 +117,7 @@
             actual_units: None,
             load: &[],
         };
-        let is_done = self.call(now, &mut inner, |now, gatekeeper, outbox| {
+        let has_completed = self.call(now, &mut inner, |now, gatekeeper, outbox| {
             gatekeeper.on_attempt_ended(now, &report, outbox);
         });
         if is_answered {
@@ -128,8 +131,9 @@
         let next = match (outbox.due.attempts.pop(), outbox.due.replies.pop()) {
             (Some(assignment), _) => NextStep::Retry(assignment),
             (None, Some((context, _, reply))) => NextStep::Reply(context, reply),
-            // The module panicked over it: an error promises nothing.
-            (None, None) if !is_done => match outbox.requests.remove(&ended.request_id) {
+            // The decision module panicked. An error is safe, as it leaves open whether the request was
+            // processed.
+            (None, None) if !has_completed => match outbox.requests.remove(&ended.request_id) {
                 Some(open) => NextStep::Reply(open.context, FinalReply::Errored),
                 None => NextStep::Nothing,
             },
@@ -138,7 +142,7 @@
         (next, cancelled)
     }
 
-    /// Runs what is due, and returns what the caller is to do.
+    /// Runs due timers and returns the actions that are due.
     pub fn tick(&self, now: Time) -> DueWork<T> {
         let mut inner = self.inner();
         inner.outbox.now = now;
@@ -162,7 +166,7 @@
         std::mem::take(&mut inner.outbox.due)
     }
 
-    /// The client has left, or has its reply from elsewhere: nothing more is owed. The attempts that nobody waits for.
+    /// Ends a request whose client has left or was answered elsewhere, and returns its attempts to abort.
     pub fn end_request(&self, now: Time, request: RequestId) -> Vec<Cancellation<T>> {
         let mut inner = self.inner();
         self.call(now, &mut inner, |_, gatekeeper, outbox| gatekeeper.on_expired(request, outbox));
@@ -170,19 +174,19 @@
         std::mem::take(&mut inner.outbox.due.cancelled)
     }
 
-    /// The list of workers, or a change of it, has come.
+    /// Applies a list of workers, or a change of the list.
     pub fn update_workers(&self, now: Time, update: ListUpdate, list: &[WorkerInfo]) {
         self.call(now, &mut self.inner(), |now, gatekeeper, _| gatekeeper.on_worker_list(now, update, list));
     }
 
-    /// A call to the counter has ended. `total`: what the count holds now; not a number where that can't be read.
+    /// Handles the reply to a counter call. `total` is the current count, not finite if it can't be read.
     pub fn on_counter_reply(&self, now: Time, key: CounterKey, outcome: Outcome, total: f32) {
         self.call(now, &mut self.inner(), |now, gatekeeper, _| {
             gatekeeper.on_counter_reply(now, key, outcome, total);
         });
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub fn on_health_check(&self, now: Time, worker: WorkerId, outcome: Outcome) {
         self.call(now, &mut self.inner(), |now, gatekeeper, outbox| {
             gatekeeper.on_health_check(now, worker, outcome, outbox);
@@ -190,11 +194,11 @@
     }
 }
 
-/// Runs `call`; false where it panicked.
+/// Runs `call`; returns `false` if it panicked.
 pub(crate) fn catch_panic(call: impl FnOnce()) -> bool {
-    let is_done = catch_unwind(AssertUnwindSafe(call)).is_ok();
-    if !is_done {
-        log_limited!("the decisions panicked; the request at hand is errored");
+    let has_completed = catch_unwind(AssertUnwindSafe(call)).is_ok();
+    if !has_completed {
+        log_limited!("decision module panicked; the current request fails with an error");
     }
-    is_done
+    has_completed
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,12 +1,12 @@
-//! The facade of the decision module, in blocking style. Network code asks the [`Dispatcher`] what to do with a request,
-//! reports how an attempt ended, and does what is due; it never sees the module's own events and actions.
+//! Synchronous interface of the decision module. Network code asks the [`Dispatcher`] for decisions on
+//! requests, reports the outcomes of attempts, and executes the actions that are due.
 //!
-//! Contract: every call returns at once. One short lock is held meanwhile, never over input, output or a yield. A panic of
-//! the module ends in an error for the request at hand: no other request is lost, and the program goes on.
+//! Calls do not block: a lock is held only while the decision module runs, never during I/O or a yield. A
+//! panic of the decision module ends the current request with an error and affects no other request.
 //!
 //! - `dispatcher`: the entry points.
-//! - `outbox`: collects what the module decides, and keeps its timers.
-//! - `answers`: what callers are told to do.
+//! - `outbox`: collects the actions of the decision module, and keeps its timers.
+//! - `answers`: the results returned to callers.
 #![forbid(unsafe_code)]
 
 mod answers;
--- a/crates/dispatch/src/outbox.rs
+++ b/crates/dispatch/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Collects what the decision module decides, until its caller takes it away, and keeps the module's timers.
+//! Collects the actions of the decision module until the dispatcher returns them, and keeps its timers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,35 +7,35 @@
 
 use crate::answers::{Assignment, Cancellation, CounterAdd, DueWork, FinalReply, Usage};
 
-/// Timers of the module may be late by this fraction of their span.
+/// Timers of the decision module may be late by their span divided by this.
 const MAX_LATENESS_DIVISOR: u64 = 16;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy)]
 pub(crate) enum Timer {
-    /// The module set it.
+    /// Set by the decision module.
     Module(TimerTag),
-    /// The deadline of an attempt.
+    /// Deadline of an attempt.
     AttemptDeadline(RequestId, AttemptNumber),
 }
 
-/// A request that has no final reply yet.
+/// A request without a final reply.
 pub(crate) struct OpenRequest<T> {
     pub context: T,
     pub usage: Usage,
-    /// How many attempts were made.
+    /// Number of attempts sent.
     pub attempts: u8,
-    /// How many of them are in flight.
+    /// Number of attempts in flight.
     pub in_flight: u32,
 }
 
-/// What the module decided, and when it is to be called again.
+/// Actions of the decision module, its timers, and the open requests.
 pub(crate) struct Outbox<T> {
-    /// The time that the module is told.
+    /// Time reported to the decision module.
     pub now: Time,
     started_at: Time,
     pub requests: HashMap<RequestId, OpenRequest<T>>,
-    /// By the time that they are due at, and in the order that they were set in.
+    /// Timers, by due time and then in the order in which they were set.
     timers: BTreeMap<(Time, u64), Timer>,
     timers_set: u64,
     pub due: DueWork<T>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether a timer is still of use: those of attempts outlive them.
+    /// Returns `false` for a timer of an attempt whose request has no attempt in flight.
     fn is_current(&self, timer: &Timer) -> bool {
         let attempt = match timer {
             Timer::AttemptDeadline(request, attempt) => Some((*request, *attempt)),
@@ -77,7 +77,7 @@
         self.requests.get(&request).is_some_and(|open| attempt.0 < open.attempts && open.in_flight > 0)
     }
 
-    /// Removes the first timer that is due and still of use.
+    /// Removes and returns the first due timer that is current.
     pub fn pop_due(&mut self, now: Time) -> Option<Timer> {
         while let Some(first) = self.timers.first_entry()
             && first.key().0 <= now
@@ -90,7 +90,7 @@
         None
     }
 
-    /// When the first timer that is still of use is due.
+    /// Due time of the first timer that is current.
     pub fn next_due(&mut self) -> Time {
         while let Some(first) = self.timers.first_entry() {
             let (at, timer) = (first.key().0, *first.get());
@@ -137,15 +137,15 @@
         self.due.counter_adds.push(CounterAdd { key, retention, amount });
     }
 
-    /// The module's timers may be late by a fraction of their span, so that several come with one wake-up, and the calls
-    /// to the counter that are due then with one write. Each gatekeeper's grid has a start of its own: on one that all
-    /// share, the calls of all would meet at the counter.
+    /// Delays timers to a grid, so that several share a wake-up and the counter calls due then share a
+    /// write. The grid starts at the dispatcher's start, so that the counter calls of many gatekeepers do
+    /// not coincide.
     fn set_timer(&mut self, after: Span, tag: TimerTag) {
         let grid = (after.nanos() / MAX_LATENESS_DIVISOR).checked_ilog2().map_or(1, |bits| 1 << bits);
         let since_start = (self.now + after - self.started_at).nanos().div_ceil(grid) * grid;
         self.set(self.started_at + Span::from_nanos(since_start), Timer::Module(tag));
     }
 
-    /// The list comes by itself.
+    /// The list of workers is received without a subscription.
     fn subscribe(&mut self) {}
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of a gatekeeper, as the bench and the gatekeeper's configuration file hold them, into the types that
-//! the decision module and the network code go by. Names of the wire stay in `wire`.
+//! Reads the settings of a gatekeeper from JSON into the types of the decision module and the network code.
+//! The names of the JSON keys are in `wire`.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -10,68 +10,68 @@
 
 use wire::{Class, Package, Wire};
 
-/// What holds where the settings say nothing.
+/// Values used if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Span = Span::from_millis(250);
 const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(15_000);
 const DEFAULT_COUNTER_TIMEOUT: Span = Span::from_millis(50);
 
-/// All that the settings say.
+/// Settings of a gatekeeper.
 pub struct GatekeeperSettings {
-    /// What the decisions go by.
+    /// Settings of the decision module.
     pub policy: Settings,
-    /// The names that peers use.
+    /// Names of operations, plans, zones and kinds of workers.
     pub names: Names,
-    /// What a request may say.
+    /// Limits on the values of a request.
     pub bounds: RequestBounds,
-    /// Time-outs of connections.
+    /// Time-outs of connections and counter calls.
     pub timeouts: Timeouts,
 }
 
-/// What a request may say.
+/// Limits on the values of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestBounds {
-    /// How many gatekeepers there are, at most.
+    /// Number of gatekeepers; `u32::MAX` if unknown.
     pub max_gatekeepers: u32,
-    /// The most units that it may take.
+    /// Maximum units of a request; `f32::MAX` if unlimited.
     pub max_units: f32,
-    /// The operations, by their ids.
+    /// Operations, indexed by `OperationId`.
     pub operations: Vec<OperationBounds>,
 }
 
-/// What a request for an operation may say.
+/// Limits on a request for an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct OperationBounds {
-    /// The longest time that its client waits.
+    /// Longest time that a client waits for an answer.
     pub integration_timeout: Span,
-    /// It may run again.
+    /// `true` if the operation may always be repeated.
     pub is_idempotent: bool,
 }
 
-/// Names in the order of the ids that stand for them.
+/// Names, indexed by the identifiers that stand for them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of operations.
+    /// Operations, indexed by `OperationId`.
     pub operations: Vec<String>,
-    /// Of plans.
+    /// Plans, indexed by `PlanId`.
     pub plans: Vec<String>,
-    /// Of zones.
+    /// Zones, indexed by `ZoneId`.
     pub zones: Vec<String>,
-    /// Of kinds of workers.
+    /// Kinds of workers, indexed by `KindId`.
     pub kinds: Vec<String>,
 }
 
-/// Time-outs of connections.
+/// Time-outs of connections and counter calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// How long a connection attempt may take.
+    /// Time limit for establishing a connection.
     pub connect: Span,
-    /// How long workers keep an idle connection open.
+    /// Time after which workers close an idle connection.
     pub idle: Span,
-    /// A call to the counter that takes longer is late.
+    /// Time after which a reply of the counter is late.
     pub counter: Span,
 }
 
-/// Settings that can't be read. Reading the same text again fails again.
+/// Error for settings that can't be parsed. It is permanent for the same text.
 #[derive(Debug)]
 pub struct SettingsError(serde_json::Error);
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Reads settings from their JSON text.
+/// Parses settings from JSON.
 pub fn read(text: &[u8]) -> Result<GatekeeperSettings, SettingsError> {
     let wire: Wire = serde_json::from_slice(text).map_err(SettingsError)?;
     let timeouts = timeouts(&wire);
@@ -168,7 +168,7 @@
         ("dedup", "all") => Idempotency::Deduplicated(DedupScope::All, window),
         ("dedup", "zone") => Idempotency::Deduplicated(DedupScope::Zone, window),
         ("dedup", "cell") => Idempotency::Deduplicated(DedupScope::Cell, window),
-        // What is not known to bear a repeat gets none.
+        // Unknown values are treated as not safe to repeat.
         _ => Idempotency::NonIdempotent,
     };
     Operation {
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -1,4 +1,4 @@
-//! The settings in the form and with the names of the wire; keys that are not known are ignored. Spans are nanoseconds.
+//! JSON form of the settings. Unknown keys are ignored. Times are in nanoseconds.
 
 use serde::Deserialize;
 
