--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,6 +1,6 @@
-//! The cost of one decision: an request from its request to the end of its attempt, with the ticks that fall due
-//! meanwhile, by the number of workers and of tenants. Half as many attempts are out as there are workers, each
-//! for 50 ms of the virtual clock.
+//! Cost of the decisions on one request, from its arrival to the end of its attempt, including the ticks due
+//! meanwhile, by the number of workers and tenants. Half as many attempts are in flight as there are
+//! workers, each for 50 ms of virtual time.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -12,11 +12,11 @@
 
 const DURATION: Span = Span::from_millis(50);
 
-/// Keeps where the last attempt went.
+/// Stores the worker of the last attempt.
 #[derive(Default)]
-struct Last(Option<WorkerId>);
+struct LastWorkerPort(Option<WorkerId>);
 
-impl Port for Last {
+impl Port for LastWorkerPort {
     fn send_attempt(&mut self, _: RequestId, worker: WorkerId, _: Time) {
         self.0 = Some(worker);
     }
@@ -29,12 +29,12 @@
     fn subscribe(&mut self) {}
 }
 
-struct World {
+struct Harness {
     gatekeeper: Gatekeeper,
-    port: Last,
+    port: LastWorkerPort,
     now: Time,
-    tick_at: Time,
-    step: Span,
+    last_tick_at: Time,
+    request_interval: Span,
     in_flight: VecDeque<(RequestId, WorkerId)>,
     max_in_flight: usize,
     tenants: u64,
@@ -66,9 +66,9 @@
     }
 }
 
-impl World {
+impl Harness {
     fn new(workers: u64, tenants: u64) -> Self {
-        let mut port = Last::default();
+        let mut port = LastWorkerPort::default();
         let now = Time::from_nanos(1_000_000_000_000);
         let mut gatekeeper = Gatekeeper::new(now, 7, &settings(), &mut port);
         let line = |n: u64| WorkerInfo {
@@ -82,36 +82,36 @@
         };
         gatekeeper.on_worker_list(now, ListUpdate::Full, &(0..workers).map(line).collect::<Vec<_>>());
         let max_in_flight = (workers as usize / 2).max(1);
-        let step = DURATION.times(1.0 / max_in_flight as f64);
+        let request_interval = DURATION.times(1.0 / max_in_flight as f64);
         let in_flight = VecDeque::new();
-        let mut world = World {
+        let mut harness = Harness {
             gatekeeper,
             port,
             now,
-            tick_at: now,
-            step,
+            last_tick_at: now,
+            request_interval,
             in_flight,
             max_in_flight,
             tenants,
             requests: 0,
         };
-        // Every tenant comes in once, and every worker is met.
+        // Warm-up: every tenant sends a request, and every worker receives attempts.
         let first = tenants.max(workers * 4);
-        (0..first).for_each(|_| world.run_request());
-        world
+        (0..first).for_each(|_| harness.run_request());
+        harness
     }
 
     fn run_request(&mut self) {
-        self.now = self.now + self.step;
-        while self.tick_at + Span::from_millis(200) <= self.now {
-            self.tick_at = self.tick_at + Span::from_millis(200);
-            self.gatekeeper.on_timer(self.tick_at, TimerEvent::Tick.tag(), &mut self.port);
+        self.now = self.now + self.request_interval;
+        while self.last_tick_at + Span::from_millis(200) <= self.now {
+            self.last_tick_at = self.last_tick_at + Span::from_millis(200);
+            self.gatekeeper.on_timer(self.last_tick_at, TimerEvent::Tick.tag(), &mut self.port);
         }
         self.requests += 1;
         let request = Request {
             id: RequestId(self.requests),
             deadline: self.now + Span::from_millis(3000),
-            // Far apart from one to the next, and each in its turn.
+            // Visits all tenants in turn, with distant identifiers in succession.
             tenant: TenantId(u64::from(self.requests) * 7919 % self.tenants),
             operation: OperationId(0),
             plan: PlanId(0),
@@ -144,12 +144,12 @@
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision");
     group.sample_size(20).measurement_time(std::time::Duration::from_secs(2));
-    // A million tenants are not among them yet: a tick goes over all of them, and the run did not end in 20 minutes.
+    // A million tenants take too long, as each tick visits all of them.
     let sizes = [(20, 100), (200, 100), (2000, 100), (20, 10_000)];
     for (workers, tenants) in sizes {
-        let mut world = World::new(workers, tenants);
+        let mut harness = Harness::new(workers, tenants);
         let name = BenchmarkId::new(format!("{workers} workers"), format!("{tenants} tenants"));
-        group.bench_function(name, |b| b.iter(|| black_box(&mut world).run_request()));
+        group.bench_function(name, |b| b.iter(|| black_box(&mut harness).run_request()));
     }
     group.finish();
 }
--- a/crates/adapter/tests/frames.rs
+++ b/crates/adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! What the adapter makes of its input, as a process.
+//! Tests of the adapter as a process: valid input is answered, malformed input ends it with an error line.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -9,10 +9,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    // The adapter may stop reading early; that is part of what is tested.
+        .expect("adapter starts");
+    // The adapter may exit before it has read all of its input.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    let out = child.wait_with_output().expect("ends");
+    let out = child.wait_with_output().expect("adapter exits");
     (out.status.success(), out.stdout, String::from_utf8_lossy(&out.stderr).into_owned())
 }
 
@@ -25,7 +25,7 @@
     out
 }
 
-fn up(settings: &[u8]) -> Vec<u8> {
+fn start(settings: &[u8]) -> Vec<u8> {
     let mut body = vec![16, 3, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0];
     body.extend((settings.len() as u32).to_le_bytes());
     body.extend(settings);
@@ -33,31 +33,31 @@
 }
 
 #[test]
-fn good_and_bad_input() {
+fn input_is_answered_or_rejected() {
     let empty_reply: Vec<u8> = [12u32, 0, 1].iter().flat_map(|n| n.to_le_bytes()).collect();
-    // An instance that comes up sets the timer of its beat.
-    let mut beat: Vec<u8> = [33u32, 1, 1].iter().flat_map(|n| n.to_le_bytes()).collect();
-    beat.extend([20, 3, 0, 0, 0, 0, 194, 235, 11, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5]);
+    // A new instance sets its tick timer.
+    let mut timer: Vec<u8> = [33u32, 1, 1].iter().flat_map(|n| n.to_le_bytes()).collect();
+    timer.extend([20, 3, 0, 0, 0, 0, 194, 235, 11, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5]);
     let huge_list = [27, 0, 0xff, 0xff, 0xff, 0xff];
     let cases: Vec<(&str, Vec<u8>, bool, &[u8])> = vec![
         ("no input", vec![], true, &[]),
         ("an empty batch", frame(0, &[]), true, &empty_reply),
-        ("settings with keys unknown", frame(1, &up(br#"{"what":{"is":[1]},"me":1}"#)), true, &beat),
+        ("settings with unknown keys", frame(1, &start(br#"{"what":{"is":[1]},"me":1}"#)), true, &timer),
         ("an unknown instance", frame(1, &[25, 9, 0, 0, 0]), true, &empty_reply),
-        ("a length cut short", vec![20, 0], false, &[]),
-        ("a frame cut short", frame(0, &[])[..10].to_vec(), false, &[]),
+        ("a truncated length", vec![20, 0], false, &[]),
+        ("a truncated frame", frame(0, &[])[..10].to_vec(), false, &[]),
         ("a length too small", vec![3, 0, 0, 0, 0, 0], false, &[]),
         ("a length too large", vec![0xff; 30], false, &[]),
         ("an unknown record", frame(1, &[99, 0, 0, 0, 0]), false, &[]),
         ("fewer records than claimed", frame(2, &[25, 9, 0, 0, 0]), false, &[]),
-        ("bytes left over", frame(0, &[1]), false, &[]),
+        ("trailing bytes", frame(0, &[1]), false, &[]),
         ("a list longer than the frame", frame(1, &huge_list), false, &[]),
-        ("settings that are not JSON", frame(1, &up(b"{")), false, &[]),
+        ("settings that are not JSON", frame(1, &start(b"{")), false, &[]),
     ];
-    for (name, input, good, wanted) in cases {
+    for (name, input, is_valid, wanted) in cases {
         let (success, stdout, stderr) = run(&input);
-        assert_eq!((success, &stdout[..]), (good, wanted), "{name}: {stderr}");
-        assert_eq!(stderr.lines().count(), usize::from(!good), "{name}: {stderr}");
+        assert_eq!((success, &stdout[..]), (is_valid, wanted), "{name}: {stderr}");
+        assert_eq!(stderr.lines().count(), usize::from(!is_valid), "{name}: {stderr}");
         assert!(!stderr.contains("panicked"), "{name}: {stderr}");
     }
 }
--- a/crates/dispatch/src/tests.rs
+++ b/crates/dispatch/src/tests.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Arrivals that get no worker get their answer at once.
+/// A request that no worker can take gets its reply at once.
 #[test]
 fn requests_are_forwarded_or_replied_to_at_once() {
     let cases =
@@ -88,16 +88,16 @@
     );
 }
 
-/// What comes after the end of a attempt; and that it comes once.
+/// The end of an attempt leads to one action: relay, retry or a final reply.
 #[test]
-fn what_follows_the_end_of_an_attempt() {
+fn ended_attempts_are_relayed_retried_or_answered() {
     use Outcome::*;
     let cases = [
-        (GET, Succeeded, "pass on"),
-        (GET, Errored, "deliver"),
-        (GET, ConnectFailed, "deliver"),
-        (PUT, ConnectFailed, "deliver"),
-        (PUT, Full, "deliver"),
+        (GET, Succeeded, "relay"),
+        (GET, Errored, "retry"),
+        (GET, ConnectFailed, "retry"),
+        (PUT, ConnectFailed, "retry"),
+        (PUT, Full, "retry"),
         (PUT, Errored, "errored"),
         (PUT, Reset, "errored"),
         (PUT, TimedOut, "errored"),
@@ -109,7 +109,7 @@
         let report = |assignment| dispatcher.report(at(50), assignment, outcome, Span::from_millis(49), None);
         let (next, cancelled) = report(&assignment);
         let got = match next {
-            NextStep::Relay(7) => "pass on",
+            NextStep::Relay(7) => "relay",
             NextStep::Reply(7, FinalReply::Errored) => "errored",
             NextStep::Retry(another) => {
                 assert_eq!(
@@ -117,20 +117,20 @@
                     (assignment.request_id, AttemptNumber(1), 7)
                 );
                 assert_ne!(another.worker, assignment.worker);
-                "deliver"
+                "retry"
             }
             _ => "something else",
         };
         assert_eq!((got, cancelled.len()), (wanted, 0), "{operation} {outcome:?}");
-        if wanted != "deliver" {
+        if wanted != "retry" {
             assert_eq!(report(&assignment), (NextStep::Nothing, vec![]), "{operation} {outcome:?} again");
         }
     }
 }
 
-/// Time brings copies of late attempts, the end of overdue ones, and reports to the counter.
+/// Ticks return hedges of late attempts, attempts past their deadline, and counter calls.
 #[test]
-fn ticks_bring_hedges_time_outs_and_reports() {
+fn ticks_return_hedges_time_outs_and_counter_calls() {
     let dispatcher = dispatcher(4);
     let assignment = forwarded(&dispatcher, 1, GET, 7);
     let mut hedges = Vec::new();
@@ -143,9 +143,9 @@
         hedges.extend(due.attempts);
         counted += due.counter_adds.iter().map(|c| c.amount).sum::<f32>();
         timed_out = due.timed_out;
-        assert!(ms < 2000, "nothing was overdue");
+        assert!(ms < 2000, "no attempt has timed out");
     }
-    // The worker is silent: a copy goes elsewhere. Both have the same time, and end with it.
+    // The worker is silent, so the request is hedged. Both attempts have the same deadline.
     assert_eq!((hedges.len(), hedges[0].attempt, ms), (1, AttemptNumber(1), 991));
     let both = [0, 1].map(|attempt| Cancellation {
         context: 7,
@@ -167,15 +167,15 @@
     assert_eq!(counted, 1.0);
 }
 
-/// The first answer ends the other attempt; a client that leaves ends all.
+/// The first reply aborts the other attempt; the end of the request aborts all.
 #[test]
-fn attempts_that_nobody_waits_for_are_cancelled() {
+fn obsolete_attempts_are_cancelled() {
     for leaves in [false, true] {
         let dispatcher = dispatcher(4);
         let assignment = forwarded(&dispatcher, 1, GET, 7);
         let hedge = loop {
             let due = dispatcher.tick(dispatcher.next_due() + Span::from_millis(1));
-            assert!(due.timed_out.is_empty(), "no copy");
+            assert!(due.timed_out.is_empty(), "no hedge");
             if let Some(hedge) = due.attempts.into_iter().next() {
                 break hedge;
             }
@@ -196,11 +196,11 @@
     }
 }
 
-/// What lay there while the gatekeeper stood still is known by its having come at one time. On sockets each
-/// call has a time of its own: those within a step are told as one.
+/// Requests that waited in a stall are recognized by their common read time. On sockets the times differ, so
+/// those within the time resolution are reported as one.
 #[test]
-fn a_stalled_process() {
-    // How long after the first one read the second is, and whether it is known to have lain too long.
+fn requests_within_the_time_resolution_share_a_stall() {
+    // Time between the two requests read, and whether the second is recognized as having waited too long.
     for (gap_us, known) in [(0, true), (900, true), (3_900, true), (4_100, false)] {
         let dispatcher = dispatcher(4);
         let mut ms = 0;
@@ -214,8 +214,8 @@
                 dispatcher.report(at(ms), &assignment, Outcome::Succeeded, Span::from_millis(5), None);
             }
         }
-        // Nothing runs for two seconds. The clients have waited for nearly all of that.
-        let lay_too_long = |now: Time| {
+        // Nothing runs for two seconds, which the clients have spent waiting.
+        let is_rejected = |now: Time| {
             let request = Request {
                 id: RequestId(0),
                 deadline: now + Span::from_millis(100),
@@ -227,25 +227,25 @@
             };
             matches!(dispatcher.dispatch(now, request, 8).1, Decision::Reply(FinalReply::Throttled(_)))
         };
-        let woke = at(ms + 2000);
-        lay_too_long(woke);
-        // The tick has its turn between the two.
-        dispatcher.tick(woke);
-        assert_eq!(lay_too_long(woke + Span::from_nanos(gap_us * 1000)), known, "{gap_us} us");
+        let resumed_at = at(ms + 2000);
+        is_rejected(resumed_at);
+        // The tick runs between the two requests.
+        dispatcher.tick(resumed_at);
+        assert_eq!(is_rejected(resumed_at + Span::from_nanos(gap_us * 1000)), known, "{gap_us} us");
     }
 }
 
-/// Timers share wakes within a gatekeeper, and not across gatekeepers.
+/// Timers of a gatekeeper share wake-ups; those of different gatekeepers do not coincide.
 #[test]
-fn timers_share_wake_ups() {
-    let wakes = |opened_us: u64| {
+fn timers_are_coalesced_within_a_gatekeeper() {
+    let wakes = |started_us: u64| {
         let settings = Settings { time_resolution: Span::from_millis(4), ..Settings::default() };
-        let opened = at(0) + Span::from_nanos(opened_us * 1000);
-        let dispatcher: Dispatcher<u32> = Dispatcher::new(opened, 1, &settings);
+        let started_at = at(0) + Span::from_nanos(started_us * 1000);
+        let dispatcher: Dispatcher<u32> = Dispatcher::new(started_at, 1, &settings);
         let first = dispatcher.next_due();
-        assert!(first - opened >= Span::from_millis(200), "early");
-        assert!(first - opened <= Span::from_millis(200 + 200 / 16), "too late");
-        // The tick that follows is asked for at some time after the first.
+        assert!(first - started_at >= Span::from_millis(200), "early");
+        assert!(first - started_at <= Span::from_millis(200 + 200 / 16), "too late");
+        // The next tick is set some time after the first is due.
         dispatcher.tick(first + Span::from_nanos(700_000));
         assert!(dispatcher.next_due() - first >= Span::from_millis(200));
         ((dispatcher.next_due() - first).nanos(), first.nanos() % (1 << 20))
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -153,7 +153,7 @@
             return port.throttle(id, self.retry_after_at_capacity(&open));
         };
 
-        let tenant = self.tenants.get_mut(&request.tenant).expect("refreshed above");
+        let tenant = self.tenants.get_mut(&request.tenant).expect("tenant is refreshed above");
         tenant.charge(units);
         charge_peer_estimate(tenant, now);
         self.state.retry_budget = (self.state.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
@@ -161,8 +161,8 @@
         self.requests.insert(id, open);
     }
 
-    /// Estimates the time that a request waited unread during a stall: the mean time to the deadline, less
-    /// what is left of it.
+    /// Estimates the time that a request waited unread during a stall, by the mean time from arrival to
+    /// deadline. For requests without a stall it updates that mean and returns zero.
     fn stall_delay(&mut self, now: Time, request: &Request) -> Span {
         let left = (request.deadline - now).secs();
         let timeout = &mut self.state.client_timeout_s[request.operation.0 as usize];
--- a/src/policy/deliveries.rs
+++ b/src/policy/deliveries.rs
@@ -17,7 +17,7 @@
         port: &mut impl Port,
     ) {
         let expected_s = self.typical_latency(request).secs();
-        let worker = self.workers.get_mut(&worker_id).expect("picked from these");
+        let worker = self.workers.get_mut(&worker_id).expect("picked workers are listed");
         worker.on_sent(now, expected_s);
         worker.slow_start.level -= 1.0;
         let is_hedge = request.stage == RequestStage::Sent;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -78,9 +78,9 @@
         refill_tenant(tenant, plan, now);
     }
 
-    /// Schedules a report of a tenant's usage, unless one is scheduled or no peer shares the quota.
+    /// Schedules a report of a tenant's usage, unless one is scheduled or none is needed.
     pub(super) fn schedule_report(&mut self, now: Time, id: TenantId, port: &mut impl Port) {
-        let tenant = self.tenants.get_mut(&id).expect("refreshed with its request");
+        let tenant = self.tenants.get_mut(&id).expect("tenant is refreshed on its request");
         let has_rate = self.settings.plan(tenant.plan).rate.is_some();
         if !self.settings.has_counter || !has_rate || tenant.spread <= 1.0 || tenant.is_report_due {
             return;
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -107,7 +107,7 @@
         self.state.concurrency_limit.max(MIN_WORKER_CONCURRENCY * (warm / self.settings.gatekeepers))
     }
 
-    /// Adapts the limit to the fraction of late answers, as a few slow workers would dominate the mean latency.
+    /// Adapts the limit to the fraction of late answers, as slow workers would dominate the mean latency.
     pub(super) fn adapt_concurrency(&mut self, now: Time, operation: OperationId, duration: f64) {
         let limit = self.concurrency_limit(now);
         let objective = self.settings.operation(operation).objective.secs();
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,7 +1,7 @@
 //! The outgoing interface of the decision module.
 //!
 //! Events are reported by calling the methods of [`crate::policy::Gatekeeper`], which executes its decisions
-//! through a [`Port`] before it returns, in order. Any protocol can be connected by making those calls and
+//! in order through a [`Port`] before the call returns. A protocol is connected by making those calls and
 //! implementing this trait.
 
 use crate::types::{AttemptNumber, CounterKey, RequestId, Span, Time, TimerTag, WorkerId};
@@ -22,7 +22,7 @@
     /// Adds to a shared count. The counter keeps a new key for `retention`, which is ignored for a known
     /// key.
     fn add_to_counter(&mut self, key: CounterKey, retention: Span, amount: f32);
-    /// Schedules a call of `Gatekeeper::on_timer` with `tag`, `after` this time.
+    /// Calls `Gatekeeper::on_timer` with `tag` after the given time.
     fn set_timer(&mut self, after: Span, tag: TimerTag);
     /// Subscribes to the list of workers, if the list requires a subscription.
     fn subscribe(&mut self);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A port that keeps what was answered, and a small world of settings.
+//! A test harness of the decision module, with a port that records its actions.
 
 use lynxstair::policy::Gatekeeper;
 use lynxstair::port::Port;
@@ -20,11 +20,11 @@
 pub struct RecordingPort(pub Vec<Output>);
 
 impl Port for RecordingPort {
-    fn send_attempt(&mut self, request_id: RequestId, worker: WorkerId, stop_at: Time) {
-        self.0.push(Output::Attempt(request_id, worker, stop_at));
+    fn send_attempt(&mut self, request_id: RequestId, worker: WorkerId, deadline: Time) {
+        self.0.push(Output::Attempt(request_id, worker, deadline));
     }
-    fn throttle(&mut self, request_id: RequestId, sends_retry_after: Option<Span>) {
-        self.0.push(Output::Throttle(request_id, sends_retry_after));
+    fn throttle(&mut self, request_id: RequestId, retry_after: Option<Span>) {
+        self.0.push(Output::Throttle(request_id, retry_after));
     }
     fn fail(&mut self, request_id: RequestId) {
         self.0.push(Output::Fail(request_id));
@@ -35,8 +35,8 @@
     fn check_health(&mut self, worker: WorkerId) {
         self.0.push(Output::HealthCheck(worker));
     }
-    fn add_to_counter(&mut self, name: CounterKey, _keep: Span, amount: f32) {
-        self.0.push(Output::Add(name, amount));
+    fn add_to_counter(&mut self, key: CounterKey, _retention: Span, amount: f32) {
+        self.0.push(Output::Add(key, amount));
     }
     fn set_timer(&mut self, after: Span, tag: TimerTag) {
         self.0.push(Output::Timer(after, tag));
@@ -96,34 +96,34 @@
     }
 }
 
-pub struct World {
+pub struct Harness {
     pub gatekeeper: Gatekeeper,
     pub port: RecordingPort,
     pub timers: Vec<TimerTag>,
-    /// The ticks that came, one each 200 ms.
+    /// Number of ticks delivered, one per 200 ms.
     pub ticks: u64,
 }
 
-impl World {
-    /// A gatekeeper that has been told of so many warm workers, each in a zone of its own but the first two.
+impl Harness {
+    /// Creates a gatekeeper with warm workers. The first two share a zone; each other has its own.
     pub fn new(settings: &Settings, workers: u64) -> Self {
         let mut port = RecordingPort::default();
         let mut gatekeeper = Gatekeeper::new(at(0), 7, settings, &mut port);
         let list: Vec<WorkerInfo> = (0..workers).map(|n| worker_info(n, WorkerPhase::Ready)).collect();
         gatekeeper.on_worker_list(at(0), ListUpdate::Cached, &list);
-        World { gatekeeper, port, timers: Vec::new(), ticks: 0 }
+        Harness { gatekeeper, port, timers: Vec::new(), ticks: 0 }
     }
 
-    /// Time passes, and the gatekeeper's ticks come when they are due.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the clock and delivers the ticks that are due.
+    pub fn advance_to(&mut self, ms: u64) {
         while (self.ticks + 1) * 200 <= ms {
             self.ticks += 1;
             self.gatekeeper.on_timer(at(self.ticks * 200), TimerEvent::Tick.tag(), &mut self.port);
         }
-        self.outputs();
+        self.take_outputs();
     }
 
-    pub fn send(
+    pub fn send_request(
         &mut self,
         ms: u64,
         request_id: u32,
@@ -132,13 +132,13 @@
         units: f32,
         spread: f32,
     ) -> Vec<Output> {
-        self.pass(ms);
+        self.advance_to(ms);
         let request = request(ms, request_id, operation, plan, units, spread);
         self.gatekeeper.on_request(at(ms), &request, &mut self.port);
-        self.outputs()
+        self.take_outputs()
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         ms: u64,
         request_id: u32,
@@ -146,11 +146,11 @@
         worker: WorkerId,
         outcome: Outcome,
     ) -> Vec<Output> {
-        self.end_in(ms, request_id, attempt, worker, outcome, 50)
+        self.end_attempt_after(ms, request_id, attempt, worker, outcome, 50)
     }
 
-    /// The end of a attempt that took so long.
-    pub fn end_in(
+    /// Ends an attempt after `duration_ms`.
+    pub fn end_attempt_after(
         &mut self,
         ms: u64,
         request_id: u32,
@@ -159,7 +159,7 @@
         outcome: Outcome,
         duration_ms: u64,
     ) -> Vec<Output> {
-        self.pass(ms);
+        self.advance_to(ms);
         let report = AttemptReport {
             request_id: RequestId(request_id),
             attempt: AttemptNumber(attempt),
@@ -172,17 +172,17 @@
             load: &[],
         };
         self.gatekeeper.on_attempt_ended(at(ms), &report, &mut self.port);
-        self.outputs()
+        self.take_outputs()
     }
 
-    pub fn timer(&mut self, ms: u64, tag: TimerTag) -> Vec<Output> {
-        self.pass(ms);
+    pub fn fire_timer(&mut self, ms: u64, tag: TimerTag) -> Vec<Output> {
+        self.advance_to(ms);
         self.gatekeeper.on_timer(at(ms), tag, &mut self.port);
-        self.outputs()
+        self.take_outputs()
     }
 
-    /// What was said since; timers are kept apart.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    /// Returns the actions since the last call. Timers are moved to `timers`.
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         let (timers, outputs): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.port.0).into_iter().partition(|s| matches!(s, Output::Timer(..)));
         self.timers
@@ -191,7 +191,7 @@
     }
 }
 
-/// An request at that time, whose client waits for three seconds.
+/// A request at `ms` whose deadline is three seconds later.
 pub fn request(ms: u64, request_id: u32, operation: u8, plan: u16, units: f32, spread: f32) -> Request {
     Request {
         id: RequestId(request_id),
@@ -220,7 +220,7 @@
     outputs.iter().find_map(|s| if let Output::Attempt(_, w, _) = s { Some(*w) } else { None })
 }
 
-/// The tag of the report that is due for a tenant.
+/// Tag of a tenant's usage report timer.
 pub fn report_tag(tenant: u64) -> TimerTag {
     TimerEvent::UsageReport(TenantId(tenant)).tag()
 }
