--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,8 +1,8 @@
 //! Synchronous interface of the decision module. Network code asks the [`Dispatcher`] for decisions on
 //! requests, reports the outcomes of attempts, and executes the actions that are due.
 //!
-//! Calls do not block: a lock is held only while the decision module runs, never during I/O or a yield. A
-//! panic of the decision module ends the current request with an error and affects no other request.
+//! Calls return at once: a lock is held briefly, never during I/O or a yield. A panic of the decision module
+//! ends the current request with an error and affects no other request.
 //!
 //! - `dispatcher`: the entry points.
 //! - `outbox`: collects the actions of the decision module, and keeps its timers.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -99,7 +99,7 @@
         let plan = self.settings.plan(tenant.plan);
         tenant.is_report_due = false;
         let amount = tenant.unreported + tenant.shared.not_added;
-        // If calls are scarce, reports without usage are skipped and the rest are delayed by an interval.
+        // If calls are scarce, reports without usage are skipped and the rest are rescheduled.
         let rate = self.state.call_rate;
         let is_scarce = self.state.counter_calls.refill(now, rate, rate.max(1.0)) < 1.0;
         if is_scarce && amount == 0.0 {
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -39,7 +39,7 @@
 }
 
 impl Gatekeeper {
-    /// Draws two workers at random and picks the cheaper one (power of two choices); `None` if all are full.
+    /// Picks the cheaper of two workers drawn at random (power of two choices); `None` if none is available.
     pub(super) fn pick_worker(&mut self, now: Time, request: &OpenRequest) -> Option<WorkerId> {
         if self.is_at_concurrency_limit(now, request) {
             return None;
@@ -57,7 +57,7 @@
         let (unhealthy, healthy): (Vec<_>, Vec<_>) = eligible.partition(|(_, w)| is_unhealthy(w, work, now));
         // If no worker is healthy, the network is the more likely cause.
         let usable = if healthy.is_empty() { unhealthy } else { healthy };
-        // Excludes workers busier than the mean, which two random draws would sometimes select.
+        // Excludes workers costlier than the mean, which two random draws would sometimes select.
         let mean = usable.iter().map(|(_, worker)| worker.cost()).sum::<f64>() / usable.len().max(1) as f64;
         let up_to_mean = usable.into_iter().filter(|(_, worker)| worker.cost() <= mean * MAX_RELATIVE_COST);
         let candidate = |(id, worker): (&WorkerId, &Worker)| Candidate {
@@ -99,8 +99,7 @@
         drawn.or(candidates.last()).copied()
     }
 
-    /// Maximum number of attempts in flight: the adapted limit, but no less than the minimum of the warm
-    /// workers.
+    /// Maximum number of attempts in flight: the adapted limit, or the minimum of the warm workers if larger.
     fn concurrency_limit(&self, now: Time) -> f64 {
         let usable = self.workers.values().filter(|worker| !worker.is_draining);
         let warm = usable.map(|worker| worker.warm_fraction(now, &self.settings)).sum::<f64>();
