--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -227,10 +227,10 @@
                 let reply = self.append_reply(now, 0);
                 self.send(from, reply);
             }
-            Message::Append { term, round, last, state, committed, clock_echo, confirmed_ago } => {
+            Message::Append { term, round, last, state, committed, clock_echo, confirmed_ns_ago } => {
                 let appended = Appended { term, round, last, state, committed };
                 self.handle_append(now, from, appended);
-                if let Some(ago) = confirmed_ago.filter(|_| clock_echo > 0) {
+                if let Some(ago) = confirmed_ns_ago.filter(|_| clock_echo > 0) {
                     let at = Time::from_nanos(clock_echo.saturating_sub(ago));
                     self.on_leader_confirmed(at, committed);
                 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -102,9 +102,10 @@
         let (round, confirmed_at) = (leader.round, leader.confirmed_at);
         for ((to, contact), stored) in leader.contacts.iter_mut().zip(stored) {
             let state = contact.needs_state(stored, last, round).then(|| self.persistent.state.clone());
-            let (clock_echo, confirmed_ago) = contact.echo(confirmed_at);
-            let confirmed_ago = confirmed_ago.filter(|_| committed.term == term);
-            let message = Message::Append { term, round, last, state, committed, clock_echo, confirmed_ago };
+            let (clock_echo, confirmed_ns_ago) = contact.echo(confirmed_at);
+            let confirmed_ns_ago = confirmed_ns_ago.filter(|_| committed.term == term);
+            let message =
+                Message::Append { term, round, last, state, committed, clock_echo, confirmed_ns_ago };
             self.actions.push(Action::Send { to: *to, message });
         }
         if is_alone {
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -520,7 +520,7 @@
 /// Clocks and echoes are struck out: nothing about the configuration hangs on them. What is there already is not sent twice.
 fn send(way: &mut Vec<Parcel>, lane: usize, from: usize, to: usize, mut message: Message) {
     match &mut message {
-        Message::Append { clock_echo: echo, confirmed_ago: fresh, .. } => (*echo, *fresh) = (0, None),
+        Message::Append { clock_echo: echo, confirmed_ns_ago: fresh, .. } => (*echo, *fresh) = (0, None),
         Message::AppendReply { clock, .. } => *clock = 0,
         _ => {}
     }
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -144,7 +144,7 @@
     ) -> bool {
         let Some(proxy) = self.subscribers.proxy(id) else { return false };
         let is_changed = self.directory.on_heartbeat(received_at, proxy, heartbeat.readiness);
-        self.membership.on_heartbeat(received_at, &proxy.node, &proxy.zone, heartbeat.membership);
+        self.membership.on_heartbeat(received_at, &proxy.node, &proxy.zone, heartbeat.membership_revision);
         if is_changed && heartbeat.readiness == Readiness::ShuttingDown {
             self.publish_proxy_changes(now);
         }
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -204,7 +204,8 @@
         if let Some(held) = &heartbeat.held_shares {
             quotas.set_held_shares(&proxy.node, held);
         }
-        let report = UsageReport { usage: &heartbeat.usage, received_shares: heartbeat.received_shares };
+        let report =
+            UsageReport { usage: &heartbeat.usage, received_shares: heartbeat.received_shares_number };
         let blocked = quotas.report_usage(now, &proxy.node, &proxy.zone, &report, tenants);
         // A leader that has just begun has not been found by all proxies, and each would take too large a part.
         let counts = quotas.proxy_counts();
--- a/crates/controller/tests/cluster.rs
+++ b/crates/controller/tests/cluster.rs
@@ -170,11 +170,11 @@
 
     fn ping(&mut self, readiness: Readiness) {
         self.say(&ToController::Heartbeat(ProxyHeartbeat {
-            membership: 0,
+            membership_revision: 0,
             clock: 1,
             revision: 0,
             readiness,
-            received_shares: 0,
+            received_shares_number: 0,
             usage: Vec::new(),
             held_shares: None,
         }));
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -544,7 +544,7 @@
         state: Some(mut state),
         committed,
         clock_echo: echo,
-        confirmed_ago: fresh,
+        confirmed_ns_ago: fresh,
     } = message
     else {
         return message;
@@ -563,6 +563,6 @@
         state: Some(state),
         committed,
         clock_echo: echo,
-        confirmed_ago: fresh,
+        confirmed_ns_ago: fresh,
     }
 }
--- a/crates/protocol/src/consensus.rs
+++ b/crates/protocol/src/consensus.rs
@@ -83,7 +83,7 @@
         clock_echo: u64,
         /// How long before the arrival of that clock the leader was confirmed by a quorum, in nanoseconds.
         #[serde(rename = "fresh")]
-        confirmed_ago: Option<u64>,
+        confirmed_ns_ago: Option<u64>,
     },
     /// To the leader.
     AppendReply {
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -171,10 +171,10 @@
     pub readiness: Readiness,
     /// The number of the quota shares that it received last.
     #[serde(rename = "got")]
-    pub received_shares: u64,
+    pub received_shares_number: u64,
     /// The revision of the proxy membership that it has held for as long as a confirmation of one may be old; 0 for none.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub membership: u64,
+    #[serde(rename = "membership", default, skip_serializing_if = "is_zero")]
+    pub membership_revision: u64,
     /// Usage since the last report.
     #[serde(rename = "counts")]
     pub usage: Vec<TenantUsage>,
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -64,8 +64,8 @@
         clock: 123_456_789,
         revision: 4,
         readiness,
-        received_shares: 3,
-        membership: 0,
+        received_shares_number: 3,
+        membership_revision: 0,
         usage: vec![count],
         held_shares: holds,
     }
@@ -94,7 +94,7 @@
                 state: Some(state()),
                 committed: LogId { term: 4, index: 8 },
                 clock_echo: 99,
-                confirmed_ago: Some(7),
+                confirmed_ns_ago: Some(7),
             },
         ),
         ("append-reply", Message::AppendReply { term: 5, round: 6, stored: last, disk: 8, clock: 98 }),
@@ -114,7 +114,7 @@
         "to-controller-ping",
         &ToController::Heartbeat(ping(Readiness::Ready, Some(vec![("t".into(), 0.25)]))),
     );
-    let with_membership = ProxyHeartbeat { membership: 7, ..ping(Readiness::Ready, None) };
+    let with_membership = ProxyHeartbeat { membership_revision: 7, ..ping(Readiness::Ready, None) };
     check("to-controller-ping-membership", &ToController::Heartbeat(with_membership));
     check("to-controller-ping-stale", &ToController::Heartbeat(ping(Readiness::Stale, None)));
     check(
--- a/crates/proxy/src/control_connections.rs
+++ b/crates/proxy/src/control_connections.rs
@@ -167,8 +167,8 @@
             clock: now.nanos(),
             revision: contents.revision,
             readiness: contents.readiness,
-            membership: contents.membership,
-            received_shares: self.received_shares,
+            membership_revision: contents.membership,
+            received_shares_number: self.received_shares,
             usage,
             held_shares: if tells_shares { contents.held_shares.clone() } else { None },
         });
