--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -22,15 +22,15 @@
     /// The founding members.
     pub seeds: &'a [NodeAddress],
     /// The seed of the pseudo-random draws.
-    pub seed: u64,
+    pub rng_seed: u64,
     /// What the disk holds: None at a first start and after it was emptied; `bootstrap` tells one from the other.
     pub stored: Option<PersistentState>,
     /// The whole system starts for the first time.
     pub bootstrap: bool,
     /// How many disks may be lost at once. The target number of voters is twice that plus one.
-    pub tolerated: usize,
+    pub tolerated_disk_losses: usize,
     /// How long after its return a machine still counts as lost.
-    pub catch_up: Span,
+    pub catch_up_time: Span,
 }
 
 /// A graceful shutdown.
@@ -87,11 +87,11 @@
         };
         let mut consensus = Consensus {
             me: config.me,
-            seed: config.seed,
+            seed: config.rng_seed,
             draws: 0,
-            wanted_voters: 2 * config.tolerated + 1,
-            tolerated: config.tolerated,
-            voter_timeout: config.catch_up.times(membership::VOTER_TIMEOUT_PART),
+            wanted_voters: 2 * config.tolerated_disk_losses + 1,
+            tolerated: config.tolerated_disk_losses,
+            voter_timeout: config.catch_up_time.times(membership::VOTER_TIMEOUT_PART),
             synced: persistent.last,
             persistent,
             writes: 0,
@@ -311,7 +311,7 @@
     let mut voters: Vec<Member> = config.seeds.iter().map(|s| Member { node: *s, disk: 0 }).collect();
     voters.sort();
     voters.dedup();
-    let mut rng = Rng::new(config.seed);
+    let mut rng = Rng::new(config.rng_seed);
     let drawn = u64::from(rng.next_u32()) << 32 | u64::from(rng.next_u32()) | 1;
     let disk = if config.bootstrap { 0 } else { drawn };
     let state = ReplicatedState { voters, ..ReplicatedState::default() };
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -105,7 +105,7 @@
     /// A vote counts by the disk that gave it: an emptied disk, or one that was removed, has none.
     fn counts_vote_of(&self, from: &Member) -> bool {
         #[cfg(feature = "deliberate-faults")]
-        if self.has_fault(crate::Fault::AnyVoteCounts) {
+        if self.has_fault(crate::Fault::UncheckedVotes) {
             return true;
         }
         self.voters().contains(from)
--- a/crates/consensus/src/fault.rs
+++ b/crates/consensus/src/fault.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A learner counts towards what is committed.
-    LearnerCounts,
+    LearnersInCommitQuorum,
     /// A voter is exchanged for another in one change, its predecessor not committed first.
-    TwoAtOnce,
+    VoterReplacedInOneChange,
     /// Votes count whoever gives them, removed members and emptied disks too.
-    AnyVoteCounts,
+    UncheckedVotes,
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -101,7 +101,7 @@
         next.voters.push(learner);
         next.voters.sort();
         #[cfg(feature = "deliberate-faults")]
-        if self.has_fault(crate::Fault::TwoAtOnce)
+        if self.has_fault(crate::Fault::VoterReplacedInOneChange)
             && let Some(outgoing) = next.outgoing_voter
         {
             next = without_voter(&next, outgoing);
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -216,7 +216,7 @@
         let Role::Leader(leader) = &self.role else { return 0 };
         let has_copy = |m: &Member| leader.progress.get(m).is_some_and(|p| p.stored == position);
         #[cfg(feature = "deliberate-faults")]
-        if self.has_fault(crate::Fault::LearnerCounts) {
+        if self.has_fault(crate::Fault::LearnersInCommitQuorum) {
             return leader.progress.keys().filter(|m| has_copy(m)).count();
         }
         self.voters().iter().filter(|m| has_copy(m)).count()
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -295,15 +295,15 @@
     bootstrap: bool,
     births: u64,
 ) -> ConsensusConfig<'_> {
-    let catch_up = Span::from_nanos(2);
+    let catch_up_time = Span::from_nanos(2);
     ConsensusConfig {
         me: node(me),
         seeds,
-        seed: me as u64 + 1000 * births,
+        rng_seed: me as u64 + 1000 * births,
         stored: found,
         bootstrap,
-        tolerated: 1,
-        catch_up,
+        tolerated_disk_losses: 1,
+        catch_up_time,
     }
 }
 
@@ -748,12 +748,12 @@
 fn deliberate_faults_of_the_consensus_are_found() {
     let with = |fault, start, budget| Case { fault: Some(fault), ..case(start, 60, budget) };
     let exchange = Budget { rounds: 1, ..Budget::default() };
-    finds("LearnerCounts", with(Fault::LearnerCounts, Start::Newcomer, exchange), COPIES);
+    finds("LearnerCounts", with(Fault::LearnersInCommitQuorum, Start::Newcomer, exchange), COPIES);
     let election = Budget { campaigns: 1, ..exchange };
-    finds("TwoAtOnce", with(Fault::TwoAtOnce, Start::Newcomer, election), ONE_CHAIN);
+    finds("TwoAtOnce", with(Fault::VoterReplacedInOneChange, Start::Newcomer, election), ONE_CHAIN);
     let emptied = Budget { campaigns: 1, emptied: 1, ..Budget::default() };
-    finds("AnyVoteCounts", with(Fault::AnyVoteCounts, Start::Behind, emptied), VOTES);
-    finds("AnyVoteCounts", with(Fault::AnyVoteCounts, Start::Behind, emptied), KEPT);
+    finds("AnyVoteCounts", with(Fault::UncheckedVotes, Start::Behind, emptied), VOTES);
+    finds("AnyVoteCounts", with(Fault::UncheckedVotes, Start::Behind, emptied), KEPT);
 }
 
 #[test]
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -93,11 +93,11 @@
         let boot = ConsensusConfig {
             me: node(replica),
             seeds: &seeds,
-            seed: u64::from(self.rng.next_u32()),
+            rng_seed: u64::from(self.rng.next_u32()),
             stored: self.replicas[replica].disk.clone(),
             bootstrap,
-            tolerated: self.tolerated,
-            catch_up: Span::from_millis(4000),
+            tolerated_disk_losses: self.tolerated,
+            catch_up_time: Span::from_millis(4000),
         };
         self.replicas[replica].consensus = Some(Consensus::new(self.now, boot));
         self.act(replica);
@@ -523,15 +523,15 @@
 fn a_node_alone_does_not_lead() {
     let now = Time::from_nanos(1_000_000_000);
     let seeds: Vec<NodeAddress> = (0..3).map(node).collect();
-    let catch_up = Span::from_millis(4000);
+    let catch_up_time = Span::from_millis(4000);
     let boot = ConsensusConfig {
         me: node(0),
         seeds: &seeds,
-        seed: 7,
+        rng_seed: 7,
         stored: None,
         bootstrap: true,
-        tolerated: 1,
-        catch_up,
+        tolerated_disk_losses: 1,
+        catch_up_time,
     };
     let mut consensus = Consensus::new(now, boot);
     for ms in 0..5000 {
@@ -558,15 +558,15 @@
         },
         ..PersistentState::default()
     };
-    let (found, catch_up) = (Some(found), Span::from_millis(4000));
+    let (found, catch_up_time) = (Some(found), Span::from_millis(4000));
     let boot = ConsensusConfig {
         me: node(0),
         seeds: &seeds,
-        seed: 7,
+        rng_seed: 7,
         stored: found,
         bootstrap: false,
-        tolerated: 1,
-        catch_up,
+        tolerated_disk_losses: 1,
+        catch_up_time,
     };
     let mut consensus = Consensus::new(now, boot);
     let ask = Message::RequestVote { term: 3, last: LogId::default(), is_pre_vote: false };
--- a/crates/controller/src/inbound.rs
+++ b/crates/controller/src/inbound.rs
@@ -26,7 +26,7 @@
 
 /// Serves a new connection in a coroutine of its own.
 pub fn accept(controller: &Arc<Controller>, stream: TcpStream) {
-    let Ok(connection) = Connection::new(stream, transport::MAX_BUFFER) else { return };
+    let Ok(connection) = Connection::new(stream, transport::MAX_BUFFER_LEN) else { return };
     let connection = Arc::new(connection);
     transport::limit_unacknowledged(&connection);
     let (controller, served) = (controller.clone(), connection.clone());
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -98,11 +98,11 @@
     let config = ConsensusConfig {
         me,
         seeds: &settings.seeds,
-        seed: now.nanos() ^ u64::from(me.port()) << 48 ^ fnv1a(FNV_OFFSET, &settings.node),
+        rng_seed: now.nanos() ^ u64::from(me.port()) << 48 ^ fnv1a(FNV_OFFSET, &settings.node),
         stored,
         bootstrap,
-        tolerated: settings.tolerated,
-        catch_up: settings.bounds.catch_up,
+        tolerated_disk_losses: settings.tolerated,
+        catch_up_time: settings.bounds.catch_up,
     };
     Ok(ControllerState {
         me,
--- a/crates/emulator/src/core/deliberate.rs
+++ b/crates/emulator/src/core/deliberate.rs
@@ -57,9 +57,9 @@
     #[cfg(feature = "deliberate-faults")]
     pub(crate) fn in_room(self) -> Option<Fault> {
         match self {
-            Deliberate::LearnerCounts => Some(Fault::LearnerCounts),
-            Deliberate::TwoAtOnce => Some(Fault::TwoAtOnce),
-            Deliberate::RemovedVotes => Some(Fault::AnyVoteCounts),
+            Deliberate::LearnerCounts => Some(Fault::LearnersInCommitQuorum),
+            Deliberate::TwoAtOnce => Some(Fault::VoterReplacedInOneChange),
+            Deliberate::RemovedVotes => Some(Fault::UncheckedVotes),
             _ => None,
         }
     }
--- a/crates/emulator/src/core/world/machines.rs
+++ b/crates/emulator/src/core/world/machines.rs
@@ -24,11 +24,11 @@
             let boot = ConsensusConfig {
                 me: address(machine),
                 seeds: &m.seeds,
-                seed,
+                rng_seed: seed,
                 stored: found,
                 bootstrap,
-                tolerated: self.tolerated,
-                catch_up: CATCH_UP,
+                tolerated_disk_losses: self.tolerated,
+                catch_up_time: CATCH_UP,
             };
             let controller = Controller::start(now, boot, &m.disk.instances, BEAT, self.fault);
             m.process = Some(Process::Controller(Box::new(controller)));
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -117,7 +117,7 @@
 fn serve(proxy: &Arc<Proxy>, connection: &Arc<Connection>) {
     let mut heard_at = proxy.alarms.now();
     proxy.alarms.wake_connection(heard_at + ACKNOWLEDGEMENT_TIMEOUT, connection);
-    transport::read_while(connection, |message: Option<ToProxy>| {
+    transport::read_with_wakeups(connection, |message: Option<ToProxy>| {
         let now = proxy.alarms.now();
         let Some(message) = message else { return now - heard_at < ACKNOWLEDGEMENT_TIMEOUT };
         heard_at = now;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -14,14 +14,14 @@
 use serde::de::DeserializeOwned;
 
 /// The buffer of one direction, in bytes: it holds the longest frame.
-pub const MAX_BUFFER: usize = frames::MAX_FRAME_LEN + 4;
+pub const MAX_BUFFER_LEN: usize = frames::MAX_FRAME_LEN + 4;
 /// A connection ends if bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// Opens a connection; None where that fails or takes longer than `timeout`. The time-out should be little more than the
 /// longest round trip: a lost opening packet is repeated after seconds only.
 pub fn connect(alarms: &Alarms, to: SocketAddr, timeout: Span) -> Option<Arc<Connection>> {
-    let connection = Arc::new(Connection::open(to, MAX_BUFFER).ok()?);
+    let connection = Arc::new(Connection::open(to, MAX_BUFFER_LEN).ok()?);
     let deadline = alarms.now() + timeout;
     alarms.wake_connection(deadline, &connection);
     if connection.wait_connected_until(|| alarms.now() >= deadline).is_err() {
@@ -91,11 +91,14 @@
 
 /// Reads messages until the connection ends or `handle` returns false.
 pub fn read<T: DeserializeOwned>(connection: &Connection, mut handle: impl FnMut(T) -> bool) {
-    read_while(connection, |message: Option<T>| message.is_none_or(&mut handle));
+    read_with_wakeups(connection, |message: Option<T>| message.is_none_or(&mut handle));
 }
 
 /// The same, where `handle` is also called with None at each wake-up, before what arrived is decoded.
-pub fn read_while<T: DeserializeOwned>(connection: &Connection, mut handle: impl FnMut(Option<T>) -> bool) {
+pub fn read_with_wakeups<T: DeserializeOwned>(
+    connection: &Connection,
+    mut handle: impl FnMut(Option<T>) -> bool,
+) {
     loop {
         if connection.read() != ReadOutcome::Bytes || !handle(None) {
             return;
