--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks its caller to do, and what it asks it to keep on disk.
+//! Actions that the state machine returns to its caller, and the state that the caller stores on disk.
 
 use lynxstair::types::Time;
 use lynxstair_protocol::consensus::{LogId, Message, ReplicatedState};
@@ -7,84 +7,86 @@
 
 use crate::NodeAddress;
 
-/// What a node keeps on its disk, all of it in one write. Its field names lie on disks.
+/// Raft state stored on disk, replaced as a whole by each write. The field names are part of the stored
+/// format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// The identity of the disk, drawn when it was first written; 0 on a founding member's. An emptied disk comes back
-    /// with another one.
+    /// Random identity of the disk, generated when the disk is first written; 0 on a founding member. An
+    /// emptied disk gets a new identity.
     pub disk: u64,
     /// The current term.
     pub term: u64,
-    /// Who got this disk's vote in the term.
+    /// Candidate that this disk voted for in the current term.
     pub vote: Option<NodeAddress>,
-    /// The position of the newest state.
+    /// Position of the newest state.
     pub last: LogId,
-    /// The newest state, committed or not.
+    /// Newest state, which may be uncommitted.
     pub state: ReplicatedState,
 }
 
-/// What the caller is to do, in order.
+/// Action for the caller; actions are performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write and sync; then call `on_persisted` with the number. A later write replaces one that has not begun.
+    /// Write the state, sync it, then call `on_persisted` with the number. A write that has not started may
+    /// be skipped in favour of a later one.
     Persist {
-        /// Rises with each write.
+        /// Sequence number of the write.
         number: u64,
-        /// What to write.
+        /// State to write.
         state: PersistentState,
     },
-    /// Send now.
+    /// Send a message without waiting for pending writes.
     Send {
-        /// To whom.
+        /// Recipient.
         to: NodeAddress,
-        /// What.
+        /// Message to send.
         message: Message,
     },
-    /// This configuration is committed.
+    /// A configuration is committed.
     Committed {
-        /// Where it stands in the order of all states.
+        /// Position of the committed state.
         position: LogId,
-        /// The configuration store, encoded.
+        /// Encoded configuration store.
         config: Bytes,
     },
-    /// A proposal is not pending any more.
+    /// A proposal is no longer pending.
     ProposalDone {
-        /// As `propose` returned it.
+        /// Number returned by `propose`.
         number: u64,
-        /// What became of it.
+        /// Outcome of the proposal.
         outcome: RequestOutcome,
     },
-    /// A read is not pending any more.
+    /// A read is no longer pending.
     ReadDone {
-        /// As `request_read` returned it.
+        /// Number returned by `request_read`.
         number: u64,
-        /// Whether it may be answered by what is committed here now.
+        /// `Confirmed` if the read may be served from the state that is committed on this node now.
         outcome: RequestOutcome,
     },
 }
 
-/// What became of a proposal or a read.
+/// Outcome of a proposal or a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A quorum has confirmed it: a proposal is committed, a read is linearizable.
+    /// Confirmed by a quorum: the proposal is committed, or the read is linearizable.
     Confirmed,
-    /// This node can't tell any more: a proposal may be committed later, or never.
+    /// This node stopped leading first. The proposal may still be committed later, or never.
     Unknown,
 }
 
-/// A message and whom it goes to.
+/// Message with its recipient.
 #[derive(Clone, Debug)]
 pub(crate) struct Envelope {
     pub to: NodeAddress,
     pub message: Message,
 }
 
-/// A write that is not known to be synced, and the messages that wait for it: a vote or an acknowledgement that left
-/// before its sync could be forgotten by a loss of power.
+/// Write that is not yet reported as synced, with the messages held back until then. A vote or an
+/// acknowledgement sent before the sync could be lost on power failure.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub number: u64,
     pub last: LogId,
-    pub since: Time,
+    pub requested_at: Time,
     pub messages: Vec<Envelope>,
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,4 +1,4 @@
-//! The state machine: what it holds, its entry points, and the dispatch of messages.
+//! The state machine: its fields, entry points and message dispatch.
 
 use std::collections::VecDeque;
 
@@ -7,102 +7,106 @@
 use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
 
 use crate::action::{Action, Envelope, PendingWrite, PersistentState};
-use crate::replication::Appended;
+use crate::replication::AppendRequest;
 use crate::role::Role;
 use crate::{NodeAddress, membership, read_index, replication};
 
-/// Mixed into the seed with each draw, so that draws are independent of each other (the golden ratio, in 64 bits).
+/// Multiplied by the number of draws and combined with the seed, so that each draw has a seed of its own
+/// (2^64 divided by the golden ratio).
 const DRAW_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What a node starts from.
+/// Start-up parameters of a node.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig<'a> {
-    /// This node.
+    /// Address of this node.
     pub me: NodeAddress,
-    /// The founding members.
+    /// Addresses of the founding members.
     pub seeds: &'a [NodeAddress],
-    /// The seed of the pseudo-random draws.
+    /// Seed of the pseudo-random number generator.
     pub rng_seed: u64,
-    /// What the disk holds: None at a first start and after it was emptied; `bootstrap` tells one from the other.
+    /// State read from the disk; `None` if the disk is empty, at the first start or after the loss of its
+    /// data.
     pub stored: Option<PersistentState>,
-    /// The whole system starts for the first time.
+    /// `true` at the first start of the whole system: a node with an empty disk is then a founding member.
     pub bootstrap: bool,
-    /// How many disks may be lost at once. The target number of voters is twice that plus one.
+    /// Number of disks that may be lost at once. The target number of voters is twice this number plus one.
     pub tolerated_disk_losses: usize,
-    /// How long after its return a machine still counts as lost.
+    /// Time after the return of a machine during which it still counts as lost.
     pub catch_up_time: Span,
 }
 
-/// A graceful shutdown.
+/// Graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    pub since: Time,
-    /// When the leader was last asked for a replacement.
-    pub asked_at: Time,
+    pub began_at: Time,
+    /// Time at which a leave request was last due. It is sent only if the leader is known.
+    pub last_request_at: Time,
 }
 
-/// One node's part in the consensus.
+/// Consensus state machine of one node.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     pub(crate) me: NodeAddress,
-    /// The seed of the draws, and how many were made: a cloned state machine continues on its own.
+    /// Seed of the random numbers, and the number drawn so far. A clone continues the same sequence
+    /// independently.
     seed: u64,
     draws: u64,
-    /// The target number of voters.
-    pub(crate) wanted_voters: usize,
-    pub(crate) tolerated: usize,
-    /// A voter that has been silent for this long is replaced if a learner is waiting.
+    /// Target number of voters.
+    pub(crate) target_voters: usize,
+    pub(crate) tolerated_disk_losses: usize,
+    /// Time without a reply after which a voter is replaced if a learner can take its place.
     pub(crate) voter_timeout: Span,
     pub(crate) persistent: PersistentState,
-    /// The position up to which it is known to be synced.
+    /// Newest position that is known to be synced on this node's disk.
     pub(crate) synced: LogId,
-    writes: u64,
+    write_count: u64,
     pub(crate) pending_writes: VecDeque<PendingWrite>,
     pub(crate) committed: LogId,
     pub(crate) role: Role,
     pub(crate) election_timeout: Span,
-    /// On a follower, by its own clock: when the leader was last confirmed by a quorum with `committed` as the newest
-    /// position.
+    /// On a follower: latest time, on its own clock, at which the leader was confirmed by a quorum with
+    /// `committed` as the newest committed position.
     pub(crate) confirmed_at: Option<Time>,
-    /// On a follower: when a leader in contact with a quorum had last heard this node.
+    /// On a follower: latest time, on its own clock, at which a leader that has received a reply of this
+    /// node was confirmed by a quorum.
     pub(crate) quorum_contact_at: Option<Time>,
-    requests: u64,
-    /// This node has heard a leader, or led, since its start.
-    pub(crate) has_heard_leader: bool,
-    /// This node shuts down.
+    request_count: u64,
+    /// `true` once this node has received a message from a leader or has led since its start.
+    pub(crate) has_seen_leader: bool,
+    /// Set while this node shuts down.
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) actions: Vec<Action>,
-    /// What tests leave out.
+    /// Safety rule that a test disables.
     #[cfg(feature = "deliberate-faults")]
     pub fault: Option<crate::Fault>,
 }
 
 impl Consensus {
-    /// Starts a node by what its disk holds, or as a founding or an empty one.
+    /// Creates a node from its stored state, or from an empty disk as a founding or a new member.
     pub fn new(now: Time, config: ConsensusConfig) -> Consensus {
         let is_new = config.stored.is_none();
         let persistent = match config.stored {
             Some(stored) => stored,
-            None => first_state(&config),
+            None => initial_state(&config),
         };
         let mut consensus = Consensus {
             me: config.me,
             seed: config.rng_seed,
             draws: 0,
-            wanted_voters: 2 * config.tolerated_disk_losses + 1,
-            tolerated: config.tolerated_disk_losses,
-            voter_timeout: config.catch_up_time.times(membership::VOTER_TIMEOUT_PART),
+            target_voters: 2 * config.tolerated_disk_losses + 1,
+            tolerated_disk_losses: config.tolerated_disk_losses,
+            voter_timeout: config.catch_up_time.times(membership::VOTER_TIMEOUT_FRACTION),
             synced: persistent.last,
             persistent,
-            writes: 0,
+            write_count: 0,
             pending_writes: VecDeque::new(),
             committed: LogId::default(),
-            role: Role::Follower { leader: None, heard_at: now },
+            role: Role::Follower { leader: None, last_contact_at: now },
             election_timeout: Span::ZERO,
             confirmed_at: None,
             quorum_contact_at: None,
-            requests: 0,
-            has_heard_leader: false,
+            request_count: 0,
+            has_seen_leader: false,
             shutdown: None,
             actions: Vec::new(),
             #[cfg(feature = "deliberate-faults")]
@@ -117,22 +121,22 @@
 
     // ---- queries ----
 
-    /// Who votes, as stored here last.
+    /// Returns the voters of the newest stored state, committed or not.
     pub fn voters(&self) -> &[Member] {
         &self.persistent.state.voters
     }
 
-    /// The voter that is about to be removed, as its successor votes already.
+    /// Returns the voter whose successor already votes and which the next membership change removes.
     pub fn outgoing_voter(&self) -> Option<Member> {
         self.persistent.state.outgoing_voter
     }
 
-    /// Whether this node votes, by the disk that it has now.
+    /// Returns `true` if this node is a voter with its current disk.
     pub fn is_voter(&self) -> bool {
         self.voters().contains(&self.own_member())
     }
 
-    /// The leader of the current term, as far as it is known.
+    /// Returns the leader of the current term if it is known.
     pub fn leader(&self) -> Option<NodeAddress> {
         match &self.role {
             Role::Follower { leader, .. } => *leader,
@@ -141,40 +145,40 @@
         }
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.persistent.term
     }
 
-    /// The newest committed position that is known here.
+    /// Returns the newest position that this node knows to be committed.
     pub fn committed(&self) -> LogId {
         self.committed
     }
 
-    /// Whether this node leads and the state that it began its term with is committed: only then may it propose and
-    /// serve reads (Raft, section 8).
+    /// Returns `true` if this node leads and has committed a state in its term. Only then may it propose
+    /// and serve reads (Raft, section 8).
     pub fn is_established_leader(&self) -> bool {
         matches!(&self.role, Role::Leader(_)) && self.committed.term == self.persistent.term
     }
 
-    /// Whether this node leads and its newest state is not committed yet.
+    /// Returns `true` if this node leads and its newest state is not yet committed.
     pub fn has_uncommitted(&self) -> bool {
         matches!(&self.role, Role::Leader(_)) && self.committed < self.persistent.last
     }
 
-    /// When `tick` has something to do.
+    /// Returns the time at which `tick` is next due.
     pub fn next_due(&self) -> Time {
         match &self.role {
-            Role::Follower { heard_at, .. } => {
-                let campaign = *heard_at + self.election_timeout;
-                let request = |shutdown: Shutdown| shutdown.asked_at + replication::HEARTBEAT_INTERVAL;
+            Role::Follower { last_contact_at, .. } => {
+                let campaign = *last_contact_at + self.election_timeout;
+                let request = |shutdown: Shutdown| shutdown.last_request_at + replication::HEARTBEAT_INTERVAL;
                 self.shutdown.map_or(campaign, |shutdown| campaign.min(request(shutdown)))
             }
             Role::PreCandidate { since, .. } | Role::Candidate { since, .. } => {
                 *since + self.election_timeout
             }
             Role::Leader(leader) => {
-                let interval = if leader.round_wanted {
+                let interval = if leader.round_requested {
                     read_index::READ_BATCH_INTERVAL
                 } else {
                     replication::HEARTBEAT_INTERVAL
@@ -185,21 +189,21 @@
         }
     }
 
-    /// What the caller is to do, in order.
+    /// Removes and returns the pending actions, in the order in which the caller must perform them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
     // ---- events ----
 
-    /// Time has passed.
+    /// Runs the timers that are due: elections, heartbeat rounds, periodic checks and leave requests.
     pub fn tick(&mut self, now: Time) {
         if now < self.next_due() {
             return;
         }
         match &self.role {
             Role::Leader(_) => self.tick_leader(now),
-            Role::Follower { heard_at, .. } if now < *heard_at + self.election_timeout => {
+            Role::Follower { last_contact_at, .. } if now < *last_contact_at + self.election_timeout => {
                 self.send_leave_request(now);
             }
             _ if self.shutdown.is_some() || !self.is_voter() => {
@@ -210,7 +214,7 @@
         }
     }
 
-    /// A message has arrived.
+    /// Handles a message from another node.
     pub fn handle_message(&mut self, now: Time, from: NodeAddress, message: Message) {
         match message {
             Message::RequestVote { term, last, is_pre_vote: true } => {
@@ -223,13 +227,13 @@
                 self.handle_vote_reply(now, Member { node: from, disk }, term, granted, is_pre_vote);
             }
             Message::Append { term, .. } if term < self.persistent.term => {
-                // A deposed leader learns of the later term from this.
+                // The reply carries the later term, so that a deposed leader steps down.
                 let reply = self.append_reply(now, 0);
                 self.send(from, reply);
             }
             Message::Append { term, round, last, state, committed, clock_echo, confirmed_ns_ago } => {
-                let appended = Appended { term, round, last, state, committed };
-                self.handle_append(now, from, appended);
+                let request = AppendRequest { term, round, last, state, committed };
+                self.handle_append(now, from, request);
                 if let Some(ago) = confirmed_ns_ago.filter(|_| clock_echo > 0) {
                     let at = Time::from_nanos(clock_echo.saturating_sub(ago));
                     self.on_leader_confirmed(at, committed);
@@ -250,7 +254,8 @@
         }
     }
 
-    /// The write with this number, and all before it, are synced.
+    /// Records that the write with this number and all earlier writes are synced, and releases their
+    /// messages.
     pub fn on_persisted(&mut self, now: Time, number: u64) {
         while let Some(write) = self.pending_writes.pop_front_if(|w| w.number <= number) {
             self.synced = self.synced.max(write.last);
@@ -262,8 +267,8 @@
 
     // ---- shared by the modules of this package ----
 
-    /// A pseudo-random number from 0 to 1.
-    pub(crate) fn draw(&mut self) -> f64 {
+    /// Returns a pseudo-random number in [0, 1).
+    pub(crate) fn random_fraction(&mut self) -> f64 {
         self.draws += 1;
         Rng::new(self.seed ^ self.draws.wrapping_mul(DRAW_STRIDE)).next_f64()
     }
@@ -281,22 +286,27 @@
         self.voters().len() / 2 + 1
     }
 
-    /// The number of a new proposal or read.
+    /// Returns the number of a new proposal or read.
     pub(crate) fn next_request(&mut self) -> u64 {
-        self.requests += 1;
-        self.requests
+        self.request_count += 1;
+        self.request_count
     }
 
     pub(crate) fn send(&mut self, to: NodeAddress, message: Message) {
         self.actions.push(Action::Send { to, message });
     }
 
-    /// Has the persistent state written; the messages leave once it is synced.
+    /// Requests a write of the persistent state; `messages` are sent once it is synced.
     pub(crate) fn persist(&mut self, now: Time, messages: Vec<Envelope>) {
-        self.writes += 1;
+        self.write_count += 1;
         let last = self.persistent.last;
-        self.pending_writes.push_back(PendingWrite { number: self.writes, last, since: now, messages });
-        self.actions.push(Action::Persist { number: self.writes, state: self.persistent.clone() });
+        self.pending_writes.push_back(PendingWrite {
+            number: self.write_count,
+            last,
+            requested_at: now,
+            messages,
+        });
+        self.actions.push(Action::Persist { number: self.write_count, state: self.persistent.clone() });
     }
 
     #[cfg(feature = "deliberate-faults")]
@@ -305,9 +315,10 @@
     }
 }
 
-/// The state of a node whose disk holds nothing: the seeds vote. Only at the first start of the system does it vote
-/// itself, by the identity 0 that all founders share; else it has forgotten its votes and is another member.
-fn first_state(config: &ConsensusConfig) -> PersistentState {
+/// Returns the state of a node with an empty disk, in which the seeds vote. With `bootstrap` the disk gets
+/// the identity 0 of a founding member. Otherwise it gets a random identity without a vote, as its earlier
+/// votes may be lost.
+fn initial_state(config: &ConsensusConfig) -> PersistentState {
     let mut voters: Vec<Member> = config.seeds.iter().map(|s| Member { node: *s, disk: 0 }).collect();
     voters.sort();
     voters.dedup();
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,5 +1,7 @@
-//! Elections (Raft, section 5.2 and 5.4): one leader a term, elected by a majority of the voters stored last, and only if
-//! it has stored as much as each of that majority. Leadership transfer (Ongaro's thesis, section 3.10).
+//! Elections (Raft, sections 5.2 and 5.4) and leadership transfer (Ongaro's thesis, section 3.10).
+//!
+//! A candidate needs votes from a majority of the voters in its newest stored state. A voter grants its
+//! vote only to a candidate whose state is at least as new as its own, and to one candidate per term.
 
 use lynxstair::types::Time;
 use lynxstair_protocol::consensus::{LogId, Member, Message};
@@ -9,8 +11,8 @@
 use crate::{Consensus, NodeAddress};
 
 impl Consensus {
-    /// Asks whether a campaign could succeed, so that a node that was partitioned off does not depose a working leader
-    /// (Ongaro's thesis, section 9.6).
+    /// Starts a pre-vote, which does not increase the term, so that a node returning from a partition does
+    /// not depose a working leader (Ongaro's thesis, section 9.6).
     pub(crate) fn start_pre_vote(&mut self, now: Time) {
         let requests = self.vote_requests(true);
         self.set_role(Role::PreCandidate { votes: Vec::new(), since: now });
@@ -20,13 +22,14 @@
         self.check_election(now);
     }
 
-    /// Enters the next term and asks for votes.
+    /// Enters the next term as a candidate and requests votes.
     pub(crate) fn start_election(&mut self, now: Time) {
         let requests = self.vote_requests(false);
         self.persistent.term += 1;
         self.persistent.vote = Some(self.me);
         self.set_role(Role::Candidate { votes: Vec::new(), since: now });
-        // Its own vote is synced before it asks for others': after a loss of power it could vote twice.
+        // The requests are sent after the candidate's own vote is synced: it could otherwise vote twice in
+        // the term after a power failure.
         self.persist(now, requests);
         self.check_election(now);
     }
@@ -38,24 +41,25 @@
         to.map(|to| Envelope { to, message: message.clone() }).collect()
     }
 
-    /// A node that hears a leader has no use for another. The reply promises nothing.
+    /// Rejects a pre-vote while there is a current leader. A granted pre-vote does not bind the voter.
     pub(crate) fn handle_pre_vote(&mut self, now: Time, from: NodeAddress, term: u64, last: LogId) {
-        let hears_leader = match &self.role {
-            Role::Follower { leader: Some(_), heard_at } => now - *heard_at < ELECTION_TIMEOUT,
+        let has_current_leader = match &self.role {
+            Role::Follower { leader: Some(_), last_contact_at } => now - *last_contact_at < ELECTION_TIMEOUT,
             Role::Leader(leader) => now - leader.confirmed_at < ELECTION_TIMEOUT,
             _ => false,
         };
-        let granted = !hears_leader && term > self.persistent.term && last >= self.persistent.last;
-        // A node that is behind learns the term from a refusal: asking in an old one, it would be refused for ever.
+        let granted = !has_current_leader && term > self.persistent.term && last >= self.persistent.last;
+        // A rejection carries this node's term: the sender would otherwise repeat its request in an old
+        // term forever.
         let term = if granted { term } else { self.persistent.term };
         let disk = self.persistent.disk;
         self.send(from, Message::VoteReply { term, granted, is_pre_vote: true, disk });
     }
 
     pub(crate) fn handle_vote_request(&mut self, now: Time, from: NodeAddress, term: u64, last: LogId) {
-        let is_late = term < self.persistent.term;
+        let is_stale_term = term < self.persistent.term;
         let has_voted = term == self.persistent.term && self.persistent.vote.is_some_and(|v| v != from);
-        let granted = !is_late && !has_voted && last >= self.persistent.last;
+        let granted = !is_stale_term && !has_voted && last >= self.persistent.last;
         let disk = self.persistent.disk;
         let reply = Message::VoteReply { term, granted, is_pre_vote: false, disk };
         if !granted {
@@ -69,10 +73,10 @@
         }
         self.persistent.term = term;
         self.persistent.vote = Some(from);
-        if let Role::Follower { heard_at, .. } = &mut self.role {
-            *heard_at = now;
+        if let Role::Follower { last_contact_at, .. } = &mut self.role {
+            *last_contact_at = now;
         }
-        // A vote leaves once it is synced, also one that is given again: its first write may still be pending.
+        // The reply waits for the sync even if the vote is repeated: the first write may still be pending.
         self.persist(now, vec![Envelope { to: from, message: reply }]);
     }
 
@@ -102,7 +106,7 @@
         }
     }
 
-    /// A vote counts by the disk that gave it: an emptied disk, or one that was removed, has none.
+    /// Returns `true` if the disk that voted is a voter. A removed member or an emptied disk is not.
     fn counts_vote_of(&self, from: &Member) -> bool {
         #[cfg(feature = "deliberate-faults")]
         if self.has_fault(crate::Fault::UncheckedVotes) {
@@ -111,7 +115,8 @@
         self.voters().contains(from)
     }
 
-    /// Goes on to the next stage once a majority, this node included, agrees.
+    /// Starts the election or becomes leader once a majority, this node included, has granted its
+    /// (pre-)votes.
     fn check_election(&mut self, now: Time) {
         let majority = self.majority();
         match &self.role {
@@ -122,16 +127,17 @@
     }
 
     fn become_leader(&mut self, now: Time) {
-        self.has_heard_leader = true;
+        self.has_seen_leader = true;
         self.set_role(Role::Leader(LeaderState::new(now, &self.other_voters())));
-        // The newest stored state is written anew in this term: only then does it count (Raft, section 5.4.2).
+        // The newest stored state is written again in the new term: only a state of the current term is
+        // committed by counting copies (Raft, section 5.4.2).
         let state = self.persistent.state.clone();
         self.append_state(now, state);
         self.start_round(now);
     }
 
-    /// A leader that shuts down, or whose place as a voter another has taken, has the voter that holds everything
-    /// campaign at once, as soon as nothing of its own is uncommitted.
+    /// Transfers leadership if this leader shuts down or is the outgoing voter, and has no uncommitted
+    /// state. The new leader is an up-to-date voter that replied within the election time-out.
     pub(crate) fn transfer_leadership(&mut self, now: Time) {
         let Role::Leader(leader) = &self.role else { return };
         let is_outgoing = self.outgoing_voter() == Some(self.own_member());
@@ -140,10 +146,10 @@
         }
         let candidate = |member: &Member| {
             let progress = leader.progress.get(member)?;
-            let is_fit = progress.stored == self.persistent.last
+            let is_eligible = progress.stored == self.persistent.last
                 && progress.leave_requested_at.is_none()
-                && now - progress.heard_at < ELECTION_TIMEOUT;
-            is_fit.then_some((progress.round, member.node))
+                && now - progress.last_contact_at < ELECTION_TIMEOUT;
+            is_eligible.then_some((progress.round, member.node))
         };
         let Some((_, to)) = self.voters().iter().filter_map(candidate).max() else { return };
         self.send(to, Message::TimeoutNow { term: self.persistent.term });
--- a/crates/consensus/src/fault.rs
+++ b/crates/consensus/src/fault.rs
@@ -1,12 +1,14 @@
-//! Faults that tests put into the state machine, to see that their checks find them. Not in any program.
+//! Faults that tests inject into the state machine to verify that their checks detect them. Compiled only
+//! with the `deliberate-faults` feature, which no program enables.
 
-/// A safety measure that is left out.
+/// Safety rule that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A learner counts towards what is committed.
+    /// Acknowledgements of learners count towards the commit quorum.
     LearnersInCommitQuorum,
-    /// A voter is exchanged for another in one change, its predecessor not committed first.
+    /// A voter is added and its predecessor removed in a single change, instead of two committed one after
+    /// the other.
     VoterReplacedInOneChange,
-    /// Votes count whoever gives them, removed members and emptied disks too.
+    /// Votes of removed members and of emptied disks count in elections.
     UncheckedVotes,
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,23 +1,24 @@
-//! Consensus on one replicated state, without I/O, clock or thread.
+//! Raft consensus on a single replicated state, as a state machine without I/O, clocks or threads.
 //!
-//! Contract: the caller tells the state machine the time and what arrived, and performs the [`Action`]s that
-//! [`Consensus::take_actions`] returns, in order. A state is committed once it is synced on the disks of a majority of the
-//! voters. What the state means is not known here. `lynxstair-controller` runs this on sockets and disks, the emulator on
-//! a virtual clock, `tests/model.rs` under a model checker.
+//! The caller passes in the current time and each event, and performs the [`Action`]s returned by
+//! [`Consensus::take_actions`] in order. A state is committed once it is synced on the disks of a majority
+//! of the voters. The configuration in the state is opaque to this crate. `lynxstair-controller` runs the
+//! state machine on sockets and disks, the emulator on a virtual clock, and `tests/model.rs` under a model
+//! checker.
 //!
-//! The protocol is Raft (Ongaro, Ousterhout: In Search of an Understandable Consensus Algorithm, 2014), with one
-//! difference: each state replaces the one before it, so there is no log of entries to replay. The newest stored state,
-//! by the term it was written in and then its index, is what a new leader continues from, and is at the same time the
-//! snapshot that a lagging member receives.
+//! The protocol is Raft (Ongaro, Ousterhout: In Search of an Understandable Consensus Algorithm, 2014) with
+//! one difference: each state replaces its predecessor, so there is no log of entries to replay. A new
+//! leader continues from its newest stored state, ordered by term and then index. The same state is the
+//! snapshot for a lagging member.
 //!
 //! - `consensus`: the state machine and its entry points.
-//! - `role`, `progress`: what a node is, and what a leader knows of the others.
+//! - `role`, `progress`: the role of a node, and a leader's view of its peers.
 //! - `election`: terms, pre-votes, votes, leadership transfer.
-//! - `replication`: heartbeat rounds, what is stored where, what is committed.
-//! - `read_index`: linearizable reads, and contact with a quorum.
-//! - `membership`: learners, voters, who is removed and when.
+//! - `replication`: heartbeat rounds, acknowledgements, the commit position.
+//! - `read_index`: linearizable reads and quorum contact.
+//! - `membership`: learners, voters, voter replacement, graceful shutdown.
 //!
-//! `docs/design/consensus.md` says why this is safe and what it assumes.
+//! `docs/design/consensus.md` describes the safety argument and its assumptions.
 #![forbid(unsafe_code)]
 
 mod action;
@@ -40,5 +41,5 @@
 pub use membership::MAX_LEARNERS;
 pub use read_index::QUORUM_CONTACT_TIMEOUT;
 
-/// A node is named by its control address.
+/// Control address of a node, which identifies it in the protocol.
 pub type NodeAddress = SocketAddr;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,10 +1,12 @@
-//! Membership: who votes. A newcomer is a learner: it receives what is stored and counts for nothing. The leader promotes
-//! it to a voter once it holds everything and there is a place for it; whoever it replaces is removed in a change of its
-//! own. Each change concerns one disk and is committed before the next, so that the majorities before and after have a
-//! voter in common (Ongaro's thesis, section 4.1).
+//! Membership changes and graceful shutdown.
 //!
-//! Nobody tells who is gone for good. It is concluded: from a leave request, as far as the one that shuts down can send it;
-//! from silence while a learner that holds everything waits; from another disk that answers at a voter's address.
+//! A new node starts as a learner: it receives the state and counts in no quorum. The leader promotes an
+//! up-to-date learner to a voter if there are too few voters or one has to be replaced; the replaced voter
+//! is removed in a separate change. Each change adds or removes one member and is committed before the
+//! next, so that the majorities before and after have a voter in common (Ongaro's thesis, section 4.1).
+//!
+//! A voter is replaced if it sends a leave request, or if it is unresponsive while an up-to-date learner is
+//! available. It is removed if a different disk answers at its address.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::{Member, Message, ReplicatedState};
@@ -15,25 +17,26 @@
 use crate::role::{LeaderState, Role};
 use crate::{Consensus, NodeAddress};
 
-/// The leader sends to no more learners than this.
+/// Largest number of learners that the leader replicates to.
 pub const MAX_LEARNERS: usize = 8;
-/// A learner that has not been seen for this long is dropped.
+/// Time without contact after which the leader drops a learner.
 const LEARNER_TIMEOUT: Span = Span::from_millis(5_000);
-/// A voter that is silent for this part of the time in which a returned machine still counts as lost is replaced where a
-/// learner waits: its successor has to hold everything before that time is over.
-pub(crate) const VOTER_TIMEOUT_PART: f64 = 0.5;
-/// A learner is promoted only if it was heard within this time.
-const PROMOTION_CONTACT: Span = Span::from_millis(400);
-/// How long a leave request is valid. The sender repeats it each round.
+/// Time-out of an unresponsive voter, as a fraction of the catch-up time. The rest of that time is left for
+/// its successor to become a voter.
+pub(crate) const VOTER_TIMEOUT_FRACTION: f64 = 0.5;
+/// A learner is promoted only if it replied within this time.
+const PROMOTION_CONTACT_TIMEOUT: Span = Span::from_millis(400);
+/// Validity of a leave request. The sender repeats it every `HEARTBEAT_INTERVAL`.
 const LEAVE_REQUEST_VALIDITY: Span = Span::from_millis(1_000);
-/// The longest that a node that is shutting down waits for its successor.
+/// Longest time that a node waits for its successor during shutdown.
 const LEAVE_TIMEOUT: Span = Span::from_millis(1_500);
-/// The shortest time that it stays after a leadership transfer, or if no learner waits, so that another node leads by
-/// then.
+/// Shortest time that a node keeps running after the start of its shutdown, so that another node can take
+/// over the leadership.
 const LEAVE_MIN_DELAY: Span = Span::from_millis(250);
 
 impl Consensus {
-    /// A node has been seen, by its connection: where it is no voter, the leader sends to it from now on.
+    /// Records a sign of a connection to another node. A leader adds an unknown node as a learner, up to
+    /// [`MAX_LEARNERS`].
     pub fn on_peer_seen(&mut self, now: Time, node: NodeAddress) {
         if node == self.me {
             return;
@@ -44,13 +47,14 @@
         match leader.contacts.get_mut(&node) {
             Some(contact) => contact.seen_at = now,
             None if learners < MAX_LEARNERS => {
-                leader.contacts.insert(node, PeerContact::seen(now));
+                leader.contacts.insert(node, PeerContact::new(now));
             }
             None => {}
         }
     }
 
-    /// A connection to another node was opened: what went over an earlier one may be lost.
+    /// Records that a connection to another node was opened. The newest state is sent again unless it is
+    /// acknowledged, as messages on an earlier connection may be lost.
     pub fn on_peer_connected(&mut self, node: NodeAddress) {
         if let Role::Leader(leader) = &mut self.role
             && let Some(contact) = leader.contacts.get_mut(&node)
@@ -59,14 +63,16 @@
         }
     }
 
-    /// The members that hold copies and do not vote, as far as this leader knows.
+    /// Returns the members that have replied to this leader and do not vote. Empty if this node does not
+    /// lead.
     pub fn learners(&self) -> Vec<Member> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let is_learner = |m: &&Member| !self.voters().contains(m) && leader.is_current_disk(m);
         leader.progress.keys().filter(is_learner).copied().collect()
     }
 
-    /// A leader brings the voters one change nearer to what they should be, where nothing is uncommitted.
+    /// Starts the next membership change that is due, if this node is the established leader, does not shut
+    /// down and has no uncommitted state.
     pub(crate) fn change_voters(&mut self, now: Time) {
         self.expire_learners(now);
         if !self.is_established_leader() || self.has_uncommitted() || self.shutdown.is_some() {
@@ -77,26 +83,27 @@
         self.append_membership(now, next);
     }
 
-    /// The replicated state with the next due change of the voters.
+    /// Returns the replicated state after the next due membership change, or `None` if no change is due.
     fn next_membership(&self, now: Time, leader: &LeaderState) -> Option<ReplicatedState> {
         let state = &self.persistent.state;
         if let Some(emptied) = self.find_emptied_voter(leader) {
-            // It holds nothing and has forgotten its votes: no majority may be formed with it.
+            // The emptied disk has lost its state and its votes, so it must not count in a majority.
             return Some(without_voter(state, emptied));
         }
         if let Some(outgoing) = state.outgoing_voter {
-            // A leader transfers leadership first: without a vote it would still count itself.
+            // A leader that is outgoing transfers its leadership first: without a vote it would still count
+            // itself.
             return (outgoing != self.own_member()).then(|| without_voter(state, outgoing));
         }
-        if state.voters.len() > self.wanted_voters {
-            return self.find_departed_voter(now, leader).map(|departed| without_voter(state, departed));
+        if state.voters.len() > self.target_voters {
+            return self.find_replaceable_voter(now, leader).map(|removed| without_voter(state, removed));
         }
         let learner = self.find_promotable_learner(now, leader)?;
         let mut next = state.clone();
-        if state.voters.len() == self.wanted_voters {
-            // Named now, so that the next leader need not find out anew: until it is removed there is one voter too
-            // many, and a majority may need one more of them.
-            next.outgoing_voter = Some(self.find_departed_voter(now, leader)?);
+        if state.voters.len() == self.target_voters {
+            // Stored with the state, so that a new leader can remove the outgoing voter without waiting for
+            // its time-out. Until then there is one voter too many, and a majority may need one more vote.
+            next.outgoing_voter = Some(self.find_replaceable_voter(now, leader)?);
         }
         next.voters.push(learner);
         next.voters.sort();
@@ -109,13 +116,13 @@
         Some(next)
     }
 
-    /// One other voter that is gone, or asks to be replaced.
-    fn find_departed_voter(&self, now: Time, leader: &LeaderState) -> Option<Member> {
+    /// Returns another voter that has requested to leave, or else one that is unresponsive.
+    fn find_replaceable_voter(&self, now: Time, leader: &LeaderState) -> Option<Member> {
         let others = self.other_voters();
-        let wants_to_leave = |m: &&Member| leader.progress.get(m).is_some_and(|p| is_leaving(now, p));
-        let is_silent = |p: &Progress| now - p.heard_at > self.voter_timeout;
-        let is_gone = |m: &&Member| leader.progress.get(m).is_none_or(is_silent);
-        others.iter().find(wants_to_leave).or_else(|| others.iter().find(is_gone)).copied()
+        let is_leaving_voter = |m: &&Member| leader.progress.get(m).is_some_and(|p| is_leaving(now, p));
+        let has_timed_out = |p: &Progress| now - p.last_contact_at > self.voter_timeout;
+        let is_unresponsive = |m: &&Member| leader.progress.get(m).is_none_or(has_timed_out);
+        others.iter().find(is_leaving_voter).or_else(|| others.iter().find(is_unresponsive)).copied()
     }
 
     fn append_membership(&mut self, now: Time, state: ReplicatedState) {
@@ -123,27 +130,27 @@
         let others = self.other_voters();
         if let Role::Leader(leader) = &mut self.role {
             for member in others {
-                leader.contacts.entry(member.node).or_insert_with(|| PeerContact::seen(now));
-                leader.progress.entry(member).or_insert_with(|| Progress::unheard(now));
+                leader.contacts.entry(member.node).or_insert_with(|| PeerContact::new(now));
+                leader.progress.entry(member).or_insert_with(|| Progress::new(now));
             }
         }
         self.advance_commit(now);
         self.start_round(now);
     }
 
-    /// A learner that holds everything and is heard.
+    /// Returns a learner that is up to date and responsive, if there is one.
     fn find_promotable_learner(&self, now: Time, leader: &LeaderState) -> Option<Member> {
         let is_promotable = |(m, p): &(&Member, &Progress)| {
             !self.voters().iter().any(|v| v.node == m.node)
                 && leader.is_current_disk(m)
                 && p.stored == self.committed
-                && now - p.heard_at < PROMOTION_CONTACT
+                && now - p.last_contact_at < PROMOTION_CONTACT_TIMEOUT
                 && !is_leaving(now, p)
         };
         leader.progress.iter().find(is_promotable).map(|(m, _)| *m)
     }
 
-    /// A voter at whose address another disk answers: its own was emptied.
+    /// Returns a voter at whose address a different disk answers, which means that its own disk was emptied.
     fn find_emptied_voter(&self, leader: &LeaderState) -> Option<Member> {
         let has_other_disk = |m: &&Member| leader.current_disk(m.node).is_some_and(|(disk, _)| disk != *m);
         self.voters().iter().find(has_other_disk).copied()
@@ -152,11 +159,11 @@
     fn expire_learners(&mut self, now: Time) {
         let voters = &self.persistent.state.voters;
         let Role::Leader(leader) = &mut self.role else { return };
-        let votes = |node: &NodeAddress| voters.iter().any(|m| m.node == *node);
-        leader.contacts.retain(|node, c| votes(node) || now - c.seen_at < LEARNER_TIMEOUT);
+        let is_voter_address = |node: &NodeAddress| voters.iter().any(|m| m.node == *node);
+        leader.contacts.retain(|node, c| is_voter_address(node) || now - c.seen_at < LEARNER_TIMEOUT);
         let contacts = &leader.contacts;
         leader.progress.retain(|m, _| contacts.contains_key(&m.node));
-        // A disk that answered before another one at the same address is forgotten, unless it votes.
+        // Drops disks that have been superseded by another one at the same address, except voters.
         let newest: Vec<Member> =
             contacts.keys().filter_map(|node| leader.current_disk(*node).map(|(m, _)| *m)).collect();
         leader.progress.retain(|m, _| voters.contains(m) || newest.contains(m));
@@ -164,31 +171,32 @@
 
     // ---- graceful shutdown ----
 
-    /// This process was told to end. A leader transfers leadership; then the node asks to be replaced.
+    /// Starts a graceful shutdown: transfers leadership if this node leads, then requests a replacement.
     pub fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown.is_none() {
-            let asked_at = now.saturating_sub(HEARTBEAT_INTERVAL);
-            self.shutdown = Some(Shutdown { since: now, asked_at });
+            let last_request_at = now.saturating_sub(HEARTBEAT_INTERVAL);
+            self.shutdown = Some(Shutdown { began_at: now, last_request_at });
             self.transfer_leadership(now);
             self.send_leave_request(now);
         }
     }
 
-    /// Whether the process may end now: it does not lead, and is replaced or has waited long enough for that.
+    /// Returns `true` if the process may exit: the node has been replaced and does not lead, after at least
+    /// `LEAVE_MIN_DELAY`, or `LEAVE_TIMEOUT` has passed.
     pub fn may_shut_down(&self, now: Time) -> bool {
-        let Some(Shutdown { since, .. }) = self.shutdown else { return false };
+        let Some(Shutdown { began_at, .. }) = self.shutdown else { return false };
         let leads = matches!(&self.role, Role::Leader(_)) && !self.other_voters().is_empty();
         let is_replaced = self.committed == self.persistent.last && !self.is_voter() && !leads;
-        is_replaced && now - since >= LEAVE_MIN_DELAY || now - since >= LEAVE_TIMEOUT
+        is_replaced && now - began_at >= LEAVE_MIN_DELAY || now - began_at >= LEAVE_TIMEOUT
     }
 
     pub(crate) fn send_leave_request(&mut self, now: Time) {
         let Role::Follower { leader, .. } = &self.role else { return };
         let (leader, Some(shutdown)) = (*leader, self.shutdown) else { return };
-        if now - shutdown.asked_at < HEARTBEAT_INTERVAL {
+        if now - shutdown.last_request_at < HEARTBEAT_INTERVAL {
             return;
         }
-        self.shutdown = Some(Shutdown { asked_at: now, ..shutdown });
+        self.shutdown = Some(Shutdown { last_request_at: now, ..shutdown });
         if let Some(leader) = leader {
             self.send(leader, Message::LeaveRequest { disk: self.persistent.disk });
         }
@@ -204,7 +212,7 @@
 }
 
 impl LeaderState {
-    /// Whether this disk is the one that answers at its address now.
+    /// Returns `true` if this disk is the one that currently answers at its address.
     fn is_current_disk(&self, member: &Member) -> bool {
         self.current_disk(member.node).is_some_and(|(disk, _)| disk == member)
     }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,56 +1,57 @@
-//! What a leader knows of the other nodes: of each address that it sends to, and of each disk that has answered.
+//! Leader-side view of the other nodes: one entry for each address it sends to, and one for each disk.
 
 use lynxstair::types::Time;
 use lynxstair_protocol::consensus::LogId;
 
-/// One address that the leader sends to.
+/// Address that the leader sends to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PeerContact {
-    /// The last state that was sent to it, and in which round.
+    /// State last sent to this address; `None` before the first one, after a reconnection and after a
+    /// change of disk.
     pub sent: Option<SentState>,
-    /// Its clock in its last reply.
+    /// Clock of the peer in its last reply.
     pub clock: Option<PeerClock>,
-    /// When it was last seen, by a reply or by its connection.
+    /// Time of the last reply, or of the last sign of a connection to the peer.
     pub seen_at: Time,
 }
 
-/// A state that was sent.
+/// State sent to a peer, and the heartbeat round that carried it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SentState {
     pub position: LogId,
     pub round: u64,
 }
 
-/// A peer's clock.
+/// Reading of a peer's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PeerClock {
-    /// The peer's own time, in nanoseconds.
+    /// Time on the peer's clock, in nanoseconds.
     pub value: u64,
-    /// When it arrived, by this node's clock.
+    /// Time of arrival on this node's clock.
     pub received_at: Time,
 }
 
-/// One disk, as far as its replies in this term tell.
+/// Replication progress of a disk, from its replies in this term.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Progress {
-    /// The newest round that it answered, 0 for none.
+    /// Newest round that the disk answered, 0 if none.
     pub round: u64,
-    /// What it has stored.
+    /// Newest position that the disk reported as synced.
     pub stored: LogId,
-    /// When its last reply came; since this leader began, where none did.
-    pub heard_at: Time,
-    /// When it last asked to be replaced.
+    /// Time of the last reply. Until the first reply, the time at which this entry was created.
+    pub last_contact_at: Time,
+    /// Time of the last request to be replaced.
     pub leave_requested_at: Option<Time>,
 }
 
 impl PeerContact {
-    pub fn seen(now: Time) -> PeerContact {
+    pub fn new(now: Time) -> PeerContact {
         PeerContact { sent: None, clock: None, seen_at: now }
     }
 }
 
 impl Progress {
-    pub fn unheard(now: Time) -> Progress {
-        Progress { round: 0, stored: LogId::default(), heard_at: now, leave_requested_at: None }
+    pub fn new(now: Time) -> Progress {
+        Progress { round: 0, stored: LogId::default(), last_contact_at: now, leave_requested_at: None }
     }
 }
--- a/crates/consensus/src/read_index.rs
+++ b/crates/consensus/src/read_index.rs
@@ -1,9 +1,10 @@
-//! Linearizable reads, and contact with a quorum.
+//! Linearizable reads, and the check for quorum contact.
 //!
-//! A read is answered once a majority has answered a heartbeat round of this leader that began after the read came (read
-//! index; Ongaro's thesis, section 6.4). No clock takes part, so a leader that was partitioned off, paused or was
-//! deposed meanwhile answers nothing. Quorum contact is weaker and asks for no round: it says that a majority's leader and
-//! this node have heard each other a moment ago.
+//! A read completes once a majority has answered a heartbeat round of this leader that started after the
+//! read arrived (ReadIndex; Ongaro's thesis, section 6.4). It does not depend on clocks, so a leader that
+//! was partitioned, paused or deposed in the meantime serves no stale read. Quorum contact is weaker and
+//! needs no extra round: this node and the leader of a majority exchanged messages within
+//! [`QUORUM_CONTACT_TIMEOUT`].
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::LogId;
@@ -11,16 +12,16 @@
 use crate::role::{PendingRead, Role};
 use crate::{Action, Consensus, RequestOutcome};
 
-/// A node that has been without two-way contact with a majority for this long counts as isolated.
+/// Time without quorum contact after which a node counts as isolated.
 pub const QUORUM_CONTACT_TIMEOUT: Span = Span::from_millis(500);
-/// Reads that arrive within this time after the start of a round wait for the next round together.
+/// Shortest interval between two rounds for reads. Reads that arrive within it share the next round.
 pub(crate) const READ_BATCH_INTERVAL: Span = Span::from_millis(4);
-/// How many reads may be open at once.
+/// Largest number of pending reads.
 const MAX_OPEN_READS: usize = 4096;
 
 impl Consensus {
-    /// Asks to answer for what is committed. Returns the number by which `Action::ReadDone` will tell whether that may
-    /// be, or None where this node is not the established leader.
+    /// Starts a linearizable read. Returns the number that `Action::ReadDone` will carry, or `None` if this
+    /// node is not the established leader or has `MAX_OPEN_READS` pending reads.
     pub fn request_read(&mut self, now: Time) -> Option<u64> {
         if !self.is_established_leader() {
             return None;
@@ -34,12 +35,12 @@
         if now - leader.round_began_at >= READ_BATCH_INTERVAL {
             self.start_round(now);
         } else {
-            leader.round_wanted = true;
+            leader.round_requested = true;
         }
         Some(number)
     }
 
-    /// Completes the reads whose round a majority has answered.
+    /// Completes the reads whose round is answered by a majority.
     pub(crate) fn complete_reads(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let confirmed = leader.confirmed_round;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// When it was last certain here that nothing newer than `committed` was committed by others.
+    /// Returns the latest time at which this node's committed position was confirmed to be the newest one.
     pub fn confirmed_at(&self) -> Option<Time> {
         match &self.role {
             Role::Leader(leader) => self.is_established_leader().then_some(leader.confirmed_at),
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Whether this node and the leader of a majority have heard each other a moment ago. False soon after this node
-    /// was partitioned off, also in one direction, or paused.
+    /// Returns `true` if, within [`QUORUM_CONTACT_TIMEOUT`], this node was confirmed as leader by a
+    /// majority or exchanged messages with a leader that was. Becomes `false` after that time if the node
+    /// is partitioned, even in one direction only, or after a pause.
     pub fn has_quorum_contact(&self, now: Time) -> bool {
         let at = match &self.role {
             Role::Leader(leader) => self.is_established_leader().then_some(leader.confirmed_at),
@@ -68,7 +70,8 @@
         at.is_some_and(|at| now - at < QUORUM_CONTACT_TIMEOUT)
     }
 
-    /// At that time a leader, confirmed by a quorum, had heard this node, and `committed` was the newest position.
+    /// Records that at time `at` a leader that has received a reply of this node was confirmed by a quorum,
+    /// with `committed` as the newest committed position.
     pub(crate) fn on_leader_confirmed(&mut self, at: Time, committed: LogId) {
         self.quorum_contact_at = self.quorum_contact_at.max(Some(at));
         if self.committed == committed {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: heartbeat rounds, what is stored on which disk, and what is committed by that.
+//! Replication: heartbeat rounds, acknowledgements and the commit position.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::{LogId, Member, Message, ReplicatedState};
@@ -10,21 +10,22 @@
 use crate::role::{LeaderState, Proposal, Role, RoundStart};
 use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
-/// How often a leader begins a heartbeat round.
+/// Interval between the heartbeat rounds of a leader.
 pub(crate) const HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
-/// A leader that no majority has answered for this long steps down.
+/// Time without confirmation by a majority after which a leader steps down.
 const LEADER_QUORUM_TIMEOUT: Span = Span::from_millis(800);
-/// So does a leader whose disk has not completed a write within this time.
+/// Duration of a disk write after which a leader steps down.
 const DISK_WRITE_TIMEOUT: Span = Span::from_millis(700);
-/// A state is sent again after this many rounds without an acknowledgement.
+/// Number of rounds without an acknowledgement after which a state is sent again.
 const RESEND_AFTER_ROUNDS: u64 = 10;
-/// How long a leader waits for more voters before it acknowledges a state that is on fewer disks than it should be.
+/// Time for which a leader waits for more voters before it accepts proposals with an under-replicated
+/// quorum.
 const UNDER_REPLICATED_TIMEOUT: Span = Span::from_millis(3_000);
-/// How many rounds are remembered with the time that they began at: some seconds' worth.
+/// Number of most recent rounds whose start time is kept.
 const MAX_ROUND_STARTS: usize = 64;
 
-/// What a follower takes over from a round of the leader.
-pub(crate) struct Appended {
+/// Part of an `Append` message that a follower applies.
+pub(crate) struct AppendRequest {
     pub term: u64,
     pub round: u64,
     pub last: LogId,
@@ -33,8 +34,9 @@
 }
 
 impl Consensus {
-    /// Proposes the configuration that is to replace the committed one. Returns the number by which
-    /// `Action::ProposalDone` tells its fate, or None where this node can't propose now.
+    /// Proposes a configuration to replace the committed one. Returns the number that
+    /// `Action::ProposalDone` will carry, or `None` if this node is not the established leader, has an
+    /// uncommitted state, shuts down, or is waiting for more voters.
     pub fn propose(&mut self, now: Time, config: Vec<u8>) -> Option<u64> {
         let may_propose = self.is_established_leader() && !self.has_uncommitted() && self.shutdown.is_none();
         if !may_propose || self.is_under_replicated(now) {
@@ -50,17 +52,18 @@
         Some(number)
     }
 
-    /// Whether a majority is on no more disks than may be lost at once, while voters may be on their way: so it is just
-    /// after the founding, and while emptied disks are removed and added. Not for long: voters that are not there by
-    /// the time-out are lost already.
+    /// Returns `true` while a majority has no more disks than may be lost at once and
+    /// `UNDER_REPLICATED_TIMEOUT` has not passed. This happens after bootstrap and while emptied disks are
+    /// removed and added again. Voters that are still missing after the time-out count as lost.
     fn is_under_replicated(&mut self, now: Time) -> bool {
-        let is_now = self.majority() <= self.tolerated;
+        let is_quorum_too_small = self.majority() <= self.tolerated_disk_losses;
         let Role::Leader(leader) = &mut self.role else { return false };
-        leader.under_replicated_since = is_now.then(|| leader.under_replicated_since.unwrap_or(now));
+        leader.under_replicated_since =
+            is_quorum_too_small.then(|| leader.under_replicated_since.unwrap_or(now));
         leader.under_replicated_since.is_some_and(|since| now - since < UNDER_REPLICATED_TIMEOUT)
     }
 
-    /// Writes a leader's next state; returns its position.
+    /// Appends a state in the current term and requests its write. Returns its position.
     pub(crate) fn append_state(&mut self, now: Time, state: ReplicatedState) -> LogId {
         let last = LogId { term: self.persistent.term, index: self.persistent.last.index + 1 };
         self.persistent.last = last;
@@ -69,29 +72,30 @@
         last
     }
 
-    /// The periodic checks of a leader: it steps down, transfers leadership, changes the voters, or begins a round.
+    /// Runs the periodic checks of a leader: step-down, leadership transfer, membership change, next round.
     pub(crate) fn tick_leader(&mut self, now: Time) {
-        let disk_hangs = self.pending_writes.front().is_some_and(|w| now - w.since > DISK_WRITE_TIMEOUT);
+        let is_disk_stalled =
+            self.pending_writes.front().is_some_and(|w| now - w.requested_at > DISK_WRITE_TIMEOUT);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.checked_at = now;
-        let interval = if leader.round_wanted { READ_BATCH_INTERVAL } else { HEARTBEAT_INTERVAL };
-        let round_is_due = now >= leader.round_began_at + interval;
-        if now - leader.confirmed_at > LEADER_QUORUM_TIMEOUT || disk_hangs {
+        let interval = if leader.round_requested { READ_BATCH_INTERVAL } else { HEARTBEAT_INTERVAL };
+        let is_round_due = now >= leader.round_began_at + interval;
+        if now - leader.confirmed_at > LEADER_QUORUM_TIMEOUT || is_disk_stalled {
             return self.become_follower(now, None);
         }
-        // Only so that the time of an under-replicated quorum counts from its beginning.
+        // Called only to record the time at which the quorum became under-replicated.
         self.is_under_replicated(now);
         self.transfer_leadership(now);
         self.change_voters(now);
-        if round_is_due {
+        if is_round_due {
             self.start_round(now);
         }
     }
 
-    /// A leader begins a heartbeat round.
+    /// Starts a heartbeat round if this node leads.
     pub(crate) fn start_round(&mut self, now: Time) {
         let (term, last, committed) = (self.persistent.term, self.persistent.last, self.committed);
-        let is_alone = self.other_voters().is_empty();
+        let is_only_voter = self.other_voters().is_empty();
         let Role::Leader(leader) = &mut self.role else { return };
         leader.begin_round(now);
         let stored: Vec<LogId> = leader
@@ -108,28 +112,28 @@
                 Message::Append { term, round, last, state, committed, clock_echo, confirmed_ns_ago };
             self.actions.push(Action::Send { to: *to, message });
         }
-        if is_alone {
+        if is_only_voter {
             leader.confirmed_at = now;
             leader.confirmed_round = leader.round;
             self.complete_reads();
         }
     }
 
-    /// A round of the leader has arrived.
+    /// Handles an `Append` message of the current or a later term.
     pub(crate) fn handle_append(
         &mut self,
         now: Time,
         from: NodeAddress,
-        Appended { term, round, last, state, committed }: Appended,
+        AppendRequest { term, round, last, state, committed }: AppendRequest,
     ) {
         if term > self.persistent.term {
             self.enter_term(now, term);
         }
-        self.has_heard_leader = true;
+        self.has_seen_leader = true;
         match &mut self.role {
-            Role::Follower { leader, heard_at } => {
+            Role::Follower { leader, last_contact_at } => {
                 *leader = Some(from);
-                *heard_at = now;
+                *last_contact_at = now;
             }
             _ => self.become_follower(now, Some(from)),
         }
@@ -142,7 +146,8 @@
             let reply = Message::AppendReply { term, round, stored: last, disk, clock };
             self.persist(now, vec![Envelope { to: from, message: reply }]);
         }
-        // The round is answered at once, whatever the disk does; what is stored is acknowledged once it is synced.
+        // The round is answered at once, with the last synced position. A new state is acknowledged after
+        // its sync.
         let reply = self.append_reply(now, round);
         self.send(from, reply);
         if committed > self.committed && committed == self.persistent.last {
@@ -155,7 +160,7 @@
         Message::AppendReply { term: self.persistent.term, round, stored: self.synced, disk, clock }
     }
 
-    /// A reply of this term has arrived.
+    /// Handles a reply of the current term.
     pub(crate) fn handle_append_reply(
         &mut self,
         now: Time,
@@ -170,13 +175,13 @@
         contact.seen_at = now;
         contact.clock = Some(PeerClock { value: clock, received_at: now });
         if !leader.progress.contains_key(&from) {
-            // Another disk than the one that was sent something.
+            // A different disk now answers at this address: the state must be sent to it.
             contact.sent = None;
         }
-        let progress = leader.progress.entry(from).or_insert_with(|| Progress::unheard(now));
+        let progress = leader.progress.entry(from).or_insert_with(|| Progress::new(now));
         progress.round = progress.round.max(round);
-        progress.heard_at = now;
-        // What a disk has stored it keeps: a reply that came late takes nothing back.
+        progress.last_contact_at = now;
+        // A delayed reply must not lower the stored position.
         progress.stored = progress.stored.max(stored);
         leader.confirm_rounds(majority, &others);
         self.complete_reads();
@@ -184,8 +189,8 @@
         self.change_voters(now);
     }
 
-    /// Commits the leader's newest state once it is on the disks of a majority of the voters. Only a state of the
-    /// current term is counted (Raft, section 5.4.2).
+    /// Commits the leader's newest state once it is synced on the disks of a majority of the voters. Only a
+    /// state of the current term is committed this way (Raft, section 5.4.2).
     pub(crate) fn advance_commit(&mut self, now: Time) {
         let last = self.persistent.last;
         let needed = self.majority();
@@ -196,7 +201,7 @@
         {
             return;
         }
-        if own + self.copies_elsewhere(last) < needed {
+        if own + self.remote_copies(last) < needed {
             return;
         }
         let Role::Leader(leader) = &mut self.role else { return };
@@ -207,12 +212,12 @@
             self.actions.push(Action::ProposalDone { number, outcome });
         }
         self.change_voters(now);
-        // Followers learn of it at once.
+        // Sends the new commit position to the followers at once.
         self.start_round(now);
     }
 
-    /// On how many disks of other voters a state is stored.
-    fn copies_elsewhere(&self, position: LogId) -> usize {
+    /// Returns the number of other voters that have synced the state at `position`.
+    fn remote_copies(&self, position: LogId) -> usize {
         let Role::Leader(leader) = &self.role else { return 0 };
         let has_copy = |m: &Member| leader.progress.get(m).is_some_and(|p| p.stored == position);
         #[cfg(feature = "deliberate-faults")]
@@ -233,19 +238,19 @@
     fn begin_round(&mut self, now: Time) {
         self.round += 1;
         self.round_began_at = now;
-        self.round_wanted = false;
+        self.round_requested = false;
         self.round_starts.push_back(RoundStart { round: self.round, at: now });
         if self.round_starts.len() > MAX_ROUND_STARTS {
             self.round_starts.pop_front();
         }
     }
 
-    /// Finds the newest round that a majority answered, by the disks that vote.
+    /// Updates the newest round that is answered by a majority of the voters, this node included.
     fn confirm_rounds(&mut self, majority: usize, others: &[Member]) {
         let mut rounds: Vec<u64> =
             others.iter().filter_map(|m| self.progress.get(m)).map(|p| p.round).collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
-        // The leader itself is one of the majority, and counted from 0 the last of the others is two before it.
+        // The leader is one of the majority, so `majority - 1` others are needed: index `majority - 2`.
         let Some(confirmed) = majority.checked_sub(2).and_then(|n| rounds.get(n)) else { return };
         self.confirmed_round = self.confirmed_round.max(*confirmed);
         if let Some(start) = self.round_starts.iter().find(|start| start.round == *confirmed) {
@@ -255,7 +260,8 @@
 }
 
 impl PeerContact {
-    /// Whether the newest state goes with this round: once, and again where no acknowledgement of it came.
+    /// Returns `true` if this round must carry the newest state, and records it as sent. A state is sent
+    /// once, and again after `RESEND_AFTER_ROUNDS` rounds without an acknowledgement.
     fn needs_state(&mut self, stored: LogId, last: LogId, round: u64) -> bool {
         let is_unacknowledged =
             |sent: SentState| sent.position != last || round > sent.round + RESEND_AFTER_ROUNDS;
@@ -266,11 +272,11 @@
         is_due
     }
 
-    /// The peer's clock as last heard, and how long before its arrival the leader was confirmed. What the peer did
-    /// between its reply and now is later than its reply, so a confirmation since then counts as one at the reply.
+    /// Returns the peer's clock from its last reply, and the time in nanoseconds from the leader's last
+    /// confirmation to the arrival of that reply. A later confirmation counts as one at the arrival.
     fn echo(&self, confirmed_at: Time) -> (u64, Option<u64>) {
         match self.clock {
-            // A span that would be below zero is zero.
+            // The subtraction saturates at zero.
             Some(PeerClock { value, received_at }) => (value, Some((received_at - confirmed_at).nanos())),
             None => (0, None),
         }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -1,4 +1,4 @@
-//! The role of a node. Every change of role goes through `set_role`.
+//! Role of a node. All role changes go through `set_role`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,71 +8,73 @@
 use crate::progress::{PeerContact, Progress};
 use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
-/// A follower that has not heard from a leader for this long may campaign.
+/// Shortest time without a message from a leader after which a follower starts a pre-vote.
 pub(crate) const ELECTION_TIMEOUT: Span = Span::from_millis(450);
-/// The same right after a start: nobody has been heard yet and all nodes may have started at once, so a shorter time
-/// is enough.
-const FIRST_ELECTION_TIMEOUT: Span = Span::from_millis(150);
-/// The longest random part on top of that, so that two nodes seldom campaign at once.
+/// Election time-out of a node that has not yet seen a leader. Shorter than `ELECTION_TIMEOUT`, so that a
+/// cluster whose nodes start together elects a leader sooner.
+const INITIAL_ELECTION_TIMEOUT: Span = Span::from_millis(150);
+/// Upper bound of the random addition to the election time-out, which makes split votes rare.
 const ELECTION_JITTER: Span = Span::from_millis(400);
-/// The part of the random time that is used at a start.
-const FIRST_JITTER_PART: f64 = 0.6;
+/// Fraction of `ELECTION_JITTER` in use until a leader has been seen.
+const INITIAL_JITTER_FRACTION: f64 = 0.6;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Role {
-    /// Learners are followers, too.
-    Follower { leader: Option<NodeAddress>, heard_at: Time },
-    /// Asks whether a campaign could succeed.
+    /// Also the role of a learner.
+    Follower { leader: Option<NodeAddress>, last_contact_at: Time },
+    /// Collects pre-votes.
     PreCandidate { votes: Vec<Member>, since: Time },
-    /// Asks for votes.
+    /// Collects votes.
     Candidate { votes: Vec<Member>, since: Time },
-    /// Leads its term.
+    /// Leads the current term.
     Leader(LeaderState),
 }
 
-/// What a leader keeps for its term.
+/// State that a leader keeps for the duration of its term.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LeaderState {
-    /// The number of the newest heartbeat round, and when it began.
+    /// Number and start time of the newest heartbeat round.
     pub round: u64,
     pub round_began_at: Time,
-    /// When the periodic checks last ran; they go on however often rounds begin.
+    /// Time of the last periodic checks, which run independently of the rounds.
     pub checked_at: Time,
-    /// A round is to begin before the next heartbeat is due.
-    pub round_wanted: bool,
-    /// When each of the last rounds began.
+    /// A round should start after `READ_BATCH_INTERVAL`, before the next heartbeat is due.
+    pub round_requested: bool,
+    /// Start times of the most recent rounds.
     pub round_starts: VecDeque<RoundStart>,
-    /// Whom it sends to: voters, and learners for as long as they are seen.
+    /// Recipients of the rounds: other voters, and learners until their time-out.
     pub contacts: BTreeMap<NodeAddress, PeerContact>,
-    /// The progress of each disk that has answered, and of each voter.
+    /// Progress of each other voter and of each disk that has replied.
     pub progress: BTreeMap<Member, Progress>,
-    /// A majority, this node included, answered a round that began then.
+    /// Start time of the newest round answered by a majority, this node included; at first the start of
+    /// leadership.
     pub confirmed_at: Time,
-    /// The newest round that a majority answered. Reads go by it: no clock can tell which of two rounds was first.
+    /// Newest round answered by a majority. Reads compare round numbers, as two rounds may start at the
+    /// same time.
     pub confirmed_round: u64,
-    /// Since when a majority is on too few disks to survive the tolerated losses.
+    /// Time since which a majority has had too few disks to survive the tolerated losses.
     pub under_replicated_since: Option<Time>,
-    /// The open proposal.
+    /// Proposal that is not yet committed.
     pub proposal: Option<Proposal>,
-    /// Open reads, in the order of their rounds.
+    /// Pending reads, in the order of their rounds.
     pub reads: VecDeque<PendingRead>,
 }
 
-/// When a heartbeat round began.
+/// Start time of a heartbeat round.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RoundStart {
     pub round: u64,
     pub at: Time,
 }
 
-/// A proposal that is not committed yet.
+/// Proposal in progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Proposal {
     pub number: u64,
     pub position: LogId,
 }
 
-/// A read that waits for a majority to answer a round.
+/// Read that completes once a majority has answered `round` or a later one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PendingRead {
     pub number: u64,
@@ -85,10 +87,10 @@
             round: 0,
             round_began_at: now,
             checked_at: now,
-            round_wanted: false,
+            round_requested: false,
             round_starts: VecDeque::new(),
-            contacts: others.iter().map(|m| (m.node, PeerContact::seen(now))).collect(),
-            progress: others.iter().map(|m| (*m, Progress::unheard(now))).collect(),
+            contacts: others.iter().map(|m| (m.node, PeerContact::new(now))).collect(),
+            progress: others.iter().map(|m| (*m, Progress::new(now))).collect(),
             confirmed_at: now,
             confirmed_round: 0,
             under_replicated_since: None,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The disk that answers at an address now: the one that answered the newest round.
+    /// Returns the disk at an address that answered the newest round, or `None` if none has answered.
     pub fn current_disk(&self, node: NodeAddress) -> Option<(&Member, &Progress)> {
         let answering = self.progress.iter().filter(|(m, p)| m.node == node && p.round > 0);
         answering.max_by_key(|(_, p)| p.round)
@@ -105,19 +107,19 @@
 }
 
 impl Consensus {
-    /// Draws anew how long this node waits for a leader, or for votes.
+    /// Randomizes the time for which this node waits for a leader or for votes.
     pub(crate) fn reset_election_timeout(&mut self) {
-        let (least, jitter) = if self.has_heard_leader {
+        let (least, jitter) = if self.has_seen_leader {
             (ELECTION_TIMEOUT, ELECTION_JITTER)
         } else {
-            (FIRST_ELECTION_TIMEOUT, ELECTION_JITTER.times(FIRST_JITTER_PART))
+            (INITIAL_ELECTION_TIMEOUT, ELECTION_JITTER.times(INITIAL_JITTER_FRACTION))
         };
-        self.election_timeout = least + jitter.times(self.draw());
+        self.election_timeout = least + jitter.times(self.random_fraction());
     }
 
     pub(crate) fn set_role(&mut self, role: Role) {
         if let Role::Leader(old) = &mut self.role {
-            // Callers that wait for this leader learn that it can't tell any more.
+            // A former leader can no longer determine the outcome of its open requests.
             let outcome = RequestOutcome::Unknown;
             let proposal = old.proposal.take();
             let proposal = proposal.map(|p| Action::ProposalDone { number: p.number, outcome });
@@ -130,10 +132,10 @@
     }
 
     pub(crate) fn become_follower(&mut self, now: Time, leader: Option<NodeAddress>) {
-        self.set_role(Role::Follower { leader, heard_at: now });
+        self.set_role(Role::Follower { leader, last_contact_at: now });
     }
 
-    /// Enters a later term, whose leader is not known yet.
+    /// Enters a later term as a follower of an unknown leader.
     pub(crate) fn enter_term(&mut self, now: Time, term: u64) {
         self.persistent.term = term;
         self.persistent.vote = None;
--- a/crates/protocol/src/consensus.rs
+++ b/crates/protocol/src/consensus.rs
@@ -1,6 +1,8 @@
-//! The messages of the consensus protocol, and the state that it replicates. `lynxstair-consensus` decides,
-//! `lynxstair-controller` carries them. No message holds a time of day: what one node knows of another's clock it has from
-//! an echo of its own.
+//! Messages of the consensus protocol, and the replicated state.
+//!
+//! `lynxstair-consensus` implements the protocol and `lynxstair-controller` sends its messages. Messages
+//! carry no wall-clock time: a clock value is only meaningful to the node that sent it, and is echoed back
+//! to it.
 
 use std::net::SocketAddr;
 
@@ -8,105 +10,106 @@
 
 use crate::messages::Bytes;
 
-/// A position in the order of all states: the term that a state was written in, then its index.
+/// Position of a state in the total order of states: its term, then its index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogId {
-    /// The term of the leader that wrote it.
+    /// Term of the leader that wrote the state.
     pub term: u64,
-    /// Rises with each state.
+    /// Index of the state; a leader increments it with each state.
     pub index: u64,
 }
 
-/// A node with the disk that it votes by. A disk that was emptied comes back under another identity, and so is another
-/// member: the votes that it has forgotten can't be counted twice. The disks of founding members have the identity 0.
+/// Node together with its disk. An emptied disk gets a new identity and is therefore a different member, so
+/// that a node that has lost its votes can't vote twice. The disks of founding members have the identity 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its control address.
+    /// Control address of the node.
     pub node: SocketAddr,
-    /// The identity of its disk.
+    /// Identity of its disk.
     pub disk: u64,
 }
 
-/// The replicated state: the configuration, and who votes on what follows. Each state replaces all before it, so it is
-/// its own snapshot.
+/// Replicated state: the configuration and the voters. Each state replaces its predecessor, so it is also
+/// the snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// Who votes.
+    /// Voters; majorities are counted among them.
     pub voters: Vec<Member>,
-    /// The voter whose place another has taken: it is removed with the next change, whoever leads by then.
+    /// Voter that has been replaced. The next membership change removes it, also under a new leader.
     #[serde(rename = "outgoing")]
     pub outgoing_voter: Option<Member>,
-    /// The configuration store, encoded; opaque here.
+    /// Encoded configuration store, opaque to the protocol.
     #[serde(rename = "book")]
     pub config: Bytes,
 }
 
-/// Between consensus members.
+/// Message between consensus nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A candidate asks for a vote.
+    /// Vote request of a candidate.
     RequestVote {
-        /// The term that it wants to lead.
+        /// Term of the election.
         term: u64,
-        /// The position of its newest state.
+        /// Position of the candidate's newest state.
         last: LogId,
-        /// Only asks whether a campaign could succeed; binds nobody.
+        /// `true` for a pre-vote, which does not bind the voter.
         #[serde(rename = "pre")]
         is_pre_vote: bool,
     },
-    /// The answer to it.
+    /// Reply to `RequestVote`.
     VoteReply {
-        /// The term asked for, or the voter's own where it is later.
+        /// Requested term. If a pre-vote is rejected, the voter's current term.
         term: u64,
-        /// Whether the vote is given.
+        /// `true` if the vote is granted.
         granted: bool,
-        /// Answers a pre-vote.
+        /// `true` in reply to a pre-vote.
         #[serde(rename = "pre")]
         is_pre_vote: bool,
-        /// The identity of the voter's disk.
+        /// Identity of the voter's disk.
         disk: u64,
     },
-    /// From the leader in each heartbeat round.
+    /// Heartbeat of the leader, sent in each round.
     Append {
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
-        /// The number of the round, echoed by the reply.
+        /// Number of the heartbeat round, echoed in the reply.
         round: u64,
-        /// The position of the leader's newest state.
+        /// Position of the leader's newest state.
         last: LogId,
-        /// That state, where the recipient lacks it.
+        /// State at position `last`, if the leader expects that the recipient lacks it.
         state: Option<ReplicatedState>,
-        /// The newest committed position.
+        /// Newest committed position.
         committed: LogId,
-        /// The recipient's own clock as last heard, in nanoseconds; 0 where it was not heard.
+        /// Clock of the recipient from its last reply, in nanoseconds; 0 before its first reply.
         #[serde(rename = "echo")]
         clock_echo: u64,
-        /// How long before the arrival of that clock the leader was confirmed by a quorum, in nanoseconds.
+        /// Time from the leader's last confirmation by a quorum to the arrival of that reply, in
+        /// nanoseconds. `None` before the first reply, and until a state of the leader's term is committed.
         #[serde(rename = "fresh")]
         confirmed_ns_ago: Option<u64>,
     },
-    /// To the leader.
+    /// Reply to `Append`.
     AppendReply {
-        /// The sender's term.
+        /// Term of the sender.
         term: u64,
-        /// The round that it answers.
+        /// Number of the answered round; 0 if the round had an earlier term.
         round: u64,
-        /// The position of what is synced on the sender's disk.
+        /// Newest position that is synced on the sender's disk.
         stored: LogId,
-        /// The identity of that disk.
+        /// Identity of that disk.
         disk: u64,
-        /// The sender's steady clock, in nanoseconds.
+        /// Monotonic clock of the sender, in nanoseconds.
         clock: u64,
     },
-    /// Leadership transfer: the recipient campaigns at once.
+    /// Leadership transfer: the recipient starts an election at once.
     TimeoutNow {
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
     },
-    /// To the leader: the sender shuts down and asks to be replaced.
+    /// Request to the leader for a replacement, as the sender shuts down.
     #[serde(rename = "Leaving")]
     LeaveRequest {
-        /// The identity of the sender's disk.
+        /// Identity of the sender's disk.
         disk: u64,
     },
 }
--- a/crates/protocol/src/digest.rs
+++ b/crates/protocol/src/digest.rs
@@ -1,16 +1,16 @@
-//! Digests of stored data and of messages: the first 16 bytes of BLAKE3, the same in every build.
+//! Digests of stored data and of messages: the first 16 bytes of a BLAKE3 hash.
 
-/// Bytes of a digest.
+/// Length of a digest, in bytes.
 pub const LENGTH: usize = 16;
 
-/// Input is fed in pieces of one BLAKE3 chunk: a longer piece is hashed in many lanes at once, which needs more stack than
-/// a coroutine has.
-const PIECE: usize = 1024;
+/// Length of a BLAKE3 chunk, in bytes. Longer inputs to one `update` are hashed in several lanes at once,
+/// which needs more stack than a coroutine has.
+const CHUNK_LEN: usize = 1024;
 
-/// The digest of the concatenated parts.
+/// Returns the digest of the concatenated parts.
 pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> [u8; LENGTH] {
     let mut hasher = blake3::Hasher::new();
-    for piece in parts.into_iter().flat_map(|part| part.chunks(PIECE)) {
+    for piece in parts.into_iter().flat_map(|part| part.chunks(CHUNK_LEN)) {
         hasher.update(piece);
     }
     let digest = hasher.finalize();
--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -1,21 +1,21 @@
-//! Frames between the system's own processes: a length of four bytes, big-endian, then CBOR.
+//! Frames between the system's own processes: a four-byte big-endian length, followed by a CBOR body.
 
 use std::fmt;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The longest body of a frame, in bytes. A longer one is not from a process of this system.
+/// Maximum length of a frame body, in bytes. `decode` rejects longer frames.
 pub const MAX_FRAME_LEN: usize = 16 << 20;
 
 const LENGTH_PREFIX: usize = 4;
 
-/// Bytes that are no frame of this protocol. The connection that brought them can't be read on.
+/// Error of `decode`. The position of the next frame is unknown, so the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// The length prefix exceeds `MAX_FRAME_LEN`.
     TooLong,
-    /// The body is no message of the expected type.
+    /// The body does not decode as a message of the expected type.
     Malformed,
 }
 
@@ -23,23 +23,25 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             FrameError::TooLong => write!(f, "frame longer than {MAX_FRAME_LEN} bytes"),
-            FrameError::Malformed => f.write_str("frame is no message of this protocol"),
+            FrameError::Malformed => f.write_str("frame body is not a valid message of this protocol"),
         }
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// Appends the frame of a message to the buffer.
+/// Appends a message to the buffer as a frame.
 pub fn encode<T: Serialize>(message: &T, out: &mut Vec<u8>) {
     let start = out.len();
     out.extend_from_slice(&[0; LENGTH_PREFIX]);
-    ciborium::into_writer(message, &mut *out).expect("messages encode, and memory takes them");
+    ciborium::into_writer(message, &mut *out)
+        .expect("message types encode to CBOR, and writing to a Vec does not fail");
     let length = (out.len() - start - LENGTH_PREFIX) as u32;
     out[start..start + LENGTH_PREFIX].copy_from_slice(&length.to_be_bytes());
 }
 
-/// The first message of the buffer with the length of its frame, or None until the frame is complete.
+/// Decodes the first frame of the buffer. Returns the message and the length of its frame in bytes, or
+/// `None` if the frame is incomplete.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<Option<(T, usize)>, FrameError> {
     let Some(prefix) = bytes.first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,10 @@
-//! What the system's processes exchange: messages, the frames that carry them, and digests of what is stored or sent.
-//! Encoding only: no socket, no clock, no thread, and no decision.
+//! Messages between the system's processes, their frames, and digests of stored or sent data.
 //!
-//! The CBOR form of every type here lies on disks or goes between processes of different builds. A field or variant whose
-//! Rust name changes keeps its stored name by `#[serde(rename = "…")]`; `tests/golden.rs` holds that.
+//! Only types and their encoding: no sockets, clocks or threads.
+//!
+//! The CBOR encoding of these types is stored on disks and exchanged between processes of different builds.
+//! A renamed field or variant keeps its stored name with `#[serde(rename = "…")]`; `tests/golden.rs` checks
+//! the stored names.
 #![forbid(unsafe_code)]
 
 pub mod consensus;
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the system's processes. Times are spans, never times of day: what one process knows of another's
-//! clock it has from an echo of its own.
+//! Messages between the system's processes. They carry durations and no wall-clock times: a clock value is
+//! only meaningful to the process that sent it, and is echoed back to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::consensus::Message;
 
-/// Opaque bytes, shared between the copies of a message.
+/// Opaque bytes, shared between the clones of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bytes(pub Arc<Vec<u8>>);
 
@@ -37,148 +37,150 @@
     }
 }
 
-/// The state of a worker instance.
+/// State of a worker instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// Its heartbeats have been missing for too long.
+    /// No heartbeat was received within the time-out.
     #[serde(rename = "Silent")]
     Unresponsive,
-    /// It has said that it ends; final.
+    /// Deregistered by the instance itself; final.
     #[serde(rename = "Gone")]
     Deregistered,
 }
 
-/// A worker instance as of its last heartbeat. Another start of the same worker is another instance with another id.
+/// Worker instance as of its last heartbeat. Each start of a worker is a new instance with a new id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Unique over all instances there ever were.
+    /// Unique id, never reused.
     pub id: String,
-    /// The service that it belongs to.
+    /// Name of its service.
     pub service: String,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// The zone that it runs in.
+    /// Zone in which it runs.
     pub zone: String,
-    /// How many requests it can work on at once.
+    /// Number of requests that it can process concurrently.
     pub capacity: u32,
-    /// Its state.
+    /// Current state.
     #[serde(rename = "standing")]
     pub state: InstanceState,
-    /// For how much longer it is warming up, in milliseconds, as of when this message is sent.
+    /// Remaining warm-up time when this message is sent, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub warming_up_ms: u64,
-    /// Rises with each call of the instance; orders its heartbeats.
+    /// Sequence number of the instance's call to a controller; orders its heartbeats.
     #[serde(rename = "seq")]
     pub call_seq: u64,
-    /// The age of its last heartbeat, in milliseconds.
+    /// Age of its last heartbeat, in milliseconds.
     #[serde(rename = "heard_ms")]
     pub heartbeat_age_ms: u64,
-    /// It has sent no heartbeat since something after which it may be cold and not have been able to say so.
+    /// `true` if no heartbeat was received since an event after which the instance may be warming up again.
     #[serde(rename = "unconfirmed", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_unconfirmed: bool,
 }
 
-/// What one proxy admitted and rejected for a tenant since it last reported.
+/// Numbers of requests that one proxy admitted and rejected for a tenant since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantUsage {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Requests that got a token.
+    /// Requests that obtained a token.
     #[serde(rename = "passed")]
     pub admitted: u32,
-    /// Requests rejected for want of a token.
+    /// Requests rejected for lack of a token.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// How long ago it was counted, in milliseconds: above 0 where no leading controller was reachable since.
+    /// Age of the counts in milliseconds; above 0 if no leader could be reached since.
     #[serde(rename = "ago_ms")]
     pub age_ms: u32,
 }
 
-/// One start of a proxy, as the directory needs it.
+/// Proxy process, as listed in the directory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxyInfo {
-    /// The name of its machine.
+    /// Name of its machine.
     pub node: String,
-    /// The zone that it runs in.
+    /// Zone in which it runs.
     pub zone: String,
-    /// The zone's region.
+    /// Region of the zone.
     pub region: String,
-    /// Where clients connect.
+    /// Address to which clients connect.
     #[serde(rename = "front")]
     pub client_address: SocketAddr,
-    /// Drawn at its start: tells one start from another.
+    /// Random number generated at each start, which distinguishes restarts of the proxy.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// The share of one tenant's quota that one proxy may spend.
+/// Share of a tenant's quota that is allocated to one proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaShare {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// From 0 to 1 of the whole quota; NaN where the share before stays.
+    /// Fraction of the whole quota, from 0 to 1; NaN keeps the previous fraction.
     #[serde(rename = "part")]
     pub fraction: f32,
-    /// The quota is used up by all proxies together: reject everything for this long, in milliseconds.
+    /// Time for which the proxy rejects all requests of the tenant, in milliseconds, as all proxies
+    /// together have used up the quota; 0 if it is not blocked.
     #[serde(rename = "closed_ms")]
     pub blocked_ms: u32,
-    /// Save up no burst for this long, in milliseconds.
+    /// Time for which the token bucket accumulates no burst, in milliseconds; 0 if the tenant is not
+    /// throttled.
     #[serde(rename = "tight_ms")]
     pub throttled_ms: u32,
 }
 
-/// Whether clients may connect to a proxy.
+/// Readiness of a proxy for client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Readiness {
-    /// It serves.
+    /// Serves requests with a confirmed configuration.
     Ready,
-    /// Its configuration is not confirmed any more; it serves on by what it has.
+    /// Serves requests with a configuration that is no longer confirmed.
     Stale,
-    /// It can't serve yet, or not before its configuration is confirmed again.
+    /// Can't serve requests until it has a confirmed configuration.
     Starting,
-    /// It shuts down gracefully.
+    /// Shuts down gracefully.
     #[serde(rename = "Leaving")]
     ShuttingDown,
-    /// Its connection has ended, or is silent.
+    /// Its connection to the controller was closed or timed out.
     #[serde(rename = "Gone")]
     Disconnected,
 }
 
-/// How a proxy was last heard by one controller.
+/// Status of a proxy, as last received by one controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxyStatus {
-    /// Which proxy.
+    /// The proxy.
     #[serde(rename = "edge")]
     pub proxy: ProxyInfo,
-    /// What it last said.
+    /// Readiness last reported.
     pub readiness: Readiness,
 }
 
-/// A proxy's heartbeat. To the leader it also reports usage and, where that one has just begun to lead, which shares of
-/// quotas it holds.
+/// Heartbeat of a proxy. Usage and held quota shares are sent to the leader only.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxyHeartbeat {
-    /// The proxy's own steady clock, in nanoseconds; comes back in the acknowledgement.
+    /// Monotonic clock of the proxy, in nanoseconds; echoed in the acknowledgement.
     pub clock: u64,
-    /// The revision of the configuration that it has, 0 where it needs a snapshot.
+    /// Revision of its configuration; 0 if it needs a snapshot.
     #[serde(rename = "have")]
     pub revision: u64,
-    /// Whether clients may connect.
+    /// Readiness for client connections.
     pub readiness: Readiness,
-    /// The number of the quota shares that it received last.
+    /// Highest number of the `QuotaShares` messages that it received on this connection.
     #[serde(rename = "got")]
     pub received_shares_number: u64,
-    /// The revision of the proxy membership that it has held for as long as a confirmation of one may be old; 0 for none.
+    /// Revision of the proxy membership that it has held for at least the maximum age of a confirmation; 0
+    /// for none.
     #[serde(rename = "membership", default, skip_serializing_if = "is_zero")]
     pub membership_revision: u64,
     /// Usage since the last report.
     #[serde(rename = "counts")]
     pub usage: Vec<TenantUsage>,
-    /// Tenant and fraction of each share that it holds, where the leader does not know them yet.
+    /// Tenant and fraction of each share that it holds; `None` if already sent to this leader.
     #[serde(rename = "holds")]
     pub held_shares: Option<Vec<(String, f32)>>,
 }
@@ -187,116 +189,118 @@
     *number == 0
 }
 
-/// To a controller, from a proxy or from another controller.
+/// Message to a controller, from a proxy or from another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToController {
-    /// A proxy subscribes to configuration, instances and quota shares.
+    /// Subscription of a proxy to configuration, instances and quota shares.
     #[serde(rename = "Hello")]
     Subscribe {
-        /// Who subscribes.
+        /// The subscribing proxy.
         #[serde(rename = "edge")]
         proxy: ProxyInfo,
-        /// It needs a snapshot of all instances.
+        /// `true` to request a snapshot of all instances.
         #[serde(rename = "lives")]
         wants_instances: bool,
     },
-    /// Every second, and when something changed.
+    /// Periodic heartbeat of a proxy, also sent early after a change.
     #[serde(rename = "Ping")]
     Heartbeat(ProxyHeartbeat),
-    /// Opens a connection between controllers, and is repeated as a heartbeat. A connection that was cut may stay open
-    /// and deliver nothing: only the other end can tell.
+    /// First message on a connection between controllers, repeated as a heartbeat. A partitioned connection
+    /// can stay open without delivering anything, which only the recipient can detect.
     #[serde(rename = "Core")]
     PeerHeartbeat {
-        /// The sender's control address.
+        /// Control address of the sender.
         from: SocketAddr,
-        /// The sender has heard the recipient a moment ago.
+        /// `true` if the sender has recently received a heartbeat of the recipient.
         #[serde(rename = "hears")]
         hears_recipient: bool,
-        /// Controllers that the sender heard a moment ago: a newcomer may not have been told of the leader.
+        /// Controllers from which the sender has recently received a heartbeat, so that a new controller
+        /// finds the leader.
         #[serde(rename = "others")]
         known_peers: Vec<SocketAddr>,
     },
-    /// Proxies that are connected to the sender.
+    /// Status of the proxies that are connected to the sender.
     #[serde(rename = "Sightings")]
     ProxyStatuses {
-        /// All of them in a snapshot, else what changed.
+        /// All proxies in a snapshot, otherwise the changed ones.
         #[serde(rename = "sightings")]
         statuses: Vec<ProxyStatus>,
-        /// Replaces all that the sender said before.
+        /// `true` if the statuses replace all earlier ones from this sender.
         #[serde(rename = "whole")]
         is_snapshot: bool,
-        /// The sender has been up long enough for every proxy to have connected to it.
+        /// `true` if the sender has been running long enough for every proxy to have connected to it.
         #[serde(rename = "has_gathered")]
         is_complete: bool,
     },
-    /// A message of the consensus protocol.
+    /// Message of the consensus protocol.
     #[serde(rename = "Agreement")]
     Consensus(Message),
-    /// Instances that sent a heartbeat to, or were found unresponsive by, the sender.
+    /// Instances whose heartbeats the sender received or which it detected as unresponsive. At the start of
+    /// a connection, all instances known to the sender.
     #[serde(rename = "Heard")]
     InstanceUpdates(Vec<Instance>),
 }
 
-/// To a proxy, from a controller that it subscribes to.
+/// Message from a controller to a subscribed proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToProxy {
-    /// A committed configuration.
+    /// Committed configuration.
     #[serde(rename = "Book")]
     Config {
-        /// Rises with each accepted command.
+        /// Revision, incremented by each accepted command.
         #[serde(rename = "index")]
         revision: u64,
-        /// Snapshot or delta (`lynxstair_control_state::config_update`).
+        /// Encoded snapshot or delta (`lynxstair_control_state::config_update`).
         #[serde(rename = "state")]
         update: Bytes,
     },
     /// Worker instances.
     #[serde(rename = "Lives")]
     Instances {
-        /// All that are known in a snapshot, else what changed.
+        /// All known instances in a snapshot, otherwise the changed ones.
         #[serde(rename = "lives")]
         instances: Vec<Instance>,
-        /// Whether it is a snapshot.
+        /// `true` if the instances are a snapshot.
         #[serde(rename = "whole")]
         is_snapshot: bool,
     },
-    /// Acknowledges a heartbeat.
+    /// Acknowledgement of a heartbeat.
     #[serde(rename = "Pong")]
     HeartbeatAck {
-        /// As it came in the heartbeat.
+        /// Clock of the proxy from the heartbeat, in nanoseconds.
         clock: u64,
-        /// The newest revision committed as far as the sender knows.
+        /// Newest revision that the sender knows to be committed.
         #[serde(rename = "index")]
         revision: u64,
-        /// How many milliseconds before the heartbeat arrived it was certain that no newer revision was committed; None
-        /// where the sender does not know.
+        /// Time since this revision was last confirmed to be the newest committed one, in milliseconds.
+        /// `None` if the sender has no such confirmation.
         #[serde(rename = "fresh")]
         confirmed_ms_ago: Option<u64>,
-        /// The sender leads, in contact with a quorum.
+        /// `true` if the sender leads and has quorum contact.
         #[serde(rename = "leads")]
         is_leader: bool,
-        /// No instance that the sender knows as ready is unconfirmed.
+        /// `true` if the sender leads and has no unconfirmed ready instance.
         #[serde(rename = "knows_lives", default, skip_serializing_if = "std::ops::Not::not")]
         knows_instances: bool,
     },
-    /// From the leader: quota shares that changed.
+    /// Changed quota shares, sent by the leader.
     #[serde(rename = "Shares")]
     QuotaShares {
-        /// Comes back in the next heartbeat; 0 where none is expected.
+        /// Number that the proxy returns in its heartbeats; 0 if no acknowledgement is expected.
         number: u64,
-        /// The shares.
+        /// Changed shares.
         shares: Vec<QuotaShare>,
     },
-    /// From the leader: how many proxies there are in each zone.
+    /// Number of proxies in each zone, sent by the leader.
     #[serde(rename = "Zones")]
     ProxyCounts(Vec<(String, u32)>),
-    /// The control addresses of controllers.
+    /// Known controllers.
     #[serde(rename = "Huts")]
     Controllers {
-        /// The addresses.
+        /// Control addresses.
         #[serde(rename = "huts")]
         controllers: Vec<SocketAddr>,
-        /// These are all, as the leader says.
+        /// `true` if the list is complete, which only a leader can claim.
         #[serde(rename = "whole")]
         is_complete: bool,
     },
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The names and forms that messages have between processes: files that the build of 2026-12-02 wrote, read and written
-//! again. A field or variant that is renamed keeps its stored name. `WRITE_GOLDEN=1` writes files that are missing.
+//! Compatibility of the message encoding: guards against renamed or removed fields and variants. Golden
+//! files are decoded and encoded again. `WRITE_GOLDEN=1` creates missing files.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,18 +14,19 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A value's frame equals the stored one, and the stored one reads as the value.
+/// Checks that the value encodes to the golden file and that the golden file decodes to the value.
 fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.cbor"));
     let mut written = Vec::new();
     frames::encode(value, &mut written);
     if !path.exists() && std::env::var_os("WRITE_GOLDEN").is_some() {
-        std::fs::create_dir_all(path.parent().expect("a folder")).expect("made");
-        std::fs::write(&path, &written).expect("written");
+        std::fs::create_dir_all(path.parent().expect("path has a parent directory"))
+            .expect("creates the directory");
+        std::fs::write(&path, &written).expect("writes the golden file");
     }
     let stored = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    assert_eq!(written, stored, "{name}: written otherwise than it is stored");
-    let (read, length) = frames::decode::<T>(&stored).expect("a frame of ours").expect("a whole frame");
+    assert_eq!(written, stored, "{name}: encoded message differs from the golden file");
+    let (read, length) = frames::decode::<T>(&stored).expect("valid frame").expect("complete frame");
     assert_eq!((&read, length), (value, stored.len()), "{name}");
 }
 
@@ -33,7 +34,7 @@
     SocketAddr::from(([10, 0, 0, n], 8383))
 }
 
-fn edge() -> ProxyInfo {
+fn proxy_info() -> ProxyInfo {
     ProxyInfo {
         node: "edge-1".into(),
         zone: "zone-1".into(),
@@ -43,14 +44,14 @@
     }
 }
 
-fn life(standing: InstanceState) -> Instance {
+fn instance(instance_state: InstanceState) -> Instance {
     Instance {
         id: "i-1".into(),
         service: "s".into(),
         address: address(9),
         zone: "zone-1".into(),
         capacity: 6,
-        state: standing,
+        state: instance_state,
         warming_up_ms: 1500,
         call_seq: 12,
         heartbeat_age_ms: 250,
@@ -58,16 +59,16 @@
     }
 }
 
-fn ping(readiness: Readiness, holds: Option<Vec<(String, f32)>>) -> ProxyHeartbeat {
-    let count = TenantUsage { tenant: "t".into(), admitted: 5, rejected: 2, age_ms: 30 };
+fn heartbeat(readiness: Readiness, shares: Option<Vec<(String, f32)>>) -> ProxyHeartbeat {
+    let usage = TenantUsage { tenant: "t".into(), admitted: 5, rejected: 2, age_ms: 30 };
     ProxyHeartbeat {
         clock: 123_456_789,
         revision: 4,
         readiness,
         received_shares_number: 3,
         membership_revision: 0,
-        usage: vec![count],
-        held_shares: holds,
+        usage: vec![usage],
+        held_shares: shares,
     }
 }
 
@@ -108,15 +109,15 @@
 
 #[test]
 fn messages_to_controllers_keep_their_stored_names() {
-    let sighting = |readiness| ProxyStatus { proxy: edge(), readiness };
-    check("to-controller-hello", &ToController::Subscribe { proxy: edge(), wants_instances: true });
+    let status = |readiness| ProxyStatus { proxy: proxy_info(), readiness };
+    check("to-controller-hello", &ToController::Subscribe { proxy: proxy_info(), wants_instances: true });
     check(
         "to-controller-ping",
-        &ToController::Heartbeat(ping(Readiness::Ready, Some(vec![("t".into(), 0.25)]))),
+        &ToController::Heartbeat(heartbeat(Readiness::Ready, Some(vec![("t".into(), 0.25)]))),
     );
-    let with_membership = ProxyHeartbeat { membership_revision: 7, ..ping(Readiness::Ready, None) };
+    let with_membership = ProxyHeartbeat { membership_revision: 7, ..heartbeat(Readiness::Ready, None) };
     check("to-controller-ping-membership", &ToController::Heartbeat(with_membership));
-    check("to-controller-ping-stale", &ToController::Heartbeat(ping(Readiness::Stale, None)));
+    check("to-controller-ping-stale", &ToController::Heartbeat(heartbeat(Readiness::Stale, None)));
     check(
         "to-controller-core",
         &ToController::PeerHeartbeat {
@@ -132,10 +133,10 @@
         Readiness::ShuttingDown,
         Readiness::Disconnected,
     ];
-    let sightings = all.map(sighting).to_vec();
+    let all_statuses = all.map(status).to_vec();
     check(
         "to-controller-sightings",
-        &ToController::ProxyStatuses { statuses: sightings, is_snapshot: true, is_complete: false },
+        &ToController::ProxyStatuses { statuses: all_statuses, is_snapshot: true, is_complete: false },
     );
     let all = [
         InstanceState::Ready,
@@ -143,7 +144,7 @@
         InstanceState::Unresponsive,
         InstanceState::Deregistered,
     ];
-    check("to-controller-heard", &ToController::InstanceUpdates(all.map(life).to_vec()));
+    check("to-controller-heard", &ToController::InstanceUpdates(all.map(instance).to_vec()));
 }
 
 #[test]
@@ -152,7 +153,7 @@
     check("to-proxy-book", &ToProxy::Config { revision: 4, update: Bytes(Arc::new(vec![4, 5])) });
     check(
         "to-proxy-lives",
-        &ToProxy::Instances { instances: vec![life(InstanceState::Ready)], is_snapshot: false },
+        &ToProxy::Instances { instances: vec![instance(InstanceState::Ready)], is_snapshot: false },
     );
     check(
         "to-proxy-pong",
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,7 @@
-//! Connections between the system's own processes: CBOR frames on one TCP connection. Writes never wait; a connection that
-//! breaks is reopened by the side that opened it. What was in flight is lost then, and both sides know that.
+//! TCP connections that carry CBOR frames between the system's own processes.
+//!
+//! Writes never block. A failed connection is reopened by the side that opened it; messages in flight are
+//! lost, and the protocols on both sides expect that.
 #![deny(unsafe_code)]
 
 use std::io::Write;
@@ -13,13 +15,13 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The buffer of one direction, in bytes: it holds the longest frame.
+/// Buffer size for one direction of a connection, in bytes; holds the longest frame.
 pub const MAX_BUFFER_LEN: usize = frames::MAX_FRAME_LEN + 4;
-/// A connection ends if bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
+/// Time after which a connection with unacknowledged bytes is closed (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// Opens a connection; None where that fails or takes longer than `timeout`. The time-out should be little more than the
-/// longest round trip: a lost opening packet is repeated after seconds only.
+/// Opens a connection. Returns `None` if it fails or takes longer than `timeout`, which should be slightly
+/// longer than the longest round trip: a lost SYN packet is retransmitted only after a second or more.
 pub fn connect(alarms: &Alarms, to: SocketAddr, timeout: Span) -> Option<Arc<Connection>> {
     let connection = Arc::new(Connection::open(to, MAX_BUFFER_LEN).ok()?);
     let deadline = alarms.now() + timeout;
@@ -32,22 +34,22 @@
     Some(connection)
 }
 
-/// How a connection is kept open.
+/// Time-out and retry delays of `keep_connected`.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconnectPolicy {
-    /// How long an attempt to connect may take.
+    /// Time-out of a connection attempt.
     pub connect_timeout: Span,
-    /// The pause after a connection has ended, and after the first failed attempt.
+    /// Delay before reconnecting after a connection has ended; each failed attempt increases it.
     pub min_delay: Span,
-    /// The longest pause, after many failed attempts.
+    /// Upper bound of the delay.
     pub max_delay: Span,
 }
 
-/// Each failed attempt makes the next pause longer by this factor.
+/// Factor by which each failed attempt increases the delay.
 const BACKOFF_FACTOR: f64 = 1.25;
 
-/// Keeps a connection open for as long as it is wanted. Each one is served, and closed once `serve` returns; for a
-/// coroutine of its own.
+/// Keeps a connection open while `is_wanted` returns `true`. Runs `serve` on each connection and closes it
+/// when `serve` returns. Blocks, so it runs in a coroutine of its own.
 pub fn keep_connected(
     alarms: &Alarms,
     to: SocketAddr,
@@ -69,32 +71,33 @@
     }
 }
 
-/// Has the kernel end a connection whose bytes nobody acknowledges.
+/// Makes the kernel close the connection if sent bytes are not acknowledged within `UNACKNOWLEDGED_TIMEOUT`.
 pub fn limit_unacknowledged(connection: &Connection) {
     connection.set_unacknowledged_timeout(UNACKNOWLEDGED_TIMEOUT);
 }
 
-/// A message encoded as a frame, for several connections perhaps.
+/// Encodes a message as a frame, which can be written to several connections.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut out = Vec::new();
     frames::encode(message, &mut out);
     out
 }
 
-/// Writes a frame without waiting. The connection is closed where more than `max_unsent` bytes are still unsent, as
-/// nobody reads at its other end.
+/// Writes a frame without blocking. Closes the connection instead if more than `max_unsent` bytes are still
+/// unsent, as the peer is not reading, or if the write fails.
 pub fn write(connection: &Connection, frame: &[u8], max_unsent: usize) {
     if connection.unsent() > max_unsent || connection.write(|out| out.write_all(frame)).is_err() {
         connection.close();
     }
 }
 
-/// Reads messages until the connection ends or `handle` returns false.
+/// Reads messages until the connection ends, a frame is invalid or `handle` returns `false`.
 pub fn read<T: DeserializeOwned>(connection: &Connection, mut handle: impl FnMut(T) -> bool) {
     read_with_wakeups(connection, |message: Option<T>| message.is_none_or(&mut handle));
 }
 
-/// The same, where `handle` is also called with None at each wake-up, before what arrived is decoded.
+/// Like [`read`], but also calls `handle` with `None` at each wake-up, before the received bytes are
+/// decoded.
 pub fn read_with_wakeups<T: DeserializeOwned>(
     connection: &Connection,
     mut handle: impl FnMut(Option<T>) -> bool,
@@ -109,7 +112,7 @@
                 Ok(None) => break,
                 Ok(Some((message, length))) => {
                     inbound.consume(length);
-                    // The handler may write to this connection.
+                    // Releases the read buffer: the handler may use this connection.
                     drop(inbound);
                     if !handle(Some(message)) {
                         return;
