--- a/crates/control-state/src/directory.rs
+++ b/crates/control-state/src/directory.rs
@@ -75,7 +75,7 @@
 
     /// Another controller was heard. What it said stands while it is heard: the end of one of its connections says
     /// nothing, as it may have opened another before.
-    pub fn on_controller_heard(&mut self, now: Time, controller: SocketAddr) {
+    pub fn on_controller_contact(&mut self, now: Time, controller: SocketAddr) {
         if let Some(view) = self.remote.get_mut(&controller) {
             view.heard_at = now;
         }
--- a/crates/control-state/src/instance_registry.rs
+++ b/crates/control-state/src/instance_registry.rs
@@ -22,7 +22,7 @@
 const REPORT_HEARTBEATS: f64 = 1.6;
 
 /// How long workers may need to say that they have turned cold.
-pub fn report_time(heartbeat_period: Span) -> Span {
+pub fn max_report_delay(heartbeat_period: Span) -> Span {
     heartbeat_period.times(REPORT_HEARTBEATS)
 }
 
@@ -44,7 +44,7 @@
     /// Of its newest heartbeat.
     pub call_seq: u64,
     /// When that was received.
-    pub heard_at: Time,
+    pub last_heartbeat_at: Time,
     /// It has sent no heartbeat since something after which it may be cold and not have been able to say so.
     pub is_unconfirmed: bool,
 }
@@ -75,7 +75,7 @@
     /// Takes over what is said of an instance; returns whether it changes anything that proxies act on. What is older
     /// than the newest heartbeat is ignored, and so is all that comes after the end.
     pub fn update(&mut self, now: Time, instance: &Instance) -> bool {
-        let heard_at = now.saturating_sub(Span::from_millis(instance.heartbeat_age_ms));
+        let last_heartbeat_at = now.saturating_sub(Span::from_millis(instance.heartbeat_age_ms));
         let Some(known) = self.instances.get_mut(&instance.id) else {
             self.instances.insert(instance.id.clone(), RegisteredInstance::new(now, instance));
             return true;
@@ -85,7 +85,7 @@
         }
         if instance.state == InstanceState::Deregistered {
             known.state = InstanceState::Deregistered;
-            known.heard_at = now;
+            known.last_heartbeat_at = now;
             return true;
         }
         if instance.call_seq < known.call_seq {
@@ -95,12 +95,12 @@
         let becomes_unresponsive =
             instance.state == InstanceState::Unresponsive && known.state != InstanceState::Unresponsive;
         if is_repeated && !becomes_unresponsive {
-            known.heard_at = known.heard_at.max(heard_at);
+            known.last_heartbeat_at = known.last_heartbeat_at.max(last_heartbeat_at);
             let is_changed = known.is_unconfirmed != instance.is_unconfirmed;
             known.is_unconfirmed = instance.is_unconfirmed;
             return is_changed;
         }
-        known.advance(now, instance, heard_at)
+        known.advance(now, instance, last_heartbeat_at)
     }
 
     /// Instances may be cold and not have been able to say so: each is confirmed by its next heartbeat.
@@ -120,7 +120,7 @@
         let known = self.instances.get_mut(id)?;
         if known.state != InstanceState::Deregistered {
             known.state = InstanceState::Deregistered;
-            known.heard_at = now;
+            known.last_heartbeat_at = now;
         }
         self.get(now, id)
     }
@@ -131,7 +131,7 @@
         self.instances.retain(|_, instance| {
             let is_ready = instance.state == InstanceState::Ready;
             let retention = if is_ready { READY_RETENTION } else { ENDED_RETENTION };
-            now - instance.heard_at < retention + timeout
+            now - instance.last_heartbeat_at < retention + timeout
         });
     }
 
@@ -146,7 +146,7 @@
         let timeout = heartbeat_period.times(MISSED_HEARTBEATS);
         let mut unresponsive = Vec::new();
         for (id, instance) in &mut self.instances {
-            let silent_since = instance.heard_at.max(counts_from);
+            let silent_since = instance.last_heartbeat_at.max(counts_from);
             if instance.state == InstanceState::Ready && now - silent_since > timeout {
                 instance.state = InstanceState::Unresponsive;
                 unresponsive.push(id.clone());
@@ -173,7 +173,7 @@
             state: known.state,
             warming_up_ms: (known.warming_until - now).nanos() / 1_000_000,
             call_seq: known.call_seq,
-            heartbeat_age_ms: (now - known.heard_at).nanos() / 1_000_000,
+            heartbeat_age_ms: (now - known.last_heartbeat_at).nanos() / 1_000_000,
             is_unconfirmed: known.is_unconfirmed,
         })
     }
@@ -194,13 +194,13 @@
             state: instance.state,
             warming_until: warming_until(now, instance),
             call_seq: instance.call_seq,
-            heard_at: now.saturating_sub(Span::from_millis(instance.heartbeat_age_ms)),
+            last_heartbeat_at: now.saturating_sub(Span::from_millis(instance.heartbeat_age_ms)),
             is_unconfirmed: instance.is_unconfirmed,
         }
     }
 
     /// Takes over a newer heartbeat; returns whether it changes anything that proxies act on.
-    fn advance(&mut self, now: Time, instance: &Instance, heard_at: Time) -> bool {
+    fn advance(&mut self, now: Time, instance: &Instance, last_heartbeat_at: Time) -> bool {
         // An instance that drains does so to its end.
         let state = match self.state {
             InstanceState::Draining => InstanceState::Draining,
@@ -213,7 +213,7 @@
             || instance.is_unconfirmed != self.is_unconfirmed
             || self.differs_in_warm_up(now, warming_until);
         self.call_seq = instance.call_seq;
-        self.heard_at = self.heard_at.max(heard_at);
+        self.last_heartbeat_at = self.last_heartbeat_at.max(last_heartbeat_at);
         self.state = state;
         self.warming_until = warming_until;
         self.address = instance.address;
--- a/crates/control-state/src/membership_planner.rs
+++ b/crates/control-state/src/membership_planner.rs
@@ -5,9 +5,9 @@
 //!
 //! - A proxy acts on a membership only while a controller has confirmed to it, within [`MEMBERSHIP_VALIDITY`] by its own
 //!   steady clock, that nothing newer had been committed. A process that begins needs a confirmation that is at most
-//!   [`CONFIRMATION_AGE`] old.
+//!   [`MAX_CONFIRMATION_AGE`] old.
 //! - A change under way stands until no proxy acts on the membership before it any more. Either each of its members has
-//!   reported that it holds the change, and has done so for [`CONFIRMATION_AGE`]: then whatever process of that member
+//!   reported that it holds the change, and has done so for [`MAX_CONFIRMATION_AGE`]: then whatever process of that member
 //!   begins after the one that reported finds the change confirmed, or nothing. Or the validity has passed.
 //!
 //! So at any moment, and over any second, proxies act on at most two memberships that follow each other, and one of the
@@ -23,7 +23,7 @@
 /// the controllers, as proxies serve on by it; members that are gone for good delay a change by so much.
 pub const MEMBERSHIP_VALIDITY: Span = Span::from_millis(600_000);
 /// How old a confirmation may be.
-pub const CONFIRMATION_AGE: Span = Span::from_millis(1_000);
+pub const MAX_CONFIRMATION_AGE: Span = Span::from_millis(1_000);
 /// Without all reports a change is complete after this time: the validity, the age of a confirmation, and what steady
 /// clocks may differ by.
 const UNREPORTED_AFTER: Span = Span::from_millis(640_000);
--- a/crates/control-state/src/peer_set.rs
+++ b/crates/control-state/src/peer_set.rs
@@ -81,19 +81,19 @@
     }
 
     /// A peer was heard.
-    pub fn on_heard(&mut self, now: Time, peer: SocketAddr) {
+    pub fn record_contact(&mut self, now: Time, peer: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             (peer.heard_at, peer.has_spoken) = (now, true);
         }
     }
 
     /// Whether a peer was heard, or added, a moment ago.
-    pub fn hears(&self, now: Time, peer: SocketAddr) -> bool {
+    pub fn has_recent_contact(&self, now: Time, peer: SocketAddr) -> bool {
         self.peers.get(&peer).is_some_and(|peer| now - peer.heard_at < PEER_TIMEOUT)
     }
 
     /// The peers that were heard a moment ago, to be named to others: a dead one is not named to each other for ever.
-    pub fn recently_heard(&self, now: Time) -> Vec<SocketAddr> {
+    pub fn reachable_peers(&self, now: Time) -> Vec<SocketAddr> {
         let is_heard = |peer: &Peer| peer.has_spoken && now - peer.heard_at < PEER_TIMEOUT;
         self.peers.iter().filter(|(_, peer)| is_heard(peer)).map(|(address, _)| *address).collect()
     }
@@ -104,7 +104,7 @@
     }
 
     /// Drops peers that were not heard for long, but for those that something else vouches for. Returns how many.
-    pub fn drop_unheard(&mut self, now: Time, is_vouched_for: impl Fn(SocketAddr) -> bool) -> usize {
+    pub fn remove_expired(&mut self, now: Time, is_vouched_for: impl Fn(SocketAddr) -> bool) -> usize {
         let before = self.peers.len();
         self.peers.retain(|address, peer| now - peer.heard_at <= PEER_RETENTION || is_vouched_for(*address));
         before - self.peers.len()
--- a/crates/control-state/src/proxy_membership.rs
+++ b/crates/control-state/src/proxy_membership.rs
@@ -75,13 +75,13 @@
 
 /// What one member has of a number of permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct PermitShare {
     /// Whole permits; those of all members add up to the total at the most.
     pub permits: u32,
     /// Of how many: those of the item's own zone have most, all others together the rest.
-    pub of: u32,
+    pub group_total: u32,
     /// Where this member stands among those that have any, from 0 to 1: so that they need not all begin at once.
-    pub phase: f64,
+    pub start_offset: f64,
 }
 
 /// How permits are split, as one member sees it.
@@ -105,12 +105,12 @@
 
     /// This member's part of `total` permits for an item of a zone, by the item's name. Which members have one more than
     /// others, or any, differs from item to item.
-    pub fn part(&self, zone: &str, item: &str, total: u32) -> Part {
+    pub fn share(&self, zone: &str, item: &str, total: u32) -> PermitShare {
         let item = key_of(item);
         let part = |keys: &MemberKeys| {
             if zone == self.zone { keys.local_part(item, total) } else { keys.remote_part(zone, item, total) }
         };
-        let current = self.current.as_ref().map_or(Part::default(), part);
+        let current = self.current.as_ref().map_or(PermitShare::default(), part);
         let next = self.next.as_ref().map_or(current, part);
         if next.permits < current.permits { next } else { current }
     }
@@ -143,20 +143,20 @@
         if has_others { (f64::from(total) * REMOTE_FRACTION) as u32 } else { 0 }
     }
 
-    fn local_part(&self, item: u64, total: u32) -> Part {
+    fn local_part(&self, item: u64, total: u32) -> PermitShare {
         let total = total - self.remote_total(&self.own_zone, total);
         self.part_among(item, total, |zone| zone == self.own_zone)
     }
 
-    fn remote_part(&self, item_zone: &str, item: u64, total: u32) -> Part {
+    fn remote_part(&self, item_zone: &str, item: u64, total: u32) -> PermitShare {
         self.part_among(item, self.remote_total(item_zone, total), |zone| zone != item_zone)
     }
 
     /// The part of this member among those of some zones.
-    fn part_among(&self, item: u64, total: u32, is_among: impl Fn(&str) -> bool) -> Part {
-        let Some(own) = self.own else { return Part::default() };
+    fn part_among(&self, item: u64, total: u32, is_among: impl Fn(&str) -> bool) -> PermitShare {
+        let Some(own) = self.own else { return PermitShare::default() };
         let Some(own_key) = self.zones.get(&self.own_zone).and_then(|keys| keys.get(own)) else {
-            return Part::default();
+            return PermitShare::default();
         };
         let own_rank = (rank(item, *own_key), &self.own_zone, own);
         let (mut count, mut position) = (0, 0);
@@ -168,7 +168,11 @@
         let (each, more) = (total as usize / count.max(1), total as usize % count.max(1));
         let holders = if each > 0 { count } else { more };
         let permits = (each + usize::from(position < more)) as u32;
-        Part { permits, of: total, phase: if permits > 0 { position as f64 / holders as f64 } else { 0.0 } }
+        PermitShare {
+            permits,
+            group_total: total,
+            start_offset: if permits > 0 { position as f64 / holders as f64 } else { 0.0 },
+        }
     }
 }
 
--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -3,7 +3,7 @@
 //! for it.
 //!
 //! Two things keep the sum within the quota. The shares that are held anywhere never come to more than one. And where
-//! shares are so small that token buckets hold more than their share (`quota_limits::MIN_DEPTH`), the total of a sliding
+//! shares are so small that token buckets hold more than their share (`quota_limits::MIN_BUCKET_DEPTH`), the total of a sliding
 //! window, with what is not reported yet estimated from the newest reports, blocks a tenant everywhere before it exceeds
 //! what is granted.
 
@@ -43,7 +43,7 @@
 
 /// What the operators grant.
 #[derive(Clone, Copy, Debug)]
-pub struct QuotaGrant {
+pub struct QuotaTolerance {
     /// The sliding window in which usage is counted.
     pub window: Span,
     /// Requests beyond the quota in a window.
@@ -138,14 +138,14 @@
 /// The quotas of all tenants over all proxies.
 #[derive(Debug)]
 pub struct QuotaAllocator {
-    grant: QuotaGrant,
+    grant: QuotaTolerance,
     consumers: HashMap<String, QuotaConsumer>,
     windows: HashMap<String, UsageWindow>,
 }
 
 impl QuotaAllocator {
     /// An allocator that knows no proxy yet.
-    pub fn new(grant: QuotaGrant) -> QuotaAllocator {
+    pub fn new(grant: QuotaTolerance) -> QuotaAllocator {
         QuotaAllocator { grant, consumers: HashMap::new(), windows: HashMap::new() }
     }
 
--- a/crates/control-state/src/usage_window.rs
+++ b/crates/control-state/src/usage_window.rs
@@ -6,8 +6,8 @@
 use lynxstair_config::configuration::Tenant;
 use lynxstair_protocol::messages::QuotaShare;
 
-use crate::quota_allocator::QuotaGrant;
-use crate::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
+use crate::quota_allocator::QuotaTolerance;
+use crate::quota_limits::{MIN_BUCKET_DEPTH, OVERSHOOT_RATE_FRACTION, SLACK_DEPTH_FRACTION};
 
 /// Reports come a second apart, so part of the current usage is not reported yet. It is estimated as another copy of the
 /// reports of this last stretch of time.
@@ -50,13 +50,13 @@
     }
 
     /// Whether the tenant is to be blocked from now on.
-    pub fn blocks(&mut self, now: Time, grant: QuotaGrant, proxies: f64, tenant: &Tenant) -> bool {
+    pub fn blocks(&mut self, now: Time, grant: QuotaTolerance, proxies: f64, tenant: &Tenant) -> bool {
         let window = grant.window.secs();
         let quota = tenant.rate * window + tenant.burst;
         let granted = quota * (1.0 + grant.overshoot) + grant.slack;
         // Where the buckets alone can't hold more, nobody has to be blocked.
-        let depth = (tenant.burst + grant.slack * SLACK_PART).max(MIN_DEPTH * proxies);
-        if tenant.rate * window * (1.0 + grant.overshoot * OVERSHOOT_PART) + depth <= granted {
+        let depth = (tenant.burst + grant.slack * SLACK_DEPTH_FRACTION).max(MIN_BUCKET_DEPTH * proxies);
+        if tenant.rate * window * (1.0 + grant.overshoot * OVERSHOOT_RATE_FRACTION) + depth <= granted {
             return false;
         }
         let usage = self.usage(now, grant.window);
--- a/crates/control-state/tests/directory.rs
+++ b/crates/control-state/tests/directory.rs
@@ -39,10 +39,10 @@
     assert!(new.has_complete_view(at(100)));
     assert_eq!(new.lookup(at(100), "r", false), [front(1)], "those of the region first");
     assert_eq!(new.lookup(at(100), "elsewhere", false).len(), 2, "all where it has none");
-    new.on_controller_heard(at(2_000), CONTROLLER);
+    new.on_controller_contact(at(2_000), CONTROLLER);
     assert_eq!(new.lookup(at(4_000), "r", false), [front(1)]);
     assert!(new.lookup(at(4_600), "r", false).is_empty(), "that controller fell silent");
-    new.on_controller_heard(at(5_000), CONTROLLER);
+    new.on_controller_contact(at(5_000), CONTROLLER);
     assert_eq!(new.lookup(at(5_000), "r", false), [front(1)], "it is heard again");
     new.apply_remote(at(5_100), CONTROLLER, Vec::new(), true, false);
     assert!(new.lookup(at(5_100), "r", false).is_empty(), "it has begun anew");
--- a/crates/control-state/tests/peer_set.rs
+++ b/crates/control-state/tests/peer_set.rs
@@ -29,8 +29,8 @@
         voters.push(controller(n));
         for second in 0..10 {
             let now = at(came_at + second * 1_000);
-            voters.iter().skip(1).for_each(|v| controllers.on_heard(now, *v));
-            controllers.drop_unheard(now, |h| voters.contains(&h));
+            voters.iter().skip(1).for_each(|v| controllers.record_contact(now, *v));
+            controllers.remove_expired(now, |h| voters.contains(&h));
         }
         assert!(
             voters.iter().all(|v| controllers.addresses().any(|h| h == *v)),
@@ -54,7 +54,7 @@
         controllers.add(at(0), controller(n));
     }
     assert_eq!(controllers.add(at(1_000), controller(200)), None, "all were named a moment ago");
-    (0..15).for_each(|n| controllers.on_heard(at(9_000), controller(n)));
+    (0..15).for_each(|n| controllers.record_contact(at(9_000), controller(n)));
     assert!(controllers.add(at(10_000), controller(200)).is_some());
     assert_eq!((controllers.len(), controllers.addresses().any(|h| h == controller(15))), (MAX_PEERS, false));
 }
--- a/crates/control-state/tests/proxy_membership.rs
+++ b/crates/control-state/tests/proxy_membership.rs
@@ -1,8 +1,10 @@
 //! How permits are split over the proxies, and how the proxies change.
 
 use lynxstair::types::{Span, Time};
-use lynxstair_control_state::membership_planner::{CONFIRMATION_AGE, MEMBERSHIP_VALIDITY, MembershipPlanner};
-use lynxstair_control_state::proxy_membership::{Members, Part, PermitSplit, ProxyMembership};
+use lynxstair_control_state::membership_planner::{
+    MAX_CONFIRMATION_AGE, MEMBERSHIP_VALIDITY, MembershipPlanner,
+};
+use lynxstair_control_state::proxy_membership::{Members, PermitShare, PermitSplit, ProxyMembership};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
@@ -16,12 +18,12 @@
     ZONES.iter().zip(counts).map(|(zone, count)| (zone.to_string(), of(zone, count))).collect()
 }
 
-fn parts(membership: &ProxyMembership, counts: [usize; 3], item: &str, total: u32) -> Vec<Part> {
+fn parts(membership: &ProxyMembership, counts: [usize; 3], item: &str, total: u32) -> Vec<PermitShare> {
     let nodes = ZONES.iter().zip(counts).flat_map(|(zone, count)| (0..count).map(move |n| (*zone, n)));
-    nodes.map(|(z, n)| PermitSplit::new(membership, z, &name(z, n)).part("a", item, total)).collect()
+    nodes.map(|(z, n)| PermitSplit::new(membership, z, &name(z, n)).share("a", item, total)).collect()
 }
 
-fn sum(parts: &[Part]) -> u32 {
+fn sum(parts: &[PermitShare]) -> u32 {
     parts.iter().map(|part| part.permits).sum()
 }
 
@@ -50,7 +52,7 @@
     let holds = |item: &str| parts(&membership, counts, item, 12).iter().filter(|p| p.permits > 0).count();
     assert!((0..50).all(|n| holds(&format!("i-{n}")) == 12));
     let split = PermitSplit::new(&membership, "a", &name("a", 0));
-    let held = (0..200).filter(|n| split.part("a", &format!("i-{n}"), 12).permits > 0).count();
+    let held = (0..200).filter(|n| split.share("a", &format!("i-{n}"), 12).permits > 0).count();
     assert!((85..135).contains(&held), "{held} of 200, 109 is its share");
 }
 
@@ -58,7 +60,7 @@
 fn a_proxy_that_is_no_member_has_no_part() {
     let membership = ProxyMembership::new(1, members([4, 0, 0]));
     for split in [PermitSplit::new(&membership, "a", "edge-a-9"), PermitSplit::default()] {
-        assert_eq!(split.part("a", "i-1", 40).permits, 0);
+        assert_eq!(split.share("a", "i-1", 40).permits, 0);
     }
 }
 
@@ -170,7 +172,7 @@
 #[test]
 fn a_member_that_never_reports_holds_up_a_change_for_as_long_as_it_may_act_without_it() {
     let mut leader = Leader::new(ProxyMembership::new(5, members([4, 1, 0])));
-    let valid_s = (MEMBERSHIP_VALIDITY + CONFIRMATION_AGE).nanos() / 1_000_000_000;
+    let valid_s = (MEMBERSHIP_VALIDITY + MAX_CONFIRMATION_AGE).nanos() / 1_000_000_000;
     for s in 0..valid_s {
         leader.second(s * 1_000, [6, 0, 0], 6);
         assert_eq!(leader.count(), 5, "{s} s");
--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -2,10 +2,11 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaTolerance, UsageReport};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
-const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5_000), slack: 20.0, overshoot: 0.1 };
+const GRANT: QuotaTolerance =
+    QuotaTolerance { window: Span::from_millis(5_000), slack: 20.0, overshoot: 0.1 };
 const PROXIES: u32 = 11;
 /// So many of them let one through in each second.
 const BUSY: u32 = 7;
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -6,12 +6,12 @@
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaTolerance, UsageReport};
 use lynxstair_protocol::messages::QuotaShare;
 use lynxstair_routing::token_buckets::TokenBuckets;
 
 /// What the operators' rule grants.
-const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
+const GRANT: QuotaTolerance = QuotaTolerance { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
 
 fn tenant(rate: f64) -> Tenant {
     Tenant { name: "t".into(), priority: None, rate, burst: rate, homes: vec![] }
--- a/crates/controller/src/peer_connections.rs
+++ b/crates/controller/src/peer_connections.rs
@@ -75,8 +75,8 @@
     pub fn heartbeat(&self, now: Time, me: NodeAddress, to: NodeAddress) -> ToController {
         ToController::PeerHeartbeat {
             from: me,
-            hears_recipient: self.peer_set.hears(now, to),
-            known_peers: self.peer_set.recently_heard(now),
+            hears_recipient: self.peer_set.has_recent_contact(now, to),
+            known_peers: self.peer_set.reachable_peers(now),
         }
     }
 
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -52,7 +52,8 @@
     }
     let members = state.members();
     let peers = &mut state.peers.peer_set;
-    if state.consensus.has_quorum_contact(now) && peers.drop_unheard(now, |peer| members.contains(&peer)) > 0
+    if state.consensus.has_quorum_contact(now)
+        && peers.remove_expired(now, |peer| members.contains(&peer)) > 0
     {
         info!(peers = peers.len(); "unreachable controllers dropped");
     }
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -77,8 +77,8 @@
 
     /// Another controller has sent something, or opened a connection.
     pub fn on_peer_heard(&mut self, now: Time, peer: NodeAddress) {
-        self.peers.peer_set.on_heard(now, peer);
-        self.directory.on_controller_heard(now, peer);
+        self.peers.peer_set.record_contact(now, peer);
+        self.directory.on_controller_contact(now, peer);
         self.consensus.on_peer_seen(now, peer);
     }
 
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -8,7 +8,7 @@
 use lynxstair_config::bounds::Bounds;
 use lynxstair_config::configuration::Tenant;
 use lynxstair_consensus::NodeAddress;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaTolerance, UsageReport};
 use lynxstair_control_state::subscription::Subscription;
 use lynxstair_net::connection::Connection;
 use lynxstair_protocol::messages::{Bytes, Instance, ProxyHeartbeat, ProxyInfo, ToProxy};
@@ -83,7 +83,7 @@
 impl Subscribers {
     /// No subscriptions yet.
     pub fn new(bounds: &Bounds) -> Subscribers {
-        let grant = QuotaGrant {
+        let grant = QuotaTolerance {
             window: bounds.quota_window,
             slack: bounds.quota_slack,
             overshoot: bounds.quota_overshoot,
--- a/crates/proxy/src/control_connections.rs
+++ b/crates/proxy/src/control_connections.rs
@@ -128,9 +128,9 @@
             return;
         }
         self.peer_set.on_connected(now);
-        self.open.iter().for_each(|connection| self.peer_set.on_heard(now, connection.controller));
+        self.open.iter().for_each(|connection| self.peer_set.record_contact(now, connection.controller));
         let named = &self.named_by_leader;
-        self.peer_set.drop_unheard(now, |controller| named.contains(&controller));
+        self.peer_set.remove_expired(now, |controller| named.contains(&controller));
     }
 
     /// Whether a leader does not know yet which shares of quotas are held here.
--- a/crates/proxy/src/routing_state.rs
+++ b/crates/proxy/src/routing_state.rs
@@ -9,8 +9,8 @@
 use lynxstair_config::configuration::{Configuration, Route, RouteKind, Tenant};
 use lynxstair_config::settings::Settings;
 use lynxstair_control_state::config_replica::{ConfigReplica, ConfigVersion};
-use lynxstair_control_state::instance_registry::{InstanceRegistry, report_time};
-use lynxstair_control_state::membership_planner::CONFIRMATION_AGE;
+use lynxstair_control_state::instance_registry::{InstanceRegistry, max_report_delay};
+use lynxstair_control_state::membership_planner::MAX_CONFIRMATION_AGE;
 use lynxstair_protocol::messages::{Instance, QuotaShare, Readiness};
 use lynxstair_routing::config_lease::ConfigLease;
 use lynxstair_routing::controller_contact::{CONTACT_TIMEOUT, ControllerContact};
@@ -212,7 +212,7 @@
     /// process that begins after this one finds it confirmed.
     pub fn reported_membership(&self, now: Time) -> u64 {
         let (revision, since) = self.membership;
-        if now - since >= CONFIRMATION_AGE { revision } else { 0 }
+        if now - since >= MAX_CONFIRMATION_AGE { revision } else { 0 }
     }
 
     /// Whether any instance was heard of.
@@ -250,7 +250,7 @@
             let has_unconfirmed = self.registry.has_unconfirmed();
             wants_instances |= self.snapshot_requests.poll(now, ack.knows_instances, has_unconfirmed);
         }
-        if self.lease.is_fresh(now, CONFIRMATION_AGE) {
+        if self.lease.is_fresh(now, MAX_CONFIRMATION_AGE) {
             self.balancer.on_membership_confirmed(now);
         }
         if ack.is_leader {
@@ -481,7 +481,7 @@
     zone: &str,
 ) -> WarmUpKnowledge {
     match replica.restored_at(zone) {
-        Some(at) if now - at < report_time(settings.heartbeat_period) => WarmUpKnowledge::NotYetReported,
+        Some(at) if now - at < max_report_delay(settings.heartbeat_period) => WarmUpKnowledge::NotYetReported,
         _ if lease.is_fresh(now, CONTACT_TIMEOUT) && contact.is_settled(now) => WarmUpKnowledge::Reported,
         _ => WarmUpKnowledge::Unknown,
     }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -19,7 +19,7 @@
 use lynxstair::state::TokenBucket;
 use lynxstair::types::{Span, Time};
 use lynxstair_control_state::membership_planner::MEMBERSHIP_VALIDITY;
-use lynxstair_control_state::proxy_membership::{Part, PermitSplit, ProxyMembership};
+use lynxstair_control_state::proxy_membership::{PermitShare, PermitSplit, ProxyMembership};
 
 /// A process does not use its permits for this long: the second that the operators' bound counts in. What the process
 /// before it handed over, its clients had sent before this one began.
@@ -105,7 +105,7 @@
     zone: String,
     /// How many permits there are, and what of them is this proxy's.
     total: u32,
-    part: Part,
+    part: PermitShare,
     /// When those were taken that are not free again.
     taken: Vec<Time>,
     tokens: TokenBucket,
@@ -124,7 +124,7 @@
         let part = f64::from(self.part.permits);
         let (rate, burst) = match query.state {
             WarmUpState::Unknown => (part * UNKNOWN_RATE_PART, part * UNKNOWN_BURST_PART),
-            _ => (query.rate * USED_PART * part / f64::from(self.part.of.max(1)), WARMING_BURST),
+            _ => (query.rate * USED_PART * part / f64::from(self.part.group_total.max(1)), WARMING_BURST),
         };
         self.tokens.refill(now, rate, burst.max(1.0))
     }
@@ -163,12 +163,12 @@
     pub fn set_membership(&mut self, membership: &ProxyMembership) {
         self.split = PermitSplit::new(membership, &self.zone, &self.node);
         for (worker, permits) in &mut self.workers {
-            permits.part = self.split.part(&permits.zone, worker, permits.total);
+            permits.part = self.split.share(&permits.zone, worker, permits.total);
         }
     }
 
     /// A controller is certain that the membership held here is the newest, or was a moment ago
-    /// (`membership_planner::CONFIRMATION_AGE`).
+    /// (`membership_planner::MAX_CONFIRMATION_AGE`).
     pub fn on_membership_confirmed(&mut self, now: Time) {
         self.valid_until = Some(now + MEMBERSHIP_VALIDITY);
     }
@@ -234,9 +234,9 @@
     fn permits(&mut self, now: Time, query: &WarmUpQuery) -> &mut WorkerPermits {
         let total = (query.rate * self.overshoot + self.slack).max(0.0) as u32;
         if !self.workers.contains_key(query.worker) {
-            let part = self.split.part(query.zone, query.worker, total);
+            let part = self.split.share(query.zone, query.worker, total);
             // Members that hear of a worker together do not all begin with it at once.
-            let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - part.phase };
+            let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - part.start_offset };
             let tokens = TokenBucket { level, refilled_at: now };
             let zone = query.zone.to_string();
             let new = WorkerPermits { zone, total, part, taken: Vec::new(), tokens, known: 0, unknown: 0 };
@@ -245,7 +245,7 @@
         let permits = self.workers.get_mut(query.worker).expect("inserted above");
         if permits.total != total {
             permits.total = total;
-            permits.part = self.split.part(query.zone, query.worker, total);
+            permits.part = self.split.share(query.zone, query.worker, total);
         }
         permits
     }
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -7,7 +7,9 @@
 use lynxstair::state::TokenBucket;
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
+use lynxstair_control_state::quota_limits::{
+    MIN_BUCKET_DEPTH, OVERSHOOT_RATE_FRACTION, SLACK_DEPTH_FRACTION,
+};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
 /// How long a share is valid without being renewed by the allocator; after that it is capped at an even share.
@@ -79,9 +81,9 @@
             ..TenantBucket::default()
         });
         let share = bucket.share(now, proxies);
-        let rate = tenant.rate * share * (1.0 + self.overshoot * OVERSHOOT_PART);
-        let depth = tenant.burst * share + self.slack * SLACK_PART / proxies;
-        let min_depth = if now < bucket.throttled_until { MIN_THROTTLED_DEPTH } else { MIN_DEPTH };
+        let rate = tenant.rate * share * (1.0 + self.overshoot * OVERSHOOT_RATE_FRACTION);
+        let depth = tenant.burst * share + self.slack * SLACK_DEPTH_FRACTION / proxies;
+        let min_depth = if now < bucket.throttled_until { MIN_THROTTLED_DEPTH } else { MIN_BUCKET_DEPTH };
         let level = bucket.tokens.refill(now, rate, depth.max(min_depth));
         if now < bucket.blocked_until {
             // Nothing is saved up meanwhile.
--- a/crates/routing/tests/slow_start_stories.rs
+++ b/crates/routing/tests/slow_start_stories.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
-use lynxstair_control_state::membership_planner::{CONFIRMATION_AGE, MembershipPlanner};
+use lynxstair_control_state::membership_planner::{MAX_CONFIRMATION_AGE, MembershipPlanner};
 use lynxstair_control_state::proxy_membership::ProxyMembership;
 use lynxstair_routing::slow_start::{SlowStart, WarmUpQuery, WarmUpState};
 
@@ -152,13 +152,13 @@
             }
             proxy.heartbeat_at = self.now + HEARTBEAT;
             let reported =
-                if self.now - proxy.held_since >= CONFIRMATION_AGE { proxy.held.revision } else { 0 };
+                if self.now - proxy.held_since >= MAX_CONFIRMATION_AGE { proxy.held.revision } else { 0 };
             self.planner.on_heartbeat(self.now, &proxy.node, proxy.zone, reported);
             if self.u.ratio(3, 4)? {
                 proxy.take_over(self.now, &newest);
             }
             // A confirmation is true as of up to its age ago.
-            let age = CONFIRMATION_AGE.nanos() / 1_000_000;
+            let age = MAX_CONFIRMATION_AGE.nanos() / 1_000_000;
             let as_of = self.now.saturating_sub(Span::from_millis(self.u.int_in_range(0..=age)?));
             let known = self.committed.iter().rev().find(|(at, _)| *at <= as_of);
             if known.is_none_or(|(_, known)| known.revision <= proxy.held.revision)
