--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -1,5 +1,5 @@
-//! Commands of the operator, and their identities. A command is parsed and checked, as far as that needs no store, by
-//! whoever receives it: a large one takes long, and nothing else should wait for that.
+//! Operator commands and their ids. The controller that receives a command parses and validates it before it
+//! reaches the store: a large one takes long, and other work must not wait for it.
 
 use std::sync::Arc;
 
@@ -8,35 +8,37 @@
 use lynxstair_config::table::{self, ConfigTable};
 use lynxstair_protocol::digest;
 
-/// What the operator asks for.
+/// An operation requested by the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Replace the configuration by this one.
+    /// Replaces the configuration by this JSON body.
     Put(Vec<u8>),
-    /// Change the rows that this names.
+    /// Changes the rows that this JSON body names.
     Patch(Vec<u8>),
-    /// Keep requests out of a zone.
+    /// Evacuates a zone: proxies send no requests to it.
     Evacuate(String),
-    /// Let requests into a zone again.
+    /// Ends the evacuation of a zone.
     Restore(String),
 }
 
-/// The identity of a command that changes the configuration. The same bytes sent again have the same one.
+/// The idempotency key of a command that changes the configuration. Equal for repeated sends of the same
+/// bytes.
 pub type CommandId = [u8; digest::LENGTH];
 
-/// The identity of an operation. It lies on disks, so every build makes the same of the same bytes: the digest of a byte
-/// for the kind of operation and of its body.
+/// Returns the id of an operation, or `None` for an idempotent operation that needs none. The id is the
+/// digest of one byte for the kind of operation and of the body. It is stored on disk, so it must be the
+/// same in every build.
 pub fn command_id(operation: &Operation) -> Option<CommandId> {
     let (kind, body) = match operation {
         Operation::Put(body) => (1, body),
         Operation::Patch(body) => (2, body),
-        // These have the same effect however often they are sent, and carry nothing that tells two of them apart.
+        // Idempotent, and without content that would distinguish a retry from a new command.
         Operation::Evacuate(_) | Operation::Restore(_) => return None,
     };
     Some(digest::of([&[kind][..], body]))
 }
 
-/// An operation with what can be known of it without the store.
+/// An operation with its id and, once parsed, its validated content.
 #[derive(Clone, Debug)]
 pub struct Command {
     pub(crate) operation: Operation,
@@ -44,7 +46,8 @@
     pub(crate) parsed: Option<ParsedCommand>,
 }
 
-/// What a `PUT` or `PATCH` says. A parsed `PUT` does not keep the values of its text, which take twenty times the memory.
+/// The content of a `PUT` or `PATCH`. A parsed `PUT` does not keep the JSON values, which take far more
+/// memory than the text.
 #[derive(Clone, Debug)]
 pub(crate) enum ParsedCommand {
     Invalid(ValueError),
@@ -61,12 +64,12 @@
 }
 
 impl Command {
-    /// A command that is not parsed yet.
+    /// Creates a command that is not parsed yet.
     pub fn new(operation: Operation) -> Command {
         Command { id: command_id(&operation), operation, parsed: None }
     }
 
-    /// How many bytes there are to parse.
+    /// Length in bytes of the body that is to be parsed; 0 if the operation has none.
     pub fn body_len(&self) -> usize {
         match &self.operation {
             Operation::Put(body) | Operation::Patch(body) => body.len(),
@@ -74,14 +77,14 @@
         }
     }
 
-    /// Parses and checks it, as far as that needs no store.
+    /// Parses the body and validates it as far as possible without the store.
     pub fn parse(&mut self) {
         self.parsed = ParsedCommand::parse(&self.operation);
     }
 }
 
 impl ParsedCommand {
-    /// None for an operation that has nothing to parse.
+    /// Returns `None` for an operation without a body.
     pub(crate) fn parse(operation: &Operation) -> Option<ParsedCommand> {
         let parsed = match operation {
             Operation::Put(body) => ParsedCommand::parse_put(body),
--- a/crates/control-state/src/config_replica.rs
+++ b/crates/control-state/src/config_replica.rs
@@ -1,4 +1,5 @@
-//! The configuration replica of a proxy: one committed configuration at a time, never an older one.
+//! The configuration replica of a proxy: holds one committed revision at a time and never goes back to an
+//! older one.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,35 +11,36 @@
 use crate::config_update::{ConfigUpdate, TableDelta};
 use crate::proxy_membership::ProxyMembership;
 
-/// One revision, as all decisions on a request see it.
+/// One revision of the configuration. All decisions on a request use the same version.
 #[derive(Debug)]
 pub struct ConfigVersion {
-    /// The controllers' revision.
+    /// Revision of the replicated state.
     pub revision: u64,
-    /// What the configuration says.
+    /// The parsed configuration.
     pub configuration: Arc<Configuration>,
-    /// Zones that requests are kept out of.
+    /// Zones that receive no requests.
     pub evacuated: BTreeSet<String>,
-    /// Over which proxies whole permits are split.
+    /// Proxies that share the slow-start permits.
     pub membership: Arc<ProxyMembership>,
 }
 
-/// What a proxy holds of the configuration.
+/// The configuration state of a proxy.
 #[derive(Debug, Default)]
 pub struct ConfigReplica {
     version: Option<Arc<ConfigVersion>>,
     table: ConfigTable,
     membership: Arc<ProxyMembership>,
     revision: u64,
-    /// An update did not fit what is here: a snapshot is needed.
+    /// An update was malformed or did not give the expected digest.
     needs_snapshot: bool,
-    /// When the evacuation of each zone last ended.
+    /// Zones whose evacuation ended, and when it last did.
     restored: Vec<(String, Time)>,
 }
 
 impl ConfigReplica {
-    /// Takes over an update that brings `revision`. Returns whether that is newer than what was in force; then it is in
-    /// force from now on.
+    /// Applies an update to `revision`. Returns `true` if the held revision has increased. Ignores an
+    /// outdated update and one that is based on another revision. After a malformed update or a wrong
+    /// digest, the replica needs a snapshot.
     pub fn apply_update(&mut self, now: Time, revision: u64, update: &[u8]) -> bool {
         if revision < self.revision || revision == self.revision && !self.needs_snapshot {
             return false;
@@ -50,11 +52,11 @@
         self.membership = membership;
         self.record_restored(now, &evacuated);
         let older = self.version.as_ref().map(|v| (&self.table, &*v.configuration));
-        // Where the last table could not be read, the version in force is of one before it.
-        let older = older.filter(|(table, read)| table.generation == read.generation);
-        let read = (table.generation > 0).then(|| Configuration::from_table_after(&table, older));
-        // Zones are evacuated also where the configuration of another build can't be read.
-        let configuration = match read {
+        // If the last table was invalid here, the current version was parsed from an earlier table.
+        let older = older.filter(|(table, parsed)| table.generation == parsed.generation);
+        let parsed = (table.generation > 0).then(|| Configuration::from_table_after(&table, older));
+        // Evacuations apply even if this build rejects the configuration.
+        let configuration = match parsed {
             Some(Ok(configuration)) => Some(Arc::new(configuration)),
             _ => self.version.as_ref().map(|v| v.configuration.clone()),
         };
@@ -66,7 +68,7 @@
         is_newer
     }
 
-    /// The tables, evacuated zones and membership that an update makes of what is here; None where it does not fit.
+    /// Returns the table, evacuated zones and membership after an update, or `None` if it cannot be applied.
     fn updated(&mut self, update: &[u8]) -> Option<(ConfigTable, BTreeSet<String>, Arc<ProxyMembership>)> {
         match ciborium::from_reader(update) {
             Err(_) => {
@@ -77,7 +79,7 @@
                 table.share_rows_with(&self.table);
                 Some((table, evacuated, Arc::new(membership.unwrap_or_default())))
             }
-            // It builds on a revision that is not the one here: the next heartbeat tells the controller which one is.
+            // Based on another revision: the controller learns the held revision from the next heartbeat.
             Ok(ConfigUpdate::Delta { from, .. }) if from != self.revision => None,
             Ok(ConfigUpdate::Delta { generation, extra, tables, evacuated, digest, membership, .. }) => {
                 let table = self.patched(generation, extra, tables);
@@ -110,22 +112,22 @@
         }
     }
 
-    /// The revision that is held.
+    /// The revision of the last applied update; 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The revision that deltas may build on: 0 where a snapshot is needed.
+    /// The revision that the next delta may be based on; 0 if a snapshot is needed.
     pub fn delta_base(&self) -> u64 {
         if self.needs_snapshot { 0 } else { self.revision }
     }
 
-    /// What is in force.
+    /// The current version, or `None` before the first valid configuration.
     pub fn version(&self) -> Option<Arc<ConfigVersion>> {
         self.version.clone()
     }
 
-    /// When the evacuation of a zone last ended.
+    /// Returns the time at which this replica last applied the end of a zone's evacuation.
     pub fn restored_at(&self, zone: &str) -> Option<Time> {
         self.restored.iter().find(|(z, _)| z == zone).map(|(_, at)| *at)
     }
--- a/crates/control-state/src/config_store.rs
+++ b/crates/control-state/src/config_store.rs
@@ -1,5 +1,6 @@
-//! The configuration store: the configuration in force and the evacuated zones, as one state that the consensus
-//! replicates. Every command is decided here.
+//! The configuration store: the replicated state of the controllers, which comprises the operator's
+//! configuration, the evacuated zones and the proxy membership. Decides which operator commands are
+//! accepted.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -17,26 +18,27 @@
 
 pub use crate::applied_commands::MAX_APPLIED_COMMANDS;
 
-/// One version of the replicated state. A command makes a new version of it; nothing changes in place.
+/// One version of the replicated state. Immutable: an accepted command produces a new version.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigStore {
-    /// Rises with each accepted command.
+    /// Revision of the state; increases by one with each accepted command or membership change.
     pub revision: u64,
-    /// The configuration's version, 0 for none.
+    /// Version of the configuration, set by the operator; 0 if there is no configuration.
     pub generation: u64,
-    /// Zones that requests are kept out of.
+    /// Zones that receive no requests.
     pub evacuated: BTreeSet<String>,
-    /// Over which proxies whole permits are split.
+    /// Proxies that share the slow-start permits.
     pub membership: Arc<ProxyMembership>,
     table: ConfigTable,
-    /// What the table says, once that was asked for; None where there is none yet, or this build can't act on it.
+    /// The parsed table, computed on first use; `None` inside if there is no configuration or this build
+    /// rejects it.
     configuration: Arc<OnceLock<Option<Arc<Configuration>>>>,
     applied: AppliedCommands,
-    /// The length of the encoded state that it was decoded from.
+    /// Length in bytes of the encoded state that this was decoded from.
     encoded_len: usize,
 }
 
-/// The state as it lies on disks and goes between controllers.
+/// The state in its stored form, which is also sent between controllers.
 #[derive(Serialize)]
 struct Encoded<'a> {
     #[serde(rename = "number")]
@@ -46,7 +48,8 @@
     evacuated: &'a BTreeSet<String>,
     #[serde(rename = "marks")]
     applied: &'a Bytes,
-    forgotten: Option<u64>,
+    #[serde(rename = "forgotten")]
+    evicted_generation: Option<u64>,
     #[serde(skip_serializing_if = "ProxyMembership::is_empty")]
     membership: &'a ProxyMembership,
 }
@@ -60,43 +63,46 @@
     evacuated: BTreeSet<String>,
     #[serde(default, rename = "marks")]
     applied: Bytes,
-    forgotten: Option<u64>,
+    #[serde(rename = "forgotten")]
+    evicted_generation: Option<u64>,
     #[serde(default)]
     membership: ProxyMembership,
-    /// The JSON text of the configuration, as the first landing stored it instead of a table and applied commands.
+    /// The JSON text of the configuration, stored by the first release instead of a table and applied
+    /// commands.
     #[serde(default)]
     text: String,
 }
 
-/// What becomes of a command.
+/// The decision on a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandOutcome {
-    /// The state is to become this.
+    /// The command is valid; contains the resulting state, which is to be replicated.
     Accepted(Box<ConfigStore>),
-    /// Its effect is in the state already, or was.
+    /// The command was applied before, or the state already has its effect.
     AlreadyApplied,
-    /// It may have been accepted so long ago that nobody knows: neither acknowledged nor rejected.
+    /// The command may have been applied and evicted from the deduplication table, so it is neither
+    /// acknowledged nor rejected.
     Unknown,
-    /// It is not applied, now or if sent again on the same state.
+    /// The command is not applied. Retrying it on the same state gives the same result.
     Rejected(Rejection),
 }
 
-/// Why a command is rejected.
+/// Reason for rejecting a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It builds on another version than the current one.
+    /// The base version of the command is not the current version.
     VersionConflict {
-        /// The current version.
+        /// Generation of the current configuration.
         current: u64,
     },
-    /// Something in it is wrong.
+    /// The command or the resulting configuration is invalid.
     Invalid(ValueError),
-    /// There is no such zone.
+    /// The named zone does not exist.
     UnknownZone(String),
 }
 
 impl Rejection {
-    /// The HTTP status that tells it to the caller.
+    /// Returns the HTTP status of the response to the operator.
     pub fn status(&self) -> u16 {
         match self {
             Rejection::VersionConflict { .. } => 412,
@@ -109,9 +115,11 @@
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Rejection::VersionConflict { current } => write!(f, "base-version: {current:08x} is in place"),
+            Rejection::VersionConflict { current } => {
+                write!(f, "base-version: the current version is {current:08x}")
+            }
             Rejection::Invalid(error) => error.fmt(f),
-            Rejection::UnknownZone(zone) => write!(f, "zone {zone}: unknown"),
+            Rejection::UnknownZone(zone) => write!(f, "unknown zone {zone}"),
         }
     }
 }
@@ -126,30 +134,32 @@
 }
 
 impl ConfigStore {
-    /// Decodes a state; None where it is none.
+    /// Decodes a stored state. Returns `None` if the bytes are invalid. Empty input is the initial state.
     pub fn decode(state: &[u8]) -> Option<ConfigStore> {
         ConfigStore::default().decode_next(state)
     }
 
-    /// Decodes a state that was committed after this one. What is the same in both is shared, and not read again.
+    /// Decodes a state that was committed after this one. Rows that are equal in both are shared, and not
+    /// parsed again.
     pub fn decode_next(&self, state: &[u8]) -> Option<ConfigStore> {
         if state.is_empty() {
             return Some(ConfigStore::default());
         }
         let decoded: Decoded = ciborium::from_reader(state).ok()?;
-        let mut forgotten = decoded.forgotten;
+        let mut evicted_generation = decoded.evicted_generation;
         let mut table = match decoded.table {
             Some(table) => table,
             None if decoded.text.is_empty() => ConfigTable::default(),
             None => {
                 let table = ConfigTable::from_json(&json::parse(decoded.text.as_bytes()).ok()?).ok()?;
-                // None of its commands can be recognized any more.
-                forgotten = Some(table.generation);
+                // This format holds no command ids: treat all commands up to its generation as evicted.
+                evicted_generation = Some(table.generation);
                 table
             }
         };
         table.share_rows_with(&self.table);
-        // Read now where only differences have to be read, else by whoever asks for it first.
+        // If the older configuration is parsed, parsing the changed rows is cheap; otherwise parse on first
+        // use.
         let configuration = match self.configuration.get() {
             Some(Some(_)) => OnceLock::from(self.configuration_after(&table).ok().map(Arc::new)),
             _ => OnceLock::new(),
@@ -161,49 +171,50 @@
             membership: Arc::new(decoded.membership),
             table,
             configuration: Arc::new(configuration),
-            applied: AppliedCommands { entries: decoded.applied, forgotten },
+            applied: AppliedCommands { entries: decoded.applied, evicted_generation },
             encoded_len: state.len(),
         })
     }
 
-    /// The state in its stored form.
+    /// Encodes the state in its stored form.
     pub fn encode(&self) -> Vec<u8> {
         let encoded = Encoded {
             revision: self.revision,
             table: &self.table,
             evacuated: &self.evacuated,
             applied: &self.applied.entries,
-            forgotten: self.applied.forgotten,
+            evicted_generation: self.applied.evicted_generation,
             membership: &self.membership,
         };
         let mut out = Vec::new();
-        ciborium::into_writer(&encoded, &mut out).expect("the state encodes, and memory takes it");
+        ciborium::into_writer(&encoded, &mut out).expect("writing CBOR to a Vec does not fail");
         out
     }
 
-    /// The configuration's JSON text; None where there is no configuration yet.
+    /// Returns the configuration as JSON text, or `None` if there is no configuration yet.
     pub fn to_json(&self) -> Option<String> {
         (self.generation > 0).then(|| self.table.to_json())
     }
 
-    /// Whether `configuration` returns without reading the tables.
+    /// Returns `true` if [`ConfigStore::configuration`] returns without parsing the tables.
     pub fn is_configuration_ready(&self) -> bool {
         self.generation == 0 || self.configuration.get().is_some()
     }
 
-    /// The length of the encoded state that this was decoded from, in bytes.
+    /// Length in bytes of the encoded state that this was decoded from; 0 for the initial state.
     pub fn encoded_len(&self) -> usize {
         self.encoded_len
     }
 
-    /// The configuration in the operator's form.
+    /// The configuration as the tables that the operator sends.
     pub fn table(&self) -> &ConfigTable {
         &self.table
     }
 
-    /// What the configuration says. A large one takes long to read the first time: a clone of this store may ask for it
-    /// before, on another thread. A configuration that an older build accepted and this one finds invalid is kept and
-    /// given back, but is none to act on.
+    /// Returns the parsed configuration. The first call parses the tables, which takes long for a large
+    /// configuration; clones share the result, so another thread can parse it in advance. Returns `None` if
+    /// there is no configuration, or if an older build accepted one that this build finds invalid; the
+    /// tables are still stored then.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         let read = || {
             let configuration = (self.generation > 0).then(|| Configuration::from_table(&self.table).ok());
@@ -212,18 +223,18 @@
         self.configuration.get_or_init(read).as_ref()
     }
 
-    /// What a table says that comes after the one here.
+    /// Parses a newer table, reusing rows that are already parsed here.
     fn configuration_after(&self, table: &ConfigTable) -> Result<Configuration, ValueError> {
         let older = self.configuration().map(|configuration| (&self.table, &**configuration));
         Configuration::from_table_after(table, older)
     }
 
-    /// Whether a command was accepted, as far as that is remembered.
+    /// Returns `true` if the command is in the table of recently applied commands.
     pub fn has_applied(&self, command: &Command) -> bool {
         command.id.is_some_and(|id| self.applied.contains(&id))
     }
 
-    /// Decides on a command. `zones`: all zones, each with its region.
+    /// Decides on a command. `zones` lists all zones, each with its region.
     pub fn apply(&self, command: &Command, zones: &[(String, String)]) -> CommandOutcome {
         match &command.operation {
             Operation::Put(_) | Operation::Patch(_) => self.apply_change(command),
@@ -232,7 +243,7 @@
         }
     }
 
-    /// The state with another proxy membership, which is changed by this revision.
+    /// Returns the next state with another proxy membership, whose revision is set to that of the new state.
     pub fn with_membership(&self, mut membership: ProxyMembership) -> ConfigStore {
         let revision = self.revision + 1;
         membership.revision = revision;
@@ -253,12 +264,12 @@
         if self.has_applied(command) {
             return CommandOutcome::AlreadyApplied;
         }
-        let parsed_now;
+        let parsed_here;
         let parsed = match &command.parsed {
             Some(parsed) => Some(parsed),
             None => {
-                parsed_now = ParsedCommand::parse(&command.operation);
-                parsed_now.as_ref()
+                parsed_here = ParsedCommand::parse(&command.operation);
+                parsed_here.as_ref()
             }
         };
         let Some(parsed) = parsed else { return CommandOutcome::Unknown };
@@ -267,13 +278,14 @@
         }
         match self.changed_configuration(parsed) {
             Ok((table, configuration)) => {
-                CommandOutcome::Accepted(Box::new(self.next(command, table, configuration)))
+                CommandOutcome::Accepted(Box::new(self.next_state(command, table, configuration)))
             }
             Err(error) => CommandOutcome::Rejected(Rejection::Invalid(error)),
         }
     }
 
-    /// The outcome for a command that builds on another version than the current one; None where it may be applied.
+    /// Returns the outcome of a command whose base version is not the current one, or `None` if it may be
+    /// applied.
     fn check_base_version(&self, parsed: &ParsedCommand) -> Option<CommandOutcome> {
         let (base_version, generation) = match parsed {
             ParsedCommand::Invalid(_) => return None,
@@ -283,17 +295,17 @@
         if base_version == self.generation {
             return None;
         }
-        let may_be_forgotten = generation
+        let may_be_evicted = generation
             .as_ref()
-            .is_ok_and(|generation| self.applied.may_have_forgotten(base_version, *generation));
-        Some(if may_be_forgotten {
+            .is_ok_and(|generation| self.applied.may_have_evicted(base_version, *generation));
+        Some(if may_be_evicted {
             CommandOutcome::Unknown
         } else {
             CommandOutcome::Rejected(Rejection::VersionConflict { current: self.generation })
         })
     }
 
-    /// The configuration that a command on the current version makes.
+    /// Returns the configuration that results from a command on the current version.
     fn changed_configuration(
         &self,
         parsed: &ParsedCommand,
@@ -309,7 +321,7 @@
             ParsedCommand::Patch { generation, body, .. } => {
                 self.check_generation(generation)?;
                 if self.generation == 0 {
-                    return json::invalid("body", "nothing to change yet");
+                    return json::invalid("body", "there is no configuration to patch yet");
                 }
                 let table = self.table.patched(body)?;
                 let configuration = self.configuration_after(&table)?;
@@ -321,14 +333,19 @@
     fn check_generation(&self, generation: &Result<u64, ValueError>) -> Result<(), ValueError> {
         let generation = generation.clone()?;
         if generation <= self.generation {
-            let reason = format!("{generation:08x} is not above {:08x}", self.generation);
+            let reason = format!("{generation:08x} must be greater than {:08x}", self.generation);
             return json::invalid("generation", reason);
         }
         Ok(())
     }
 
-    /// The state with a command accepted and remembered.
-    fn next(&self, command: &Command, table: ConfigTable, configuration: Arc<Configuration>) -> ConfigStore {
+    /// Returns the next state, with the command recorded as applied.
+    fn next_state(
+        &self,
+        command: &Command,
+        table: ConfigTable,
+        configuration: Arc<Configuration>,
+    ) -> ConfigStore {
         let mut applied = self.applied.clone();
         if let Some(id) = &command.id {
             applied.record(table.generation, id);
@@ -348,7 +365,7 @@
 
 impl PartialEq for ConfigStore {
     fn eq(&self, other: &ConfigStore) -> bool {
-        // The configuration is what the table says.
+        // The parsed configuration is derived from the table.
         self.revision == other.revision
             && self.table == other.table
             && self.evacuated == other.evacuated
--- a/crates/control-state/src/config_update.rs
+++ b/crates/control-state/src/config_update.rs
@@ -1,4 +1,5 @@
-//! How a committed configuration goes to a proxy: a snapshot once, then deltas. Its names go between processes.
+//! Configuration updates from a controller to a proxy: a snapshot first, then deltas. The serialized names
+//! are part of the protocol.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +9,10 @@
 
 use crate::proxy_membership::ProxyMembership;
 
-/// One committed configuration.
+/// An update to a committed revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum ConfigUpdate {
+    /// The whole state.
     #[serde(rename = "Whole")]
     Snapshot {
         #[serde(rename = "sheet")]
@@ -19,7 +21,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         membership: Option<ProxyMembership>,
     },
-    /// What to change in the configuration of revision `from`.
+    /// The changes since revision `from`.
     Delta {
         from: u64,
         generation: u64,
@@ -28,15 +30,15 @@
         #[serde(rename = "lists")]
         tables: [TableDelta; 3],
         evacuated: BTreeSet<String>,
-        /// Of the resulting table.
+        /// Digest of the resulting table.
         digest: [u8; digest::LENGTH],
-        /// Where it changed.
+        /// The new membership if it changed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         membership: Option<ProxyMembership>,
     },
 }
 
-/// What to change in a table: names of rows that are removed, and rows that are new or have other values.
+/// The changes of one table: names of removed rows, and names and values of new or changed rows.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct TableDelta {
     #[serde(rename = "gone")]
--- a/crates/control-state/src/delta_log.rs
+++ b/crates/control-state/src/delta_log.rs
@@ -1,5 +1,5 @@
-//! The delta log of a controller: which rows changed between the newest revisions, so that a proxy that holds an older
-//! one is sent these rows alone.
+//! The delta log of a controller: the names of the rows that changed between recent revisions, so that a
+//! proxy with an older revision receives only these rows.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -8,10 +8,10 @@
 use crate::config_store::ConfigStore;
 use crate::config_update::{ConfigUpdate, TableDelta};
 
-/// How many names of changed rows are held.
-const MAX_NAMES: usize = 4_096;
+/// Maximum size of the log, in names of changed rows plus one per step.
+const MAX_SIZE: usize = 4_096;
 
-/// What changed from one committed revision to the next.
+/// The changes from one committed revision to the next one that this controller observed.
 #[derive(Debug)]
 struct Step {
     from: u64,
@@ -21,26 +21,28 @@
     is_membership_changed: bool,
 }
 
-/// The newest steps from revision to revision, without a gap.
+/// The most recent steps, without gaps between their revisions.
 #[derive(Debug, Default)]
 pub struct DeltaLog {
     steps: VecDeque<Step>,
-    names: usize,
+    /// Sum of the sizes of the steps.
+    size: usize,
 }
 
 impl DeltaLog {
-    /// `newer` was committed after `older`.
+    /// Records that `newer` was committed after `older`. Drops earlier steps if they do not end at `older`,
+    /// and all steps if the columns of a table have changed.
     pub fn record(&mut self, older: &ConfigStore, newer: &ConfigStore) {
         if self.steps.back().is_some_and(|last| last.to != older.revision) {
             self.clear();
         }
         let Some(step) = Step::between(older, newer) else { return self.clear() };
-        self.names += step.len();
+        self.size += step.size();
         self.steps.push_back(step);
-        while self.names > MAX_NAMES
+        while self.size > MAX_SIZE
             && let Some(step) = self.steps.pop_front()
         {
-            self.names -= step.len();
+            self.size -= step.size();
         }
     }
 
@@ -48,7 +50,8 @@
         *self = DeltaLog::default();
     }
 
-    /// The encoded update that brings a proxy from revision `from` (0 for none) to this one.
+    /// Encodes the update of a proxy from revision `from` (0 for none) to that of `store`: a delta if the
+    /// log covers it, otherwise a snapshot.
     pub fn encode_update(&self, store: &ConfigStore, from: u64) -> Vec<u8> {
         let update = self.delta(store, from).unwrap_or_else(|| ConfigUpdate::Snapshot {
             table: store.table().clone(),
@@ -56,7 +59,7 @@
             membership: (!store.membership.is_empty()).then(|| (*store.membership).clone()),
         });
         let mut out = Vec::new();
-        ciborium::into_writer(&update, &mut out).expect("an update encodes, and memory takes it");
+        ciborium::into_writer(&update, &mut out).expect("writing CBOR to a Vec does not fail");
         out
     }
 
@@ -78,7 +81,8 @@
         })
     }
 
-    /// What changed in one table since a step. A row goes as it is now, whatever it was in between.
+    /// Returns the changes of one table since a step. A changed row has its current value, not those in
+    /// between.
     fn table_delta(&self, store: &ConfigStore, table: usize, first_step: usize) -> TableDelta {
         let diffs = self.steps.range(first_step..).map(|step| &step.tables[table]);
         let names: BTreeSet<&Name> =
@@ -95,7 +99,7 @@
 }
 
 impl Step {
-    /// None where the columns of a table differ, so that all its rows do.
+    /// Returns `None` if the columns of a table differ, so that all its rows do.
     fn between(older: &ConfigStore, newer: &ConfigStore) -> Option<Step> {
         let (old, new) = (older.table(), newer.table());
         let diffs = new.tables.iter().zip(&old.tables).map(|(new, old)| new.diff(old));
@@ -109,8 +113,9 @@
         })
     }
 
-    /// What it takes up of `MAX_NAMES`; a step without names takes memory as well.
-    fn len(&self) -> usize {
+    /// Returns the size that counts towards `MAX_SIZE`. An empty step counts as one because it takes memory
+    /// too.
+    fn size(&self) -> usize {
         1 + self.tables.iter().map(|diff| diff.removed.len() + diff.changed.len()).sum::<usize>()
     }
 }
--- a/crates/control-state/src/directory.rs
+++ b/crates/control-state/src/directory.rs
@@ -1,5 +1,6 @@
-//! The directory of a controller: which proxies clients may connect to, as they say themselves on their connections to this
-//! controller, and as the other controllers have it from theirs. So a controller that no proxy has found yet can answer.
+//! The directory of a controller: the proxies that clients may connect to. Combines the heartbeats of
+//! proxies that are connected to this controller with the reports of the other controllers, so that a
+//! controller without connected proxies can answer look-ups too.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,56 +8,59 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{ProxyInfo, ProxyStatus, Readiness};
 
-/// A proxy or controller that has been silent for this long is left out.
+/// The status of a proxy, or the report of a controller, is ignored after this long without a message from
+/// it.
 const STATUS_TIMEOUT: Span = Span::from_millis(2_500);
-/// How long it is remembered that a proxy shuts down, whatever other controllers still say of it, and which proxies could
-/// serve.
+/// How long the shutdown of a proxy incarnation, the reports of a silent controller and the last serving
+/// proxies are kept.
 const RETENTION: Span = Span::from_millis(30_000);
-/// How long the list of serving proxies is reused if nothing changes.
+/// How long the list of serving proxies is reused if no change is reported.
 const CACHE_TTL: Span = Span::from_millis(50);
-/// The most addresses in one answer.
-const MAX_ANSWER: usize = 64;
+/// Maximum number of addresses in one answer.
+const MAX_ADDRESSES: usize = 64;
 
-/// A proxy that is connected to this controller.
+/// A proxy that is connected to this controller, with its last heartbeat.
 #[derive(Debug)]
 struct LocalProxy {
     status: ProxyStatus,
-    heard_at: Time,
+    last_message_at: Time,
 }
 
-/// What another controller says of the proxies that are connected to it.
+/// The proxies that are connected to another controller, from its reports.
 #[derive(Debug, Default)]
 struct RemoteView {
-    heard_at: Time,
+    last_message_at: Time,
     is_complete: bool,
     statuses: HashMap<String, ProxyStatus>,
 }
 
-/// What one controller knows of the proxies.
+/// The proxies that one controller knows.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// By the proxy's node name.
+    /// Proxies connected to this controller, by node name.
     local: HashMap<String, LocalProxy>,
-    /// By the controller's address.
+    /// Reports of other controllers, by their address.
     remote: HashMap<SocketAddr, RemoteView>,
-    /// What the other controllers were last told of the local ones.
+    /// Statuses of the local proxies that were last sent to the other controllers.
     published: HashMap<String, ProxyStatus>,
-    /// Incarnations that shut down, and when that was heard.
+    /// Incarnations that are shutting down by node name, and when that was reported.
     shutting_down: HashMap<String, (u64, Time)>,
-    /// Proxies that could serve when they were last heard, by whichever controller.
+    /// Proxies by node name, and when any controller last reported them as able to serve.
     last_serving: HashMap<String, (ProxyInfo, Time)>,
-    /// Those that clients may connect to, as of then: look-ups are many.
+    /// Cached result of `serving` with the time of its computation.
     cached: Option<(Time, Vec<ProxyInfo>)>,
-    /// Look-ups so far: each answer begins with another proxy, so that all are named as often, and as early.
+    /// Number of look-ups. Rotates the answers, so that all proxies are returned equally often and in all
+    /// positions.
     lookups: usize,
 }
 
 impl Directory {
-    /// A proxy says on its connection how it is. Returns whether others should learn of it at once.
+    /// Records a heartbeat of a connected proxy. Returns `true` if its incarnation or readiness has changed,
+    /// so that other controllers should be informed at once.
     pub fn on_heartbeat(&mut self, now: Time, proxy: &ProxyInfo, readiness: Readiness) -> bool {
-        self.remember(now, proxy, readiness);
+        self.record_readiness(now, proxy, readiness);
         let status = ProxyStatus { proxy: proxy.clone(), readiness };
-        let old = self.local.insert(proxy.node.clone(), LocalProxy { status, heard_at: now });
+        let old = self.local.insert(proxy.node.clone(), LocalProxy { status, last_message_at: now });
         let before = old.map(|old| (old.status.proxy.incarnation, old.status.readiness));
         let is_changed = before != Some((proxy.incarnation, readiness));
         if is_changed {
@@ -65,7 +69,7 @@
         is_changed
     }
 
-    /// A proxy's connection to this controller has ended, unless a later incarnation has one.
+    /// Removes a proxy whose connection was closed, unless a later incarnation is connected.
     pub fn on_disconnected(&mut self, node: &str, incarnation: u64) {
         if self.local.get(node).is_some_and(|local| local.status.proxy.incarnation == incarnation) {
             self.local.remove(node);
@@ -73,15 +77,16 @@
         }
     }
 
-    /// Another controller was heard. What it said stands while it is heard: the end of one of its connections says
-    /// nothing, as it may have opened another before.
+    /// Records a message from another controller, which keeps its reports valid. A closed connection does
+    /// not invalidate them, since the controller may have opened another one before.
     pub fn on_controller_contact(&mut self, now: Time, controller: SocketAddr) {
         if let Some(view) = self.remote.get_mut(&controller) {
-            view.heard_at = now;
+            view.last_message_at = now;
         }
     }
 
-    /// Another controller says which proxies are connected to it.
+    /// Applies a report of another controller on its connected proxies. A snapshot replaces its earlier
+    /// reports. `is_complete` states that all proxies have had the time to connect to it.
     pub fn apply_remote(
         &mut self,
         now: Time,
@@ -90,10 +95,10 @@
         is_snapshot: bool,
         is_complete: bool,
     ) {
-        statuses.iter().for_each(|s| self.remember(now, &s.proxy, s.readiness));
+        statuses.iter().for_each(|s| self.record_readiness(now, &s.proxy, s.readiness));
         self.cached = None;
         let view = self.remote.entry(controller).or_default();
-        (view.heard_at, view.is_complete) = (now, is_complete);
+        (view.last_message_at, view.is_complete) = (now, is_complete);
         if is_snapshot {
             view.statuses.clear();
         }
@@ -106,7 +111,7 @@
         }
     }
 
-    fn remember(&mut self, now: Time, proxy: &ProxyInfo, readiness: Readiness) {
+    fn record_readiness(&mut self, now: Time, proxy: &ProxyInfo, readiness: Readiness) {
         match readiness {
             Readiness::ShuttingDown => {
                 self.shutting_down.insert(proxy.node.clone(), (proxy.incarnation, now));
@@ -119,19 +124,19 @@
     }
 
     fn local_statuses(&self, now: Time) -> impl Iterator<Item = &ProxyStatus> {
-        let is_heard = move |local: &&LocalProxy| now - local.heard_at < STATUS_TIMEOUT;
-        self.local.values().filter(is_heard).map(|local| &local.status)
+        let is_active = move |local: &&LocalProxy| now - local.last_message_at < STATUS_TIMEOUT;
+        self.local.values().filter(is_active).map(|local| &local.status)
     }
 
-    /// All proxies that are connected to this controller.
+    /// Returns the statuses of all proxies that are connected to this controller.
     pub fn snapshot(&self, now: Time) -> Vec<ProxyStatus> {
         self.local_statuses(now).cloned().collect()
     }
 
-    /// What changed since this was last called; forgets what is long over.
+    /// Returns the statuses of local proxies that have changed since the last call. Removes expired entries.
     pub fn take_changes(&mut self, now: Time) -> Vec<ProxyStatus> {
         self.shutting_down.retain(|_, (_, at)| now - *at < RETENTION);
-        self.remote.retain(|_, view| now - view.heard_at < RETENTION);
+        self.remote.retain(|_, view| now - view.last_message_at < RETENTION);
         self.last_serving.retain(|_, (_, at)| now - *at < RETENTION);
         let current: HashMap<String, ProxyStatus> =
             self.local_statuses(now).map(|s| (s.proxy.node.clone(), s.clone())).collect();
@@ -143,20 +148,22 @@
         changes
     }
 
-    /// Whether another controller has told all proxies that there are: then this one need not wait for its own.
+    /// Returns `true` if an active controller has reported all proxies, so that this one need not wait for
+    /// its own.
     pub fn has_complete_view(&self, now: Time) -> bool {
-        self.remote.values().any(|view| view.is_complete && now - view.heard_at < STATUS_TIMEOUT)
+        self.remote.values().any(|view| view.is_complete && now - view.last_message_at < STATUS_TIMEOUT)
     }
 
-    /// Whether this incarnation has said that it shuts down.
+    /// Returns `true` if this incarnation has reported that it is shutting down.
     fn is_shutting_down(&self, proxy: &ProxyInfo) -> bool {
         self.shutting_down.get(&proxy.node).is_some_and(|(incarnation, _)| *incarnation == proxy.incarnation)
     }
 
-    /// The proxies that clients may connect to: all that some controller has as ready, else those that serve on with a
-    /// configuration that is not confirmed. None that has told any controller that it shuts down.
+    /// Returns the proxies that clients may connect to: all that any controller reports as ready or, if
+    /// there are none, those that serve with an unconfirmed configuration. Excludes incarnations that are
+    /// shutting down.
     pub fn serving(&self, now: Time) -> Vec<&ProxyInfo> {
-        let views = self.remote.values().filter(|view| now - view.heard_at < STATUS_TIMEOUT);
+        let views = self.remote.values().filter(|view| now - view.last_message_at < STATUS_TIMEOUT);
         let statuses = self.local_statuses(now).chain(views.flat_map(|view| view.statuses.values()));
         let mut best: HashMap<&str, &ProxyStatus> = HashMap::new();
         for status in statuses.filter(|s| !self.is_shutting_down(&s.proxy)) {
@@ -170,9 +177,10 @@
         if ready.is_empty() { with(Readiness::Stale).collect() } else { ready }
     }
 
-    /// The answer to a client of this region: its own proxies where there are any. Where no controller hears any proxy, a
-    /// controller with quorum contact names those that were there last: they may be partitioned off from the controllers
-    /// only. One without names none then, as another controller may know better.
+    /// Returns the addresses for a client in `region`: proxies of that region if there are any, otherwise of
+    /// all regions. If no proxy is serving, a controller with quorum contact returns those that served last,
+    /// as they may only be partitioned from the controllers. A controller without quorum contact returns
+    /// none, since others may know more.
     pub fn lookup(&mut self, now: Time, region: &str, has_quorum_contact: bool) -> Vec<SocketAddr> {
         if self.cached.as_ref().is_none_or(|(at, _)| now - *at >= CACHE_TTL) {
             self.cached = Some((now, self.serving(now).into_iter().cloned().collect()));
@@ -182,17 +190,17 @@
         if candidates.is_empty() && has_quorum_contact {
             candidates = self.recently_serving(now);
         }
-        let mut near: Vec<&ProxyInfo> = candidates.iter().copied().filter(|p| p.region == region).collect();
-        if near.is_empty() {
-            near = candidates;
+        let mut nearby: Vec<&ProxyInfo> = candidates.iter().copied().filter(|p| p.region == region).collect();
+        if nearby.is_empty() {
+            nearby = candidates;
         }
-        let mut addresses: Vec<SocketAddr> = near.iter().map(|proxy| proxy.client_address).collect();
+        let mut addresses: Vec<SocketAddr> = nearby.iter().map(|proxy| proxy.client_address).collect();
         if !addresses.is_empty() {
             self.lookups = self.lookups.wrapping_add(1);
             let first = self.lookups % addresses.len();
             addresses.rotate_left(first);
         }
-        addresses.truncate(MAX_ANSWER);
+        addresses.truncate(MAX_ADDRESSES);
         addresses
     }
 
@@ -202,7 +210,7 @@
     }
 }
 
-/// Of what two controllers say of one proxy the better counts.
+/// Rank of a status; the highest counts if controllers report different ones. 0 if the proxy is not serving.
 fn serving_rank(status: &ProxyStatus) -> u8 {
     match status.readiness {
         Readiness::Ready => 2,
--- a/crates/control-state/src/failure_detector.rs
+++ b/crates/control-state/src/failure_detector.rs
@@ -1,32 +1,32 @@
-//! The failure detector of a controller: what it answers to a worker's heartbeat, and whether it may call an instance
-//! unresponsive. A controller that is partitioned off hears a part of the workers only: it acknowledges nothing, and takes
-//! nobody's silence for an end.
+//! The failure detector of a controller: decides whether worker heartbeats are acknowledged and which
+//! instances are unresponsive. A controller without quorum contact may receive heartbeats of only some
+//! workers, so it acknowledges none and marks no instance as unresponsive.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::Instance;
 
 use crate::instance_registry::InstanceRegistry;
 
-/// A detector that has not been called for this long was stopped with its process: heartbeats that arrived meanwhile may
-/// still be unread.
-const STANDSTILL: Span = Span::from_millis(1_500);
+/// If the detector was not called for this long, its process was paused, and heartbeats that arrived
+/// meanwhile may still be unread.
+const PAUSE_THRESHOLD: Span = Span::from_millis(1_500);
 
-/// Out of contact for this long, calls of workers were lost or not acknowledged.
-const ISOLATION: Span = Span::from_millis(1_000);
+/// Duration of isolation from which worker heartbeats may have been lost or not acknowledged.
+const MIN_ISOLATION: Span = Span::from_millis(1_000);
 
-/// How a controller stands to the quorum.
+/// Relation of a controller to the quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumRole {
-    /// Out of contact with it.
+    /// No quorum contact.
     Isolated,
-    /// In contact with its leader.
+    /// Quorum contact, but not the leader.
     Follower,
-    /// Leads it.
+    /// Quorum contact as the established leader.
     Leader,
 }
 
 impl QuorumRole {
-    /// The role of a node, by its quorum contact and by whether it is the established leader.
+    /// Returns the role of a node by its quorum contact and whether it is the established leader.
     pub fn new(has_quorum_contact: bool, is_leader: bool) -> QuorumRole {
         match (has_quorum_contact, is_leader) {
             (false, _) => QuorumRole::Isolated,
@@ -36,31 +36,33 @@
     }
 }
 
-/// What becomes of a worker's call.
+/// Result of a heartbeat or a deregistration of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatOutcome {
-    /// The instance as it is known now, for the other controllers; None where nothing is known of it.
+    /// The resulting state of the instance, to be sent to the other controllers; `None` if it is unknown.
     pub instance: Option<Instance>,
-    /// It changes something that proxies act on, so they are told as well.
+    /// `true` if something that proxies act on has changed, so that it is sent to them as well.
     pub is_changed: bool,
-    /// Whether the worker may be told that it was heard. Else it calls the next controller.
+    /// `true` if the call may be acknowledged. Otherwise the worker calls the next controller.
     pub is_acknowledged: bool,
 }
 
-/// The instance registry of a controller, and how that stands to the quorum.
+/// The instance registry of a controller, and its relation to the quorum.
 #[derive(Debug)]
 pub struct FailureDetector {
     registry: InstanceRegistry,
     heartbeat_period: Span,
     quorum_role: QuorumRole,
-    /// It has led, in contact with the quorum, without a break since then.
+    /// Start of the current uninterrupted period as leader with quorum contact.
     leader_since: Option<Time>,
     isolated_since: Option<Time>,
+    /// Time of the last call of `set_quorum_role`.
     checked_at: Time,
 }
 
 impl FailureDetector {
-    /// `heartbeat_period`: how often a worker calls.
+    /// Creates a detector without quorum contact. `heartbeat_period` is the time between heartbeats of a
+    /// worker.
     pub fn new(now: Time, registry: InstanceRegistry, heartbeat_period: Span) -> FailureDetector {
         FailureDetector {
             registry,
@@ -72,50 +74,51 @@
         }
     }
 
-    /// The instances that it watches.
+    /// The registry of the monitored instances.
     pub fn registry(&self) -> &InstanceRegistry {
         &self.registry
     }
 
-    /// How the controller stands now; to be told before each call of a worker and each detection, and once a second at
-    /// least.
+    /// Sets the current role. Must be called before each heartbeat, deregistration and detection, and at
+    /// least once per second.
     pub fn set_quorum_role(&mut self, now: Time, quorum_role: QuorumRole) {
-        let stood_still = now - self.checked_at > STANDSTILL;
+        let was_paused = now - self.checked_at > PAUSE_THRESHOLD;
         self.checked_at = now;
         self.quorum_role = quorum_role;
-        self.track_isolation(now, stood_still);
+        self.track_isolation(now, was_paused);
         self.leader_since = match (quorum_role, self.leader_since) {
-            (QuorumRole::Leader, Some(since)) if !stood_still => Some(since),
+            (QuorumRole::Leader, Some(since)) if !was_paused => Some(since),
             (QuorumRole::Leader, _) => Some(now),
             _ => None,
         };
     }
 
-    /// Workers whose calls are not acknowledged pause longer and longer between them. After a time of isolation, or of
-    /// standing still, what they said last may be long past.
-    fn track_isolation(&mut self, now: Time, stood_still: bool) {
+    /// Marks all instances as unconfirmed after an isolation or a pause of this process: workers back off
+    /// while their heartbeats are not acknowledged, so their last reports may be outdated.
+    fn track_isolation(&mut self, now: Time, was_paused: bool) {
         if self.quorum_role == QuorumRole::Isolated {
             self.isolated_since.get_or_insert(now);
             return;
         }
-        let was_isolated = self.isolated_since.take().is_some_and(|since| now - since >= ISOLATION);
-        if was_isolated || stood_still {
+        let was_isolated = self.isolated_since.take().is_some_and(|since| now - since >= MIN_ISOLATION);
+        if was_isolated || was_paused {
             self.registry.mark_unconfirmed(|_| true);
         }
     }
 
-    /// Whether this controller leads, and every instance that counts as ready is confirmed.
+    /// Returns `true` if this controller is the leader and all ready instances are confirmed.
     pub fn has_complete_view(&self) -> bool {
         self.leader_since.is_some() && !self.registry.has_unconfirmed()
     }
 
-    /// The evacuation of a zone has ended: its workers may have turned cold.
+    /// Handles the end of a zone's evacuation: its workers may have to warm up again, so they become
+    /// unconfirmed.
     pub fn on_zone_restored(&mut self, zone: &str) {
         self.registry.mark_unconfirmed(|instance| instance.zone == zone);
     }
 
-    /// All instances, as others are told of them now. Out of contact, this controller can't say that any of them is as it
-    /// was.
+    /// Returns reports of all instances for other processes. Without quorum contact, all of them are
+    /// unconfirmed.
     pub fn snapshot(&self, now: Time) -> Vec<Instance> {
         let mut instances = self.registry.snapshot(now);
         if self.quorum_role == QuorumRole::Isolated {
@@ -124,18 +127,18 @@
         instances
     }
 
-    /// A worker has sent a heartbeat.
+    /// Records a heartbeat of a worker.
     pub fn record_heartbeat(&mut self, now: Time, instance: &Instance) -> HeartbeatOutcome {
         let is_changed = self.registry.update(now, instance);
         self.outcome(now, &instance.id, is_changed)
     }
 
-    /// A worker says that it ends. An instance that is not known here is not acknowledged, as nobody could be told of it:
-    /// another controller knows it.
+    /// Records a deregistration. Not acknowledged if the instance is unknown here, as this controller cannot
+    /// pass it on to the others; the worker then calls another controller.
     pub fn deregister(&mut self, now: Time, id: &str) -> HeartbeatOutcome {
-        let is_known = self.registry.deregister(now, id).is_some();
-        let outcome = self.outcome(now, id, is_known);
-        HeartbeatOutcome { is_acknowledged: outcome.is_acknowledged && is_known, ..outcome }
+        let was_known = self.registry.deregister(now, id).is_some();
+        let outcome = self.outcome(now, id, was_known);
+        HeartbeatOutcome { is_acknowledged: outcome.is_acknowledged && was_known, ..outcome }
     }
 
     fn outcome(&self, now: Time, id: &str, is_changed: bool) -> HeartbeatOutcome {
@@ -143,16 +146,16 @@
         HeartbeatOutcome { instance: self.registry.get(now, id), is_changed, is_acknowledged }
     }
 
-    /// Applies what another controller reports; returns the instances that it changed.
+    /// Applies reports of another controller. Returns the instances that have changed for proxies.
     pub fn apply_updates(&mut self, now: Time, instances: &[Instance]) -> Vec<Instance> {
         let changed: Vec<&Instance> =
             instances.iter().filter(|instance| self.registry.update(now, instance)).collect();
         changed.iter().filter_map(|instance| self.registry.get(now, &instance.id)).collect()
     }
 
-    /// Instances that have become unresponsive, as far as this controller may say so: it has led, in contact with the
-    /// quorum, for as long as makes an instance unresponsive. Every controller that acknowledges a heartbeat passes it on
-    /// to the leader, so nobody else has heard them either.
+    /// Returns the instances that have become unresponsive. Only the leader detects them, and only the time
+    /// since it became leader counts: controllers that acknowledge a heartbeat pass it on to the leader, so
+    /// an instance that is silent for the leader is silent for all controllers.
     pub fn detect_unresponsive(&mut self, now: Time) -> Vec<Instance> {
         self.registry.expire(now, self.heartbeat_period);
         let Some(since) = self.leader_since else { return Vec::new() };
--- a/crates/control-state/src/instance_registry.rs
+++ b/crates/control-state/src/instance_registry.rs
@@ -1,5 +1,5 @@
-//! The instance registry: which worker instances there are, as they say of themselves. Soft state, renewed by each
-//! heartbeat. Controllers and proxies keep one each.
+//! The instance registry: the worker instances and their state, as reported by their heartbeats. Soft state
+//! that each heartbeat renews. Every controller and every proxy has its own registry.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,73 +7,77 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-/// How long an instance that has ended is remembered, so that a late heartbeat does not bring it back.
+/// How long an instance that is no longer ready is kept, so that a late heartbeat does not register it
+/// again.
 const ENDED_RETENTION: Span = Span::from_millis(60_000);
-/// How long a silent instance that still counts as ready is kept, until some controller may call it unresponsive.
+/// How long a silent instance that is still marked as ready is kept. Until then, a controller may mark it as
+/// unresponsive.
 const READY_RETENTION: Span = Span::from_millis(600_000);
-/// How many heartbeat periods of silence make an instance unresponsive.
-const MISSED_HEARTBEATS: f64 = 4.5;
-/// The assumed age of the last heartbeat of an instance that was restored from disk, in heartbeat periods.
-const RESTORED_AGE: f64 = 2.0;
-/// A change of the end of warm-up by less than this is not passed on.
+/// Time without a heartbeat after which an instance is unresponsive, in heartbeat periods.
+const UNRESPONSIVE_AFTER_PERIODS: f64 = 4.5;
+/// Assumed age of the last heartbeat of an instance that was restored from disk, in heartbeat periods.
+const RESTORED_HEARTBEAT_AGE_PERIODS: f64 = 2.0;
+/// A change of the end of warm-up by no more than this is not reported to proxies.
 const WARM_UP_TOLERANCE: Span = Span::from_millis(400);
 
-/// By this many heartbeat periods after something that may have made workers cold, each has had the time to say so.
-const REPORT_HEARTBEATS: f64 = 1.6;
+/// Time within which each worker has sent a heartbeat after an event that may restart its warm-up, in
+/// heartbeat periods.
+const MAX_REPORT_DELAY_PERIODS: f64 = 1.6;
 
-/// How long workers may need to say that they have turned cold.
+/// Returns the time that workers may need to report that they are warming up again.
 pub fn max_report_delay(heartbeat_period: Span) -> Span {
-    heartbeat_period.times(REPORT_HEARTBEATS)
+    heartbeat_period.times(MAX_REPORT_DELAY_PERIODS)
 }
 
-/// An instance, with spans turned into times of this process's clock.
+/// A worker instance, with its times on the clock of this process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegisteredInstance {
-    /// Its service.
+    /// Name of the service that the worker runs.
     pub service: String,
-    /// Where it takes requests.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of the zone of the worker.
     pub zone: String,
-    /// How many requests it can work on at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Its state.
+    /// State from the newest report.
     pub state: InstanceState,
-    /// Until when it is warming up; in the past where it is warm.
+    /// End of the warm-up; in the past if the instance is not warming up.
     pub warming_until: Time,
-    /// Of its newest heartbeat.
+    /// Sequence number of the newest heartbeat.
     pub call_seq: u64,
-    /// When that was received.
+    /// Time of the newest heartbeat, or of the deregistration.
     pub last_heartbeat_at: Time,
-    /// It has sent no heartbeat since something after which it may be cold and not have been able to say so.
+    /// `true` if the instance has sent no heartbeat since an event after which it may be warming up without
+    /// having reported it.
     pub is_unconfirmed: bool,
 }
 
-/// All instances that are known, by their ids.
+/// All known instances by id.
 #[derive(Debug, Default)]
 pub struct InstanceRegistry {
     instances: HashMap<String, RegisteredInstance>,
 }
 
 impl InstanceRegistry {
-    /// All instances, those that have ended included.
+    /// All instances by id, including unresponsive and deregistered ones that are still kept.
     pub fn instances(&self) -> &HashMap<String, RegisteredInstance> {
         &self.instances
     }
 
-    /// Takes over what was known before this process began, until each instance sends a heartbeat again; for less time
-    /// than a heartbeat would count. A request to an instance that has ended meanwhile costs one attempt: it names the
-    /// instance, and no other takes it.
+    /// Restores ready and draining instances from before a restart of this process, as unconfirmed and with
+    /// an aged heartbeat. A request to an instance that has ended meanwhile costs one attempt: it contains
+    /// the instance id, and other instances reject it.
     pub fn restore(&mut self, now: Time, instances: &[Instance], heartbeat_period: Span) {
-        let is_alive = |i: &&Instance| matches!(i.state, InstanceState::Ready | InstanceState::Draining);
-        let heartbeat_age_ms = heartbeat_period.times(RESTORED_AGE).nanos() / 1_000_000;
-        for instance in instances.iter().filter(is_alive) {
+        let is_active = |i: &&Instance| matches!(i.state, InstanceState::Ready | InstanceState::Draining);
+        let heartbeat_age_ms = heartbeat_period.times(RESTORED_HEARTBEAT_AGE_PERIODS).nanos() / 1_000_000;
+        for instance in instances.iter().filter(is_active) {
             self.update(now, &Instance { heartbeat_age_ms, is_unconfirmed: true, ..instance.clone() });
         }
     }
 
-    /// Takes over what is said of an instance; returns whether it changes anything that proxies act on. What is older
-    /// than the newest heartbeat is ignored, and so is all that comes after the end.
+    /// Applies a report of an instance. Returns `true` if it changes anything that proxies act on. Ignores
+    /// reports older than the newest heartbeat and all reports after the deregistration.
     pub fn update(&mut self, now: Time, instance: &Instance) -> bool {
         let last_heartbeat_at = now.saturating_sub(Span::from_millis(instance.heartbeat_age_ms));
         let Some(known) = self.instances.get_mut(&instance.id) else {
@@ -103,19 +107,19 @@
         known.advance(now, instance, last_heartbeat_at)
     }
 
-    /// Instances may be cold and not have been able to say so: each is confirmed by its next heartbeat.
-    pub fn mark_unconfirmed(&mut self, may_be_cold: impl Fn(&RegisteredInstance) -> bool) {
-        let concerned = self.instances.values_mut().filter(|instance| may_be_cold(instance));
-        concerned.for_each(|instance| instance.is_unconfirmed = true);
+    /// Marks instances that may be warming up without having reported it. The next heartbeat confirms them.
+    pub fn mark_unconfirmed(&mut self, may_be_warming: impl Fn(&RegisteredInstance) -> bool) {
+        let affected = self.instances.values_mut().filter(|instance| may_be_warming(instance));
+        affected.for_each(|instance| instance.is_unconfirmed = true);
     }
 
-    /// Whether any instance that counts as ready is unconfirmed.
+    /// Returns `true` if any ready instance is unconfirmed.
     pub fn has_unconfirmed(&self) -> bool {
         let mut instances = self.instances.values();
         instances.any(|instance| instance.state == InstanceState::Ready && instance.is_unconfirmed)
     }
 
-    /// An instance says that it ends, and nothing else.
+    /// Marks an instance as deregistered. Returns `None` if it is unknown.
     pub fn deregister(&mut self, now: Time, id: &str) -> Option<Instance> {
         let known = self.instances.get_mut(id)?;
         if known.state != InstanceState::Deregistered {
@@ -125,9 +129,9 @@
         self.get(now, id)
     }
 
-    /// Forgets instances that ended long ago.
+    /// Removes instances whose last heartbeat or deregistration is older than their retention time.
     pub fn expire(&mut self, now: Time, heartbeat_period: Span) {
-        let timeout = heartbeat_period.times(MISSED_HEARTBEATS);
+        let timeout = heartbeat_period.times(UNRESPONSIVE_AFTER_PERIODS);
         self.instances.retain(|_, instance| {
             let is_ready = instance.state == InstanceState::Ready;
             let retention = if is_ready { READY_RETENTION } else { ENDED_RETENTION };
@@ -135,18 +139,18 @@
         });
     }
 
-    /// Marks ready instances as unresponsive whose heartbeats have been missing for too long, where silence counts from
-    /// `counts_from` on only. Returns their ids.
+    /// Marks ready instances as unresponsive if they have sent no heartbeat for too long. Only the time
+    /// after `not_before` counts. Returns the ids of the marked instances.
     pub fn detect_unresponsive(
         &mut self,
         now: Time,
         heartbeat_period: Span,
-        counts_from: Time,
+        not_before: Time,
     ) -> Vec<String> {
-        let timeout = heartbeat_period.times(MISSED_HEARTBEATS);
+        let timeout = heartbeat_period.times(UNRESPONSIVE_AFTER_PERIODS);
         let mut unresponsive = Vec::new();
         for (id, instance) in &mut self.instances {
-            let silent_since = instance.last_heartbeat_at.max(counts_from);
+            let silent_since = instance.last_heartbeat_at.max(not_before);
             if instance.state == InstanceState::Ready && now - silent_since > timeout {
                 instance.state = InstanceState::Unresponsive;
                 unresponsive.push(id.clone());
@@ -155,13 +159,14 @@
         unresponsive
     }
 
-    /// Both of these, where silence counts from the beginning on.
+    /// Removes expired instances, and marks unresponsive ones by the time since their last heartbeat.
+    /// Returns the ids of the marked instances.
     pub fn sweep(&mut self, now: Time, heartbeat_period: Span) -> Vec<String> {
         self.expire(now, heartbeat_period);
         self.detect_unresponsive(now, heartbeat_period, Time::default())
     }
 
-    /// One instance, as others are told of it now.
+    /// Returns a report of one instance for other processes, with the time spans as of now.
     pub fn get(&self, now: Time, id: &str) -> Option<Instance> {
         let known = self.instances.get(id)?;
         Some(Instance {
@@ -178,7 +183,7 @@
         })
     }
 
-    /// All instances, as others are told of them now.
+    /// Returns reports of all instances for other processes, with the time spans as of now.
     pub fn snapshot(&self, now: Time) -> Vec<Instance> {
         self.instances.keys().filter_map(|id| self.get(now, id)).collect()
     }
@@ -199,9 +204,9 @@
         }
     }
 
-    /// Takes over a newer heartbeat; returns whether it changes anything that proxies act on.
+    /// Applies a newer heartbeat. Returns `true` if it changes anything that proxies act on.
     fn advance(&mut self, now: Time, instance: &Instance, last_heartbeat_at: Time) -> bool {
-        // An instance that drains does so to its end.
+        // A draining instance never becomes ready again.
         let state = match self.state {
             InstanceState::Draining => InstanceState::Draining,
             _ => instance.state,
@@ -211,7 +216,7 @@
             || instance.address != self.address
             || instance.capacity != self.capacity
             || instance.is_unconfirmed != self.is_unconfirmed
-            || self.differs_in_warm_up(now, warming_until);
+            || self.is_warm_up_changed(now, warming_until);
         self.call_seq = instance.call_seq;
         self.last_heartbeat_at = self.last_heartbeat_at.max(last_heartbeat_at);
         self.state = state;
@@ -222,7 +227,7 @@
         is_changed
     }
 
-    fn differs_in_warm_up(&self, now: Time, warming_until: Time) -> bool {
+    fn is_warm_up_changed(&self, now: Time, warming_until: Time) -> bool {
         let (old, new) = (self.warming_until, warming_until);
         let ends_later = |a: Time, b: Time| now + WARM_UP_TOLERANCE < a && b + WARM_UP_TOLERANCE < a;
         ends_later(new, old) || ends_later(old, new)
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,17 +1,20 @@
-//! What controllers and proxies know of the system, as state machines without input, output, clock or thread.
+//! State machines of controllers and proxies, without I/O, clocks or threads.
 //!
-//! Contract: methods take the time and what was received, and return what the caller is to do; nothing here waits or
-//! reads a clock. `lynxstair-controller` and `lynxstair-proxy` run them on sockets, the emulator on a virtual clock.
+//! Methods take the current time and the received data, and return what the caller is to do; they never
+//! block. `lynxstair-controller` and `lynxstair-proxy` run them on sockets, the emulator on a virtual clock.
 //!
-//! | module | what it holds | held by |
+//! | module | content | used by |
 //! | --- | --- | --- |
-//! | [`command`], [`config_store`] | the operator's commands; the replicated configuration | controllers |
-//! | [`delta_log`], [`subscription`] | what subscribers are sent of it | controllers |
-//! | [`config_replica`] | what a subscriber holds of it | proxies |
-//! | [`instance_registry`], [`failure_detector`] | worker instances; who is unresponsive | both; controllers |
-//! | [`quota_allocator`], [`quota_limits`] | shares of quotas | the leader |
+//! | [`command`], [`config_store`] | operator commands; the replicated state | controllers |
+//! | [`delta_log`], [`subscription`] | updates of the configuration for proxies | controllers |
+//! | [`config_replica`] | the received configuration | proxies |
+//! | [`instance_registry`] | worker instances | both |
+//! | [`failure_detector`] | detection of unresponsive instances | controllers |
+//! | [`quota_allocator`] | shares of tenant quotas | the leader |
+//! | [`quota_limits`] | limits of the token buckets | both |
 //! | [`directory`] | proxies that clients may connect to | controllers |
-//! | [`proxy_membership`], [`membership_planner`] | over which proxies whole permits are split; when that changes | both; the leader |
+//! | [`proxy_membership`] | proxies that share permits | both |
+//! | [`membership_planner`] | changes of the proxy membership | the leader |
 //! | [`peer_set`] | controllers to connect to | both |
 #![forbid(unsafe_code)]
 
--- a/crates/control-state/src/membership_planner.rs
+++ b/crates/control-state/src/membership_planner.rs
@@ -1,17 +1,19 @@
-//! The membership planner: when the leader changes the [proxy membership](crate::proxy_membership), by the heartbeats that
-//! it receives.
+//! The membership planner: decides when the leader changes the [proxy membership](crate::proxy_membership),
+//! by the heartbeats that it receives from proxies.
 //!
-//! Why parts never add up to more than one whole, whoever is in touch with whom:
+//! The permit shares of all proxies never sum to more than the total, whatever the network partitions,
+//! because:
 //!
-//! - A proxy acts on a membership only while a controller has confirmed to it, within [`MEMBERSHIP_VALIDITY`] by its own
-//!   steady clock, that nothing newer had been committed. A process that begins needs a confirmation that is at most
-//!   [`MAX_CONFIRMATION_AGE`] old.
-//! - A change under way stands until no proxy acts on the membership before it any more. Either each of its members has
-//!   reported that it holds the change, and has done so for [`MAX_CONFIRMATION_AGE`]: then whatever process of that member
-//!   begins after the one that reported finds the change confirmed, or nothing. Or the validity has passed.
+//! - A proxy uses a membership only if a controller has confirmed within [`MEMBERSHIP_VALIDITY`], by the
+//!   proxy's monotonic clock, that it is the newest. A restarted process needs a confirmation that is at
+//!   most [`MAX_CONFIRMATION_AGE`] old.
+//! - A change remains in progress until no proxy uses the membership before it. That holds when every member
+//!   before the change has reported that it has held the change for [`MAX_CONFIRMATION_AGE`], since a
+//!   process that starts later can get a confirmation of the change only. It also holds when the validity
+//!   has expired.
 //!
-//! So at any moment, and over any second, proxies act on at most two memberships that follow each other, and one of the
-//! two is the change between them. This rests on steady clocks that go equally fast to within a few percent.
+//! Hence all proxies use at most two consecutive memberships within any second, and one of the two is the
+//! change in progress. This requires monotonic clocks whose rates differ by at most a few percent.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -19,68 +21,72 @@
 
 use crate::proxy_membership::{Members, ProxyMembership};
 
-/// For how long a proxy may act on a membership after it was last confirmed to be the newest. Longer than most outages of
-/// the controllers, as proxies serve on by it; members that are gone for good delay a change by so much.
+/// How long a proxy may use a membership after the last confirmation that it is the newest. Longer than most
+/// outages of the controllers, during which proxies rely on it. A member that has failed permanently delays
+/// a change for this time.
 pub const MEMBERSHIP_VALIDITY: Span = Span::from_millis(600_000);
-/// How old a confirmation may be.
+/// Maximum age of a confirmation.
 pub const MAX_CONFIRMATION_AGE: Span = Span::from_millis(1_000);
-/// Without all reports a change is complete after this time: the validity, the age of a confirmation, and what steady
-/// clocks may differ by.
-const UNREPORTED_AFTER: Span = Span::from_millis(640_000);
-/// By this time a leader has heard all proxies that are in touch.
+/// A change is complete after this time even without reports from all members. Covers the validity, the age
+/// of a confirmation and the difference of clock rates.
+const CHANGE_TIMEOUT: Span = Span::from_millis(640_000);
+/// Time in which a new leader receives heartbeats from all connected proxies.
 const LEADER_SETTLE_TIME: Span = Span::from_millis(2_500);
-/// A proxy becomes a member once it has been heard for this long, so that those that join together are one change.
+/// A proxy becomes a member after it has sent heartbeats for this long, so that one change covers proxies
+/// that join together.
 const JOIN_TIME: Span = Span::from_millis(1_000);
-/// A proxy that was not heard for this long does not become a member.
-const SILENCE: Span = Span::from_millis(3_000);
-/// A member that was not heard for this long is dropped. Restarts are far shorter.
-const REMOVED_AFTER: Span = Span::from_millis(600_000);
+/// A proxy without a heartbeat for this long does not become a member.
+const HEARTBEAT_TIMEOUT: Span = Span::from_millis(3_000);
+/// A member without a heartbeat for this long is removed. Longer than a restart.
+const REMOVAL_TIMEOUT: Span = Span::from_millis(600_000);
 
-/// A proxy as the leader hears it.
+/// State of a proxy, from its heartbeats.
 #[derive(Debug)]
-struct HeardProxy {
+struct ObservedProxy {
     zone: String,
-    first_heard_at: Time,
-    heard_at: Time,
-    /// The membership that it reported last, by revision.
+    /// First heartbeat after the last interruption.
+    connected_since: Time,
+    last_heartbeat_at: Time,
+    /// Newest revision of the membership that the proxy has reported.
     membership: u64,
 }
 
-/// When the leader changes the membership.
+/// Plans membership changes on the leader.
 #[derive(Debug, Default)]
 pub struct MembershipPlanner {
-    proxies: HashMap<String, HeardProxy>,
+    proxies: HashMap<String, ObservedProxy>,
     leading_since: Option<Time>,
-    /// The revision of the membership that is committed, and when this leader saw it first.
+    /// Revision of the committed membership, and when this leader first observed it.
     observed: Option<(u64, Time)>,
 }
 
 impl MembershipPlanner {
-    /// A proxy has sent a heartbeat. `membership`: the revision of the membership that it has held for the age of a
-    /// confirmation.
+    /// Records a heartbeat of a proxy. `membership` is the revision of the membership that it has held for
+    /// at least [`MAX_CONFIRMATION_AGE`], or 0.
     pub fn on_heartbeat(&mut self, now: Time, node: &str, zone: &str, membership: u64) {
-        let proxy = self.proxies.entry(node.to_string()).or_insert_with(|| HeardProxy {
+        let proxy = self.proxies.entry(node.to_string()).or_insert_with(|| ObservedProxy {
             zone: String::new(),
-            first_heard_at: now,
-            heard_at: now,
+            connected_since: now,
+            last_heartbeat_at: now,
             membership: 0,
         });
-        if now - proxy.heard_at > SILENCE {
-            proxy.first_heard_at = now;
+        if now - proxy.last_heartbeat_at > HEARTBEAT_TIMEOUT {
+            proxy.connected_since = now;
         }
         proxy.zone = zone.to_string();
-        proxy.heard_at = now;
+        proxy.last_heartbeat_at = now;
         proxy.membership = proxy.membership.max(membership);
     }
 
-    /// The membership that this controller proposes now, if any. To be asked a few times a second, with what is committed.
+    /// Returns the membership that this controller is to propose now, if any. Called a few times per second
+    /// with the committed membership.
     pub fn plan(
         &mut self,
         now: Time,
         is_leading: bool,
         committed: &ProxyMembership,
     ) -> Option<ProxyMembership> {
-        self.proxies.retain(|_, proxy| now - proxy.heard_at < REMOVED_AFTER);
+        self.proxies.retain(|_, proxy| now - proxy.last_heartbeat_at < REMOVAL_TIMEOUT);
         if !is_leading {
             (self.leading_since, self.observed) = (None, None);
             return None;
@@ -95,39 +101,41 @@
         if committed.is_changing() {
             return self.is_complete(now, committed).then(|| committed.completed());
         }
-        let wanted = self.wanted(now, leading_since, committed.current());
-        (wanted != *committed.current()).then(|| committed.changed_to(wanted))
+        let planned_members = self.planned_members(now, leading_since, committed.current());
+        (planned_members != *committed.current()).then(|| committed.changed_to(planned_members))
     }
 
-    /// Members that are not gone for good, and proxies that are to join them.
-    fn wanted(&self, now: Time, leading_since: Time, current: &Members) -> Members {
-        let is_gone = |name: &String| {
-            let heard_at = self.proxies.get(name).map_or(leading_since, |p| p.heard_at.max(leading_since));
-            now - heard_at >= REMOVED_AFTER
+    /// Returns the current members without those to remove, plus the proxies that are to join.
+    fn planned_members(&self, now: Time, leading_since: Time, current: &Members) -> Members {
+        let is_removable = |name: &String| {
+            let last_heartbeat_at =
+                self.proxies.get(name).map_or(leading_since, |p| p.last_heartbeat_at.max(leading_since));
+            now - last_heartbeat_at >= REMOVAL_TIMEOUT
         };
-        let mut wanted: Members = current.clone();
-        // A zone that is silent as a whole is cut off from here, not gone.
-        for names in wanted.values_mut().filter(|names| !names.iter().all(is_gone)) {
-            names.retain(|name| !is_gone(name));
+        let mut planned_members: Members = current.clone();
+        // If a whole zone is silent, a network partition is more likely than failures: keep its members.
+        for names in planned_members.values_mut().filter(|names| !names.iter().all(is_removable)) {
+            names.retain(|name| !is_removable(name));
         }
-        let joins =
-            |proxy: &HeardProxy| now - proxy.heard_at < SILENCE && now - proxy.first_heard_at >= JOIN_TIME;
+        let joins = |proxy: &ObservedProxy| {
+            now - proxy.last_heartbeat_at < HEARTBEAT_TIMEOUT && now - proxy.connected_since >= JOIN_TIME
+        };
         for (name, proxy) in self.proxies.iter().filter(|(_, proxy)| joins(proxy)) {
-            wanted.entry(proxy.zone.clone()).or_default().push(name.clone());
+            planned_members.entry(proxy.zone.clone()).or_default().push(name.clone());
         }
-        for names in wanted.values_mut() {
-            let in_order: BTreeSet<String> = names.drain(..).collect();
-            names.extend(in_order);
+        for names in planned_members.values_mut() {
+            let sorted: BTreeSet<String> = names.drain(..).collect();
+            names.extend(sorted);
         }
-        wanted
+        planned_members
     }
 
-    /// Whether no proxy acts on the membership before the change any more.
+    /// Returns `true` if no proxy uses the membership before the change any more.
     fn is_complete(&self, now: Time, committed: &ProxyMembership) -> bool {
         let Some((_, since)) = self.observed else { return false };
         let has_reported = |name: &String| {
             self.proxies.get(name).is_some_and(|proxy| proxy.membership >= committed.revision)
         };
-        now - since >= UNREPORTED_AFTER || committed.current().values().flatten().all(has_reported)
+        now - since >= CHANGE_TIMEOUT || committed.current().values().flatten().all(has_reported)
     }
 }
--- a/crates/control-state/src/peer_set.rs
+++ b/crates/control-state/src/peer_set.rs
@@ -1,49 +1,49 @@
-//! The controllers that a process keeps connections to: those that its settings name, and those that it was told of since.
-//! A controller that is long gone is dropped, so that connection attempts to dead addresses do not pile up over many
-//! replacements.
+//! The set of controllers that a process keeps connections to: those in its settings and those that other
+//! controllers report. Controllers that were unreachable for long are removed, so that connection attempts
+//! to old addresses do not accumulate over many replacements.
 
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
 use lynxstair::types::{Span, Time};
 
-/// The most controllers that are kept.
+/// Maximum number of controllers in the set.
 pub const MAX_PEERS: usize = 16;
-/// A controller that has not been heard for this long is dropped, unless something else vouches for it.
+/// A controller without contact for this long is removed, unless the caller retains it.
 const PEER_RETENTION: Span = Span::from_millis(30_000);
-/// If the set is full, a controller that has not been heard for this long is replaced by a new one.
+/// If the set is full, a new controller can replace one without contact for this long.
 const REPLACEABLE_AFTER: Span = Span::from_millis(3_000);
-/// A process that has had no connection to any controller for this long checks whether the settings name others.
+/// A process without a connection to any controller for this long reads its settings again.
 const ISOLATION_TIMEOUT: Span = Span::from_millis(2_000);
 
-/// Controllers send a heartbeat every half second. One that was silent for this long counts as unheard, and a connection
-/// that has been open for this long without its other end hearing anything is reopened.
+/// Contact time-out of a controller, which sends a heartbeat every 500 ms. A connection on which the other
+/// side has received nothing for this long is reopened.
 pub const PEER_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// The right to keep the connection to a peer. A peer that was dropped and added again has another one, so that two
-/// coroutines never keep connections to the same peer.
+/// Identifies the coroutine that keeps the connection to a peer. A peer that is removed and added again gets
+/// a new id, so that two coroutines never keep connections to the same peer.
 pub type ConnectionId = u64;
 
 #[derive(Debug)]
 struct Peer {
     connection: ConnectionId,
-    /// When it was added, or heard last.
-    heard_at: Time,
-    /// It was heard, not only named.
-    has_spoken: bool,
+    /// Time of the last contact, or of the addition.
+    last_contact_at: Time,
+    /// `false` if the peer was added and has not been reached yet.
+    has_contact: bool,
 }
 
-/// The set of peers.
+/// The set of peer controllers.
 #[derive(Debug)]
 pub struct PeerSet {
     peers: IndexMap<SocketAddr, Peer>,
     last_connection: ConnectionId,
-    /// When a connection to any of them was last open, or the settings were looked at for want of one.
+    /// When a connection to any peer was last open, or `poll_isolated` last returned `true`.
     connected_at: Time,
 }
 
 impl PeerSet {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new(now: Time) -> PeerSet {
         PeerSet { peers: IndexMap::new(), last_connection: 0, connected_at: now }
     }
@@ -53,69 +53,74 @@
         self.peers.keys().copied()
     }
 
-    /// How many there are.
+    /// Number of peers.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether there are none.
+    /// Returns `true` if there are no peers.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// Adds a peer. Where it was not known, returns the id of the connection that is to be kept to it from now on.
+    /// Adds a peer. Returns the id of the connection that is to be kept to it, or `None` if it is already
+    /// known or the set is full.
     pub fn add(&mut self, now: Time, peer: SocketAddr) -> Option<ConnectionId> {
         if self.peers.contains_key(&peer) {
             return None;
         }
         if self.peers.len() >= MAX_PEERS {
-            let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.heard_at);
-            let (oldest, _) = oldest.filter(|(_, peer)| now - peer.heard_at > REPLACEABLE_AFTER)?;
+            let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.last_contact_at);
+            let (oldest, _) = oldest.filter(|(_, peer)| now - peer.last_contact_at > REPLACEABLE_AFTER)?;
             let oldest = *oldest;
             self.peers.shift_remove(&oldest);
         }
         self.last_connection += 1;
         let connection = self.last_connection;
-        self.peers.insert(peer, Peer { connection, heard_at: now, has_spoken: false });
+        self.peers.insert(peer, Peer { connection, last_contact_at: now, has_contact: false });
         Some(connection)
     }
 
-    /// A peer was heard.
+    /// Records contact with a peer.
     pub fn record_contact(&mut self, now: Time, peer: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
-            (peer.heard_at, peer.has_spoken) = (now, true);
+            (peer.last_contact_at, peer.has_contact) = (now, true);
         }
     }
 
-    /// Whether a peer was heard, or added, a moment ago.
+    /// Returns `true` if there was contact with the peer, or it was added, within [`PEER_TIMEOUT`].
     pub fn has_recent_contact(&self, now: Time, peer: SocketAddr) -> bool {
-        self.peers.get(&peer).is_some_and(|peer| now - peer.heard_at < PEER_TIMEOUT)
+        self.peers.get(&peer).is_some_and(|peer| now - peer.last_contact_at < PEER_TIMEOUT)
     }
 
-    /// The peers that were heard a moment ago, to be named to others: a dead one is not named to each other for ever.
+    /// Returns the peers with contact within [`PEER_TIMEOUT`], which may be reported to other processes.
+    /// Others are left out so that controllers do not report a failed one to each other forever.
     pub fn reachable_peers(&self, now: Time) -> Vec<SocketAddr> {
-        let is_heard = |peer: &Peer| peer.has_spoken && now - peer.heard_at < PEER_TIMEOUT;
-        self.peers.iter().filter(|(_, peer)| is_heard(peer)).map(|(address, _)| *address).collect()
+        let is_reachable = |peer: &Peer| peer.has_contact && now - peer.last_contact_at < PEER_TIMEOUT;
+        self.peers.iter().filter(|(_, peer)| is_reachable(peer)).map(|(address, _)| *address).collect()
     }
 
-    /// Whether this connection is still the one to be kept to the peer.
+    /// Returns `true` if this connection is still the one to be kept to the peer.
     pub fn is_current(&self, peer: SocketAddr, connection: ConnectionId) -> bool {
         self.peers.get(&peer).is_some_and(|peer| peer.connection == connection)
     }
 
-    /// Drops peers that were not heard for long, but for those that something else vouches for. Returns how many.
-    pub fn remove_expired(&mut self, now: Time, is_vouched_for: impl Fn(SocketAddr) -> bool) -> usize {
+    /// Removes peers without contact for a long time, except those for which `is_retained` returns `true`.
+    /// Returns the number of removed peers.
+    pub fn remove_expired(&mut self, now: Time, is_retained: impl Fn(SocketAddr) -> bool) -> usize {
         let before = self.peers.len();
-        self.peers.retain(|address, peer| now - peer.heard_at <= PEER_RETENTION || is_vouched_for(*address));
+        self.peers
+            .retain(|address, peer| now - peer.last_contact_at <= PEER_RETENTION || is_retained(*address));
         before - self.peers.len()
     }
 
-    /// A connection to one of them is open.
+    /// Records that a connection to any peer is open.
     pub fn on_connected(&mut self, now: Time) {
         self.connected_at = now;
     }
 
-    /// Whether this process has been isolated for long enough to check the settings; if so, the time starts anew.
+    /// Returns `true` if this process was isolated for long enough to read its settings again, and restarts
+    /// the time-out.
     pub fn poll_isolated(&mut self, now: Time) -> bool {
         let is_isolated = now - self.connected_at > ISOLATION_TIMEOUT;
         if is_isolated {
--- a/crates/control-state/src/proxy_membership.rs
+++ b/crates/control-state/src/proxy_membership.rs
@@ -1,24 +1,25 @@
-//! The proxy membership: which proxies share what may be spent in whole units only, such as the requests that a worker
-//! bears while it warms up. It is part of the replicated state, so that a proxy that restarts knows its part as soon as it
-//! has a configuration, and nobody's part depends on who was heard lately.
+//! The proxy membership: the set of proxies among which permits are split, such as those for requests to a
+//! worker that is warming up. It is part of the replicated state, so that a restarted proxy can compute its
+//! share as soon as it has a configuration, and shares do not depend on which proxies are currently
+//! connected.
 //!
-//! A change goes through both sets of members, as in joint consensus: while there is a next one, a proxy takes the smaller
-//! of its two parts. Proxies that have not heard of the change yet and proxies that have then add up to no more than one
-//! whole, and so do these and proxies that hold the next set alone. [`crate::membership_planner`] says how long both have
-//! to stand.
+//! A change uses a joint membership, as in joint consensus: while it is in progress, a proxy uses the
+//! smaller of its shares under the current and the next members. The shares of proxies before and in the
+//! change never sum to more than the total, nor do those of proxies in and after it.
+//! [`crate::membership_planner`] decides when a change is complete.
 
 use std::collections::BTreeMap;
 
 use lynxstair_protocol::digest;
 use serde::{Deserialize, Serialize};
 
-/// The names of the proxies' machines, in order, by zone.
+/// Sorted node names of the proxies, by zone.
 pub type Members = BTreeMap<String, Vec<String>>;
 
-/// The proxies of all zones.
+/// The members in all zones, with a change that may be in progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyMembership {
-    /// The revision of the replicated state that changed it last.
+    /// Revision of the replicated state that last changed the membership.
     pub revision: u64,
     current: Members,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -26,42 +27,43 @@
 }
 
 impl ProxyMembership {
-    /// Members without a change under way.
+    /// Creates a membership without a change in progress.
     pub fn new(revision: u64, current: Members) -> ProxyMembership {
-        ProxyMembership { revision, current: in_order(current), next: None }
+        ProxyMembership { revision, current: sorted(current), next: None }
     }
 
-    /// Whether there are no members yet.
+    /// Returns `true` if there are no members yet.
     pub fn is_empty(&self) -> bool {
         self.current.is_empty()
     }
 
-    /// The members; while a change is under way, those before it.
+    /// The current members; during a change, those before it.
     pub fn current(&self) -> &Members {
         &self.current
     }
 
-    /// Whether a change is under way.
+    /// Returns `true` if a change is in progress.
     pub fn is_changing(&self) -> bool {
         self.next.is_some()
     }
 
-    /// These members with a change to others under way. Where there are none yet, the others are members at once.
+    /// Returns this membership with a change to `members` in progress. If it is empty, they become members
+    /// at once.
     pub fn changed_to(&self, members: Members) -> ProxyMembership {
         if self.is_empty() {
             return ProxyMembership::new(self.revision, members);
         }
-        ProxyMembership { next: Some(in_order(members)), ..self.clone() }
+        ProxyMembership { next: Some(sorted(members)), ..self.clone() }
     }
 
-    /// The members after the change that is under way.
+    /// Returns the membership after the change in progress.
     pub fn completed(&self) -> ProxyMembership {
         let current = self.next.clone().unwrap_or_else(|| self.current.clone());
         ProxyMembership { revision: self.revision, current, next: None }
     }
 }
 
-fn in_order(mut members: Members) -> Members {
+fn sorted(mut members: Members) -> Members {
     for names in members.values_mut() {
         names.sort();
         names.dedup();
@@ -70,21 +72,22 @@
     members
 }
 
-/// Of the permits for an item, this fraction goes to members of other zones than the item's.
+/// Fraction of the permits for a worker that goes to members in other zones.
 const REMOTE_FRACTION: f64 = 0.25;
 
-/// What one member has of a number of permits.
+/// One member's share of the permits for a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PermitShare {
-    /// Whole permits; those of all members add up to the total at the most.
+    /// Number of permits of this member. Those of all members never sum to more than the total.
     pub permits: u32,
-    /// Of how many: those of the item's own zone have most, all others together the rest.
+    /// Number of permits of this member's group: the members in the worker's zone, or all others together.
     pub group_total: u32,
-    /// Where this member stands among those that have any, from 0 to 1: so that they need not all begin at once.
+    /// Rank of this member among those with permits, from 0 to below 1, so that they can start at different
+    /// times.
     pub start_offset: f64,
 }
 
-/// How permits are split, as one member sees it.
+/// Computes the permit shares of one member.
 #[derive(Clone, Debug, Default)]
 pub struct PermitSplit {
     zone: String,
@@ -93,7 +96,7 @@
 }
 
 impl PermitSplit {
-    /// The split for the proxy on machine `node` in a zone.
+    /// Creates the split for the proxy `node` in a zone.
     pub fn new(membership: &ProxyMembership, zone: &str, node: &str) -> PermitSplit {
         let keys = |members: &Members| MemberKeys::new(members, zone, node);
         PermitSplit {
@@ -103,71 +106,75 @@
         }
     }
 
-    /// This member's part of `total` permits for an item of a zone, by the item's name. Which members have one more than
-    /// others, or any, differs from item to item.
-    pub fn share(&self, zone: &str, item: &str, total: u32) -> PermitShare {
-        let item = key_of(item);
-        let part = |keys: &MemberKeys| {
-            if zone == self.zone { keys.local_part(item, total) } else { keys.remote_part(zone, item, total) }
+    /// Returns this member's share of `total` permits for the worker instance `worker` in `zone`. Permits
+    /// that cannot be split evenly go to different members for different workers.
+    pub fn share(&self, zone: &str, worker: &str, total: u32) -> PermitShare {
+        let worker = key_of(worker);
+        let share = |keys: &MemberKeys| {
+            if zone == self.zone {
+                keys.local_share(worker, total)
+            } else {
+                keys.remote_share(zone, worker, total)
+            }
         };
-        let current = self.current.as_ref().map_or(PermitShare::default(), part);
-        let next = self.next.as_ref().map_or(current, part);
+        let current = self.current.as_ref().map_or(PermitShare::default(), share);
+        let next = self.next.as_ref().map_or(current, share);
         if next.permits < current.permits { next } else { current }
     }
 }
 
-/// One set of members, prepared for rendezvous hashing: an item draws an order of the members, of which the first have one
-/// permit more than the others. A member that joins or leaves moves no more than its own part.
+/// A set of members, prepared for rendezvous hashing: the worker's key ranks the members, and those ranked
+/// first get one permit more than the others. A member that joins or leaves moves only its own share.
 #[derive(Clone, Debug)]
 struct MemberKeys {
     zones: BTreeMap<String, Vec<u64>>,
     own_zone: String,
-    /// The place of this member in its zone; None where it is none.
-    own: Option<usize>,
+    /// Index of this member in its zone; `None` if it is not a member.
+    own_index: Option<usize>,
 }
 
 impl MemberKeys {
     fn new(members: &Members, zone: &str, node: &str) -> MemberKeys {
-        let own = members.get(zone).and_then(|names| names.iter().position(|name| name == node));
+        let own_index = members.get(zone).and_then(|names| names.iter().position(|name| name == node));
         let keys = |names: &Vec<String>| names.iter().map(|name| key_of(name)).collect();
         MemberKeys {
             zones: members.iter().map(|(zone, names)| (zone.clone(), keys(names))).collect(),
             own_zone: zone.to_string(),
-            own,
+            own_index,
         }
     }
 
-    /// How many of the permits go to members of other zones than the item's: none where there are no others.
+    /// Returns the number of permits for members outside `zone`; 0 if there are none.
     fn remote_total(&self, zone: &str, total: u32) -> u32 {
         let has_others = self.zones.keys().any(|other| other != zone);
         if has_others { (f64::from(total) * REMOTE_FRACTION) as u32 } else { 0 }
     }
 
-    fn local_part(&self, item: u64, total: u32) -> PermitShare {
+    fn local_share(&self, worker: u64, total: u32) -> PermitShare {
         let total = total - self.remote_total(&self.own_zone, total);
-        self.part_among(item, total, |zone| zone == self.own_zone)
+        self.share_among(worker, total, |zone| zone == self.own_zone)
     }
 
-    fn remote_part(&self, item_zone: &str, item: u64, total: u32) -> PermitShare {
-        self.part_among(item, self.remote_total(item_zone, total), |zone| zone != item_zone)
+    fn remote_share(&self, worker_zone: &str, worker: u64, total: u32) -> PermitShare {
+        self.share_among(worker, self.remote_total(worker_zone, total), |zone| zone != worker_zone)
     }
 
-    /// The part of this member among those of some zones.
-    fn part_among(&self, item: u64, total: u32, is_among: impl Fn(&str) -> bool) -> PermitShare {
-        let Some(own) = self.own else { return PermitShare::default() };
-        let Some(own_key) = self.zones.get(&self.own_zone).and_then(|keys| keys.get(own)) else {
+    /// Returns this member's share of `total` permits among the members in the zones accepted by `is_among`.
+    fn share_among(&self, worker: u64, total: u32, is_among: impl Fn(&str) -> bool) -> PermitShare {
+        let Some(own_index) = self.own_index else { return PermitShare::default() };
+        let Some(own_key) = self.zones.get(&self.own_zone).and_then(|keys| keys.get(own_index)) else {
             return PermitShare::default();
         };
-        let own_rank = (rank(item, *own_key), &self.own_zone, own);
+        let own_rank = (rank(worker, *own_key), &self.own_zone, own_index);
         let (mut count, mut position) = (0, 0);
         for (zone, keys) in self.zones.iter().filter(|(zone, _)| is_among(zone)) {
             count += keys.len();
-            let is_before = |(place, key): &(usize, &u64)| (rank(item, **key), zone, *place) < own_rank;
+            let is_before = |(index, key): &(usize, &u64)| (rank(worker, **key), zone, *index) < own_rank;
             position += keys.iter().enumerate().filter(is_before).count();
         }
-        let (each, more) = (total as usize / count.max(1), total as usize % count.max(1));
-        let holders = if each > 0 { count } else { more };
-        let permits = (each + usize::from(position < more)) as u32;
+        let (each, remainder) = (total as usize / count.max(1), total as usize % count.max(1));
+        let holders = if each > 0 { count } else { remainder };
+        let permits = (each + usize::from(position < remainder)) as u32;
         PermitShare {
             permits,
             group_total: total,
@@ -176,14 +183,14 @@
     }
 }
 
-/// The same in every build: all members have to agree on it.
+/// Hashes a name. Must be the same in every build, as all members have to compute the same ranks.
 fn key_of(name: &str) -> u64 {
     digest::of([name.as_bytes()]).iter().take(8).fold(0, |key, byte| key << 8 | u64::from(*byte))
 }
 
-/// A member's place for an item: both keys mixed by the finalizer of SplitMix64.
-fn rank(item: u64, member: u64) -> u64 {
-    let mut mixed = item ^ member;
+/// Rendezvous weight of a member for a worker: both keys mixed by the finalizer of SplitMix64.
+fn rank(worker: u64, member: u64) -> u64 {
+    let mut mixed = worker ^ member;
     mixed = (mixed ^ mixed >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ mixed >> 31
--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -1,11 +1,11 @@
-//! The quota allocator: how a tenant's quota is split over the proxies, by the usage that each of them reports, and the
-//! total of what all admitted. Held by the leader, from the heartbeats that all proxies send each second. No request waits
-//! for it.
+//! The quota allocator: splits each tenant's quota over the proxies by the usage that they report. The
+//! leader runs it on the heartbeats that each proxy sends every second. Requests are admitted without
+//! waiting for it.
 //!
-//! Two things keep the sum within the quota. The shares that are held anywhere never come to more than one. And where
-//! shares are so small that token buckets hold more than their share (`quota_limits::MIN_BUCKET_DEPTH`), the total of a sliding
-//! window, with what is not reported yet estimated from the newest reports, blocks a tenant everywhere before it exceeds
-//! what is granted.
+//! Two mechanisms keep the total usage within the quota and its tolerance. The shares held by all proxies
+//! never sum to more than one. If shares are so small that token buckets hold more than their share
+//! (`quota_limits::MIN_BUCKET_DEPTH`), the total usage in a sliding window, including an estimate of
+//! unreported usage, blocks a tenant at all proxies before it exceeds the tolerance.
 
 use std::collections::HashMap;
 
@@ -15,87 +15,92 @@
 
 use crate::usage_window::UsageWindow;
 
-/// The fraction of a quota that is split evenly among the proxies that are heard.
-const EVEN_PART: f64 = 0.4;
-/// The weight of a new report in the estimated demand of a proxy.
+/// Fraction of a quota that is split evenly over all known proxies; the rest is split by demand.
+const EVEN_FRACTION: f64 = 0.4;
+/// Weight of a new report that covers one second in the moving average of a proxy's demand.
 const DEMAND_WEIGHT: f64 = 0.12;
-/// A report this many standard deviations above the demand is not explained by chance and replaces it at once.
-const DEMAND_DEVIATIONS: f64 = 3.0;
-/// How long a silent proxy is assumed to keep its share; longer than it goes on spending it.
+/// A report this many standard deviations above the estimated demand replaces the estimate at once.
+const DEMAND_JUMP_DEVIATIONS: f64 = 3.0;
+/// How long a silent proxy is assumed to hold its share; longer than the share is valid at the proxy.
 const SHARE_RETENTION: Span = Span::from_millis(3_300);
-/// After that it is assumed to hold an even share, until it has been silent for this long and is forgotten.
+/// A proxy that was silent for this long is removed. Between `SHARE_RETENTION` and this time it is assumed
+/// to hold an even share.
 const PROXY_RETENTION: Span = Span::from_millis(12_000);
-/// How many reports it takes to know the demand of a proxy.
-const SETTLED_REPORTS: u32 = 3;
-/// The least demand, in requests a second: a proxy that has none may get some at any time.
-const MIN_DEMAND: f64 = 0.3;
-/// Demand below this is forgotten.
-const NEGLIGIBLE_DEMAND: f64 = 0.001;
-/// A share is sent again where it changed by more than this fraction.
-const SHARE_TOLERANCE: f64 = 0.12;
-/// Reports come a second apart; a shorter or longer time between two of them counts as one of these, in seconds.
+/// Minimum number of usage reports for a reliable demand estimate.
+const MIN_SETTLED_REPORTS: u32 = 3;
+/// Minimum assumed demand, in requests per second, so that a proxy without traffic keeps some share.
+const MIN_DEMAND_PER_S: f64 = 0.3;
+/// Estimated demand below this many requests per second is dropped.
+const NEGLIGIBLE_DEMAND_PER_S: f64 = 0.001;
+/// Relative change of a share above which the new share is sent to the proxy.
+const SHARE_UPDATE_THRESHOLD: f64 = 0.12;
+/// Bounds on the time that one report is taken to cover, in seconds. Reports are sent once per second.
 const MIN_REPORT_GAP_S: f64 = 0.2;
 const MAX_REPORT_GAP_S: f64 = 2.0;
-/// The time that a report covers that also holds the usage of earlier seconds, in seconds.
+/// Upper bound on the time covered by the current entries of a report that also has entries for earlier
+/// seconds.
 const MAX_BACKLOG_GAP_S: f64 = 1.0;
-/// The time that the first report of a proxy is taken to cover.
+/// Time that the first report of a proxy is taken to cover.
 const FIRST_REPORT_GAP: Span = Span::from_millis(1_000);
 
-/// What the operators grant.
+/// How far usage may exceed a quota, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaTolerance {
-    /// The sliding window in which usage is counted.
+    /// Sliding window in which usage is counted.
     pub window: Span,
-    /// Requests beyond the quota in a window.
+    /// Number of requests allowed beyond the quota in a window.
     pub slack: f64,
-    /// The fraction by which the quota may be exceeded on top of that.
+    /// Fraction of the quota that is allowed beyond it, in addition to `slack`.
     pub overshoot: f64,
 }
 
-/// What a proxy reports in a heartbeat.
+/// The quota part of a proxy's heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageReport<'a> {
-    /// Its usage since the last report.
+    /// Usage since the last report.
     pub usage: &'a [TenantUsage],
-    /// The number of the newest shares that it received.
+    /// Sequence number of the newest shares that the proxy received.
     pub received_shares: u64,
 }
 
-/// One proxy.
+/// Allocation state of one proxy.
 #[derive(Debug, Default)]
 struct QuotaConsumer {
     zone: String,
-    heard_at: Time,
-    /// Its estimated demand for each tenant, in requests a second.
+    last_report_at: Time,
+    /// Estimated demand by tenant, in requests per second.
     demand: HashMap<String, f64>,
-    /// The share of each tenant's quota that it holds, as far as it has said so.
+    /// Largest share of each tenant's quota that the proxy may hold, from its reports, its acknowledgements
+    /// and the shares sent since.
     held: HashMap<String, f64>,
-    /// What was sent to it since, and by which number.
+    /// Largest share of each tenant that was sent and is not acknowledged yet.
     sent: HashMap<String, f64>,
+    /// Sequence number of the newest shares that were sent.
     sent_number: u64,
-    /// It has said which shares it holds, since this allocator is the one that allocates.
+    /// The proxy has reported the shares that it holds since this controller became the allocating one.
     has_reported_shares: bool,
-    /// How often it has reported usage, since then.
+    /// Number of usage reports since then.
     reports: u32,
 }
 
 impl QuotaConsumer {
-    /// Whether it keeps its share, although it may be silent.
-    fn keeps_share(&self, now: Time) -> bool {
-        now - self.heard_at < SHARE_RETENTION
+    /// Returns `true` if the proxy may still spend its share, even if it is silent.
+    fn may_spend_share(&self, now: Time) -> bool {
+        now - self.last_report_at < SHARE_RETENTION
     }
 
     fn is_settled(&self) -> bool {
-        self.has_reported_shares && self.reports >= SETTLED_REPORTS
+        self.has_reported_shares && self.reports >= MIN_SETTLED_REPORTS
     }
 
     fn demand_for(&self, tenant: &str) -> f64 {
-        self.demand.get(tenant).copied().unwrap_or(0.0).max(MIN_DEMAND)
+        self.demand.get(tenant).copied().unwrap_or(0.0).max(MIN_DEMAND_PER_S)
     }
 
-    /// The largest share that it may hold now. `even`: an even share of the whole, `least`: what each may hold.
+    /// Returns the largest share that the proxy may hold now. `even` is an even share of the quota, `least`
+    /// the share that every proxy may hold.
     fn max_held(&self, now: Time, tenant: &str, even: f64, least: f64) -> f64 {
-        if !self.keeps_share(now) || !self.has_reported_shares {
+        if !self.may_spend_share(now) || !self.has_reported_shares {
             return even;
         }
         let held = self.held.get(tenant).copied().unwrap_or(even);
@@ -104,27 +109,27 @@
 
     fn update_demand(&mut self, usage: &[TenantUsage], gap_s: f64) {
         self.reports += 1;
-        // The first reports are all that is known of it.
+        // The first reports have equal weight.
         let weight = (DEMAND_WEIGHT * gap_s.min(1.0)).max(1.0 / f64::from(self.reports));
         for demand in self.demand.values_mut() {
             *demand *= 1.0 - weight;
         }
         for usage in usage.iter().filter(|usage| usage.age_ms == 0) {
             let demand = self.demand.entry(usage.tenant.clone()).or_default();
-            let seen = f64::from(usage.admitted + usage.rejected) / gap_s;
-            *demand += weight * seen;
-            if seen > *demand + DEMAND_DEVIATIONS * (*demand + 1.0).sqrt() {
-                *demand = seen;
+            let reported = f64::from(usage.admitted + usage.rejected) / gap_s;
+            *demand += weight * reported;
+            if reported > *demand + DEMAND_JUMP_DEVIATIONS * (*demand + 1.0).sqrt() {
+                *demand = reported;
             }
         }
-        self.demand.retain(|_, demand| *demand > NEGLIGIBLE_DEMAND);
+        self.demand.retain(|_, demand| *demand > NEGLIGIBLE_DEMAND_PER_S);
     }
 
-    /// Shares go to it under the next number, which is returned.
+    /// Records that shares are sent to the proxy. Returns their sequence number.
     fn on_shares_sent(&mut self, shares: &[QuotaShare]) -> u64 {
         self.sent_number += 1;
         for share in shares.iter().filter(|share| share.fraction.is_finite()) {
-            // What was sent before and is not acknowledged may be held as well.
+            // The proxy may hold any of the unacknowledged shares.
             let sent = self.sent.entry(share.tenant.clone()).or_default();
             *sent = sent.max(f64::from(share.fraction));
             if let Some(held) = self.held.get_mut(&share.tenant) {
@@ -135,29 +140,29 @@
     }
 }
 
-/// The quotas of all tenants over all proxies.
+/// Allocates the quotas of all tenants to all proxies.
 #[derive(Debug)]
 pub struct QuotaAllocator {
-    grant: QuotaTolerance,
+    tolerance: QuotaTolerance,
     consumers: HashMap<String, QuotaConsumer>,
     windows: HashMap<String, UsageWindow>,
 }
 
 impl QuotaAllocator {
-    /// An allocator that knows no proxy yet.
-    pub fn new(grant: QuotaTolerance) -> QuotaAllocator {
-        QuotaAllocator { grant, consumers: HashMap::new(), windows: HashMap::new() }
+    /// Creates an allocator without proxies.
+    pub fn new(tolerance: QuotaTolerance) -> QuotaAllocator {
+        QuotaAllocator { tolerance, consumers: HashMap::new(), windows: HashMap::new() }
     }
 
-    /// A proxy was heard; `is_allocating`: this allocator is the one that allocates. One that does not only knows who is
-    /// there.
+    /// Records that a heartbeat of a proxy was received. If `is_allocating` is false, another controller
+    /// allocates the quotas: only the presence of the proxy is kept, and its demand and shares are reset.
     pub fn on_proxy_seen(&mut self, now: Time, node: &str, zone: &str, is_allocating: bool) {
         let before = now.saturating_sub(FIRST_REPORT_GAP);
-        let new = || QuotaConsumer { heard_at: before, ..QuotaConsumer::default() };
+        let new = || QuotaConsumer { last_report_at: before, ..QuotaConsumer::default() };
         let consumer = self.consumers.entry(node.to_string()).or_insert_with(new);
         consumer.zone = zone.to_string();
         if !is_allocating {
-            consumer.heard_at = now;
+            consumer.last_report_at = now;
             consumer.has_reported_shares = false;
             consumer.reports = 0;
             consumer.demand.clear();
@@ -166,16 +171,16 @@
         self.expire_consumers(now);
     }
 
-    /// A proxy says which shares it holds: those that another allocator gave.
+    /// Sets the shares that a proxy reports to hold, which another controller allocated.
     pub fn set_held_shares(&mut self, node: &str, held: &[(String, f32)]) {
         if let Some(consumer) = self.consumers.get_mut(node) {
-            consumer.held = held.iter().map(|(tenant, part)| (tenant.clone(), f64::from(*part))).collect();
+            consumer.held = held.iter().map(|(tenant, share)| (tenant.clone(), f64::from(*share))).collect();
             consumer.sent.clear();
             consumer.has_reported_shares = true;
         }
     }
 
-    /// A proxy reports its usage. Returns the tenants that are to be blocked everywhere at once.
+    /// Records the usage that a proxy reports. Returns the tenants that all proxies are to block at once.
     pub fn report_usage(
         &mut self,
         now: Time,
@@ -186,12 +191,12 @@
     ) -> Vec<QuotaShare> {
         let consumer = self.consumers.entry(node.to_string()).or_default();
         let usage = report.usage;
-        // A proxy that was out of reach reports what it counted in each second since.
+        // After a lost connection, a proxy reports the usage of each second since then.
         let has_backlog = usage.iter().any(|usage| usage.age_ms > 0);
         let max_gap = if has_backlog { MAX_BACKLOG_GAP_S } else { MAX_REPORT_GAP_S };
-        let gap_s = (now - consumer.heard_at).secs().clamp(MIN_REPORT_GAP_S, max_gap);
+        let gap_s = (now - consumer.last_report_at).secs().clamp(MIN_REPORT_GAP_S, max_gap);
         consumer.zone = zone.to_string();
-        consumer.heard_at = now;
+        consumer.last_report_at = now;
         if report.received_shares >= consumer.sent_number {
             consumer.held.extend(consumer.sent.drain());
         }
@@ -204,9 +209,9 @@
             let at = now.saturating_sub(Span::from_millis(usage.age_ms.into()));
             window.add(at, f64::from(usage.admitted));
             if let Some(tenant) = tenants.iter().find(|t| t.name == usage.tenant && t.rate > 0.0)
-                && window.blocks(now, self.grant, proxies, tenant)
+                && window.block_if_exceeded(now, self.tolerance, proxies, tenant)
             {
-                // The fraction stays as it is.
+                // NaN: the proxies keep their fractions.
                 blocked.push(window.share(now, tenant, f32::NAN));
             }
         }
@@ -214,10 +219,10 @@
     }
 
     fn expire_consumers(&mut self, now: Time) {
-        self.consumers.retain(|_, consumer| now - consumer.heard_at < PROXY_RETENTION);
+        self.consumers.retain(|_, consumer| now - consumer.last_report_at < PROXY_RETENTION);
     }
 
-    /// How many proxies there are in each zone.
+    /// Returns the number of known proxies in each zone, sorted by zone.
     pub fn proxy_counts(&self) -> Vec<(String, u32)> {
         let mut zones: Vec<(String, u32)> = Vec::new();
         for consumer in self.consumers.values() {
@@ -230,11 +235,12 @@
         zones
     }
 
-    /// The shares of one proxy that have changed for it, and the number that acknowledges them. All that is held anywhere never
-    /// comes to more than the quota: a proxy that needs more gets it once another holds less.
+    /// Returns the changed shares of one proxy and their sequence number, or `None` if none have changed.
+    /// The shares held by all proxies never sum to more than the quota: a share grows only after others have
+    /// acknowledged smaller ones.
     pub fn allocate(&mut self, now: Time, node: &str, tenants: &[Tenant]) -> Option<(u64, Vec<QuotaShare>)> {
-        // An allocator that has just begun does not know yet what the others hold and need: it leaves things as they are.
-        let is_settled = self.consumers.values().all(|c| c.is_settled() || !c.keeps_share(now));
+        // Shares stay unchanged until all active proxies have reported their shares and their demand.
+        let is_settled = self.consumers.values().all(|c| c.is_settled() || !c.may_spend_share(now));
         let own = self.consumers.get(node)?;
         let limited = tenants.iter().filter(|t| t.rate > 0.0);
         let changed = limited.filter_map(|tenant| self.changed_share(now, node, own, tenant, is_settled));
@@ -246,7 +252,7 @@
         Some((number, shares))
     }
 
-    /// One tenant's share for one proxy, whose state is `own`, if it has changed for it.
+    /// Returns one tenant's share for proxy `node`, whose state is `own`, if it has changed.
     fn changed_share(
         &self,
         now: Time,
@@ -257,7 +263,8 @@
     ) -> Option<QuotaShare> {
         let last = own.sent.get(&tenant.name).or(own.held.get(&tenant.name)).copied();
         let fraction = is_settled.then(|| self.fair_fraction(now, node, own, &tenant.name));
-        let is_changed = |new: &f64| last.is_none_or(|last| (new - last).abs() > SHARE_TOLERANCE * last);
+        let is_changed =
+            |new: &f64| last.is_none_or(|last| (new - last).abs() > SHARE_UPDATE_THRESHOLD * last);
         let changed = fraction.filter(is_changed);
         let window = self.windows.get(&tenant.name).filter(|window| window.is_throttled(now));
         if changed.is_none() && window.is_none() {
@@ -270,21 +277,22 @@
         })
     }
 
-    /// The fraction of a quota that a proxy's demand asks for, as far as the others leave room.
+    /// Returns the fraction of a quota by the proxy's demand, limited by the shares that the others may
+    /// hold.
     fn fair_fraction(&self, now: Time, node: &str, own: &QuotaConsumer, tenant: &str) -> f64 {
         let even = 1.0 / self.consumers.len().max(1) as f64;
-        let least = EVEN_PART * even;
-        let counted = self.consumers.values().filter(|consumer| consumer.keeps_share(now));
+        let least = EVEN_FRACTION * even;
+        let counted = self.consumers.values().filter(|consumer| consumer.may_spend_share(now));
         let total: f64 = counted.map(|consumer| consumer.demand_for(tenant)).sum();
         let demand = own.demand_for(tenant);
-        let wanted = least + (1.0 - EVEN_PART) * (demand / total.max(demand));
+        let wanted = least + (1.0 - EVEN_FRACTION) * (demand / total.max(demand));
         let others = self.consumers.iter().filter(|(other, _)| *other != node);
         let held_elsewhere: f64 =
             others.map(|(_, consumer)| consumer.max_held(now, tenant, even, least)).sum();
         wanted.min(1.0 - held_elsewhere).max(least)
     }
 
-    /// Forgets tenants that the configuration does not hold any more.
+    /// Removes tenants that are no longer in the configuration.
     pub fn retain_tenants(&mut self, tenants: &[Tenant]) {
         self.windows.retain(|name, _| tenants.iter().any(|tenant| tenant.name == *name));
     }
--- a/crates/control-state/src/usage_window.rs
+++ b/crates/control-state/src/usage_window.rs
@@ -1,4 +1,4 @@
-//! One tenant's usage over all proxies in a sliding window, and whether it blocks the tenant.
+//! One tenant's usage over all proxies in a sliding window, and the decision to block the tenant.
 
 use std::collections::VecDeque;
 
@@ -9,21 +9,23 @@
 use crate::quota_allocator::QuotaTolerance;
 use crate::quota_limits::{MIN_BUCKET_DEPTH, OVERSHOOT_RATE_FRACTION, SLACK_DEPTH_FRACTION};
 
-/// Reports come a second apart, so part of the current usage is not reported yet. It is estimated as another copy of the
-/// reports of this last stretch of time.
-const UNREPORTED: Span = Span::from_millis(600);
-/// A tenant is blocked when its usage reaches this fraction of what is granted.
-const BLOCK_AT: f64 = 0.88;
-/// It stays blocked until its usage, falling at its rate, is down to this fraction of the quota; then it is throttled for
-/// one window.
-const BLOCK_UNTIL: f64 = 0.85;
-/// The shortest time that a tenant is blocked for, in seconds.
+/// Usage of up to a second is not reported yet. It is estimated as equal to the usage reported for this last
+/// span of time.
+const UNREPORTED_SPAN: Span = Span::from_millis(600);
+/// A tenant is blocked if its usage reaches this fraction of the quota with its tolerance.
+const BLOCK_FRACTION: f64 = 0.88;
+/// A tenant is blocked until its usage, decreasing at the tenant's rate, reaches this fraction of the quota,
+/// but for one window at most. It is throttled for one more window after that.
+const UNBLOCK_FRACTION: f64 = 0.85;
+/// Minimum time that a tenant is blocked for, in seconds.
 const MIN_BLOCK_S: f64 = 0.5;
 
-/// Usage by the time it was counted at.
+/// Reported usage of one tenant by the time at which it was counted.
 #[derive(Debug, Default)]
 pub(crate) struct UsageWindow {
+    /// Time and number of admitted requests, in the order of time.
     reported: VecDeque<(Time, f64)>,
+    /// Number of admitted requests in `reported`.
     sum: f64,
     blocked_until: Time,
     throttled_until: Time,
@@ -36,36 +38,42 @@
         self.sum += admitted;
     }
 
-    /// The usage in the window up to now, with an estimate of what is not reported yet.
+    /// Returns the usage in the window up to now, including an estimate of unreported usage.
     fn usage(&mut self, now: Time, window: Span) -> f64 {
         while let Some((_, admitted)) = self.reported.pop_front_if(|(at, _)| now - *at >= window) {
             self.sum -= admitted;
         }
         if self.reported.is_empty() {
-            // Rounding errors do not pile up.
+            // Clears accumulated rounding errors.
             self.sum = 0.0;
         }
-        let newest = self.reported.iter().rev().take_while(|(at, _)| now - *at < UNREPORTED);
+        let newest = self.reported.iter().rev().take_while(|(at, _)| now - *at < UNREPORTED_SPAN);
         self.sum + newest.map(|(_, admitted)| admitted).sum::<f64>()
     }
 
-    /// Whether the tenant is to be blocked from now on.
-    pub fn blocks(&mut self, now: Time, grant: QuotaTolerance, proxies: f64, tenant: &Tenant) -> bool {
-        let window = grant.window.secs();
+    /// Blocks the tenant if its usage is close to the tolerance. Returns `true` if it is blocked anew.
+    pub fn block_if_exceeded(
+        &mut self,
+        now: Time,
+        tolerance: QuotaTolerance,
+        proxies: f64,
+        tenant: &Tenant,
+    ) -> bool {
+        let window = tolerance.window.secs();
         let quota = tenant.rate * window + tenant.burst;
-        let granted = quota * (1.0 + grant.overshoot) + grant.slack;
-        // Where the buckets alone can't hold more, nobody has to be blocked.
-        let depth = (tenant.burst + grant.slack * SLACK_DEPTH_FRACTION).max(MIN_BUCKET_DEPTH * proxies);
-        if tenant.rate * window * (1.0 + grant.overshoot * OVERSHOOT_RATE_FRACTION) + depth <= granted {
+        let limit = quota * (1.0 + tolerance.overshoot) + tolerance.slack;
+        // If full buckets cannot exceed the tolerance, the tenant need not be blocked.
+        let depth = (tenant.burst + tolerance.slack * SLACK_DEPTH_FRACTION).max(MIN_BUCKET_DEPTH * proxies);
+        if tenant.rate * window * (1.0 + tolerance.overshoot * OVERSHOOT_RATE_FRACTION) + depth <= limit {
             return false;
         }
-        let usage = self.usage(now, grant.window);
-        if usage < granted * BLOCK_AT || now < self.blocked_until {
+        let usage = self.usage(now, tolerance.window);
+        if usage < limit * BLOCK_FRACTION || now < self.blocked_until {
             return false;
         }
-        let excess_s = (usage - quota * BLOCK_UNTIL) / tenant.rate;
+        let excess_s = (usage - quota * UNBLOCK_FRACTION) / tenant.rate;
         self.blocked_until = now + Span::from_secs(excess_s.clamp(MIN_BLOCK_S, window));
-        self.throttled_until = self.blocked_until + grant.window;
+        self.throttled_until = self.blocked_until + tolerance.window;
         true
     }
 
@@ -73,7 +81,8 @@
         now < self.throttled_until
     }
 
-    /// A share of this fraction, with for how long the tenant is blocked and throttled.
+    /// Creates a share with this fraction and the remaining times for which the tenant is blocked and
+    /// throttled.
     pub fn share(&self, now: Time, tenant: &Tenant, fraction: f32) -> QuotaShare {
         let ms = |until: Time| ((until - now).nanos() / 1_000_000) as u32;
         QuotaShare {
--- a/crates/control-state/tests/commands.rs
+++ b/crates/control-state/tests/commands.rs
@@ -1,5 +1,5 @@
-//! What an command gets, the first time and when it is sent again: one winner under a number, taken once, never refused
-//! after it was taken.
+//! What an command gets, the first time and when it is sent again: one winner under a number, taken once,
+//! never refused after it was taken.
 
 use std::sync::Arc;
 
@@ -52,8 +52,8 @@
     }
 }
 
-/// One of two racers wins; the winner's same bytes are known again, also after later versions; nothing that is
-/// refused leaves a trace.
+/// One of two racers wins; the winner's same bytes are known again, also after later versions; nothing that
+/// is refused leaves a trace.
 #[test]
 fn one_of_two_commands_on_one_base_is_accepted() {
     let first = take(&ConfigStore::default(), &put(3, 0, ""));
@@ -98,8 +98,8 @@
     assert_eq!(hex(&Operation::Evacuate("z".into())), None);
 }
 
-/// Of more changes than are remembered, the oldest get no clear answer; never a refusal, nor does one take effect
-/// again. What can't have been taken is refused all the same.
+/// Of more changes than are remembered, the oldest get no clear answer; never a refusal, nor does one take
+/// effect again. What can't have been taken is refused all the same.
 #[test]
 fn forgotten_commands_are_not_rejected() {
     let command = |n: u64| put(n + 1, n, "");
@@ -130,8 +130,8 @@
     );
 }
 
-/// Three disks, as the agreement leaves them when the leader goes: each holds the newest store that it has synced, by
-/// term and index; who leads next goes on from the newest of a majority.
+/// Three disks, as the agreement leaves them when the leader goes: each holds the newest store that it has
+/// synced, by term and index; who leads next goes on from the newest of a majority.
 struct Disks([(u64, u64, ConfigStore); 3]);
 
 impl Disks {
@@ -152,8 +152,8 @@
     AnsweredButLost,
 }
 
-/// The table: what a second sending gets where the first got no answer, for each kind of command and each step at which
-/// the leader goes. It takes effect once: what was kept is known, what was lost is taken now.
+/// The table: what a second sending gets where the first got no answer, for each kind of command and each
+/// step at which the leader goes. It takes effect once: what was kept is known, what was lost is taken now.
 #[test]
 fn repeated_commands() {
     use Gone::*;
@@ -203,9 +203,9 @@
     }
 }
 
-/// Up to eight commands under way at once, each sent again and again in any command as its answers are lost, with leaders
-/// that go on from what was agreed on or from one change before where that was not: each takes effect once at most,
-/// one that was acknowledged is never refused, and one of those on the same base wins.
+/// Up to eight commands under way at once, each sent again and again in any command as its answers are lost,
+/// with leaders that go on from what was agreed on or from one change before where that was not: each takes
+/// effect once at most, one that was acknowledged is never refused, and one of those on the same base wins.
 #[test]
 fn of_eight_concurrent_commands_one_is_accepted() {
     arbtest::arbtest(|u| {
@@ -245,8 +245,9 @@
     .budget_ms(1_000);
 }
 
-/// Evacuations and returns: what is so already is acknowledged and changes nothing. They carry no identity: one sent
-/// again after the zone was taken back is an command like any other (docs/design/commands.md says what keeps late ones away).
+/// Evacuations and returns: what is so already is acknowledged and changes nothing. They carry no identity:
+/// one sent again after the zone was taken back is an command like any other (docs/design/commands.md says
+/// what keeps late ones away).
 #[test]
 fn zones_are_evacuated_and_restored() {
     let change = Operation::Evacuate("z".into());
@@ -273,8 +274,9 @@
     assert!(third.to_json().is_some_and(|text| text.contains("third")));
 }
 
-/// Each way in which the bench's operator spoils an command: refused with a 4xx, not acknowledged, and leaves no trace.
-/// The faults of the configuration itself stand in `crates/config/tests/configuration.rs`, row by row.
+/// Each way in which the bench's operator spoils an command: refused with a 4xx, not acknowledged, and
+/// leaves no trace. The faults of the configuration itself stand in `crates/config/tests/configuration.rs`,
+/// row by row.
 #[test]
 fn invalid_commands_are_rejected() {
     let store = take(&take(&ConfigStore::default(), &put(3, 0, "")), &put(7, 3, ""));
--- a/crates/control-state/tests/config_distribution.rs
+++ b/crates/control-state/tests/config_distribution.rs
@@ -1,5 +1,5 @@
-//! How the configuration comes to a proxy: never an older one, one at a time, whole or as what changed, and the same in
-//! either way.
+//! How the configuration comes to a proxy: never an older one, one at a time, whole or as what changed, and
+//! the same in either way.
 
 use lynxstair::types::Time;
 use lynxstair_control_state::command::{Command, Operation};
@@ -64,8 +64,9 @@
     ))
 }
 
-/// Whatever changes there were, whichever a controller or a proxy missed and whichever updates were lost: what a proxy
-/// holds by a number is the configuration of that number, and one more update at most after a whole one brings it up.
+/// Whatever changes there were, whichever a controller or a proxy missed and whichever updates were lost:
+/// what a proxy holds by a number is the configuration of that number, and one more update at most after a
+/// whole one brings it up.
 #[test]
 fn deltas_lead_to_the_same_state_as_snapshots() {
     arbtest::arbtest(|u| {
@@ -212,7 +213,8 @@
     assert_eq!(sent.due_update(at(2_750), 6, true, 5_000), None, "it has a newer one from elsewhere");
 }
 
-/// Other controllers send only to who has come no further for a while, and longer for a large store on a slow link.
+/// Other controllers send only to who has come no further for a while, and longer for a large store on a
+/// slow link.
 #[test]
 fn followers_wait_for_the_leader() {
     for (bytes, wait) in [(5_000, 820), (500_000, 2_800)] {
--- a/crates/control-state/tests/directory.rs
+++ b/crates/control-state/tests/directory.rs
@@ -28,7 +28,8 @@
 const CONTROLLER: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 1, 0, 1)), 83);
 
-/// A controller that no proxy has found yet answers by what another controller told it, and only while that one is there.
+/// A controller that no proxy has found yet answers by what another controller told it, and only while that
+/// one is there.
 #[test]
 fn a_controller_answers_by_what_other_controllers_heard() {
     let (mut old, mut new) = (Directory::default(), Directory::default());
@@ -73,7 +74,8 @@
     assert_eq!(readiness(directory.take_changes(at(3_300))), []);
 }
 
-/// Who has said to any controller that it leaves is not named, whatever others have of that instance; its next instance is.
+/// Who has said to any controller that it leaves is not named, whatever others have of that instance; its
+/// next instance is.
 #[test]
 fn proxies_that_shut_down_are_not_named() {
     let mut directory = Directory::default();
@@ -101,8 +103,8 @@
     assert_eq!(directory.lookup(at(100), "r", false), [front(3)]);
 }
 
-/// All proxies are cut off from the controllers: those that were there last are named, by a controller that is in touch, for a
-/// while; not those that left.
+/// All proxies are cut off from the controllers: those that were there last are named, by a controller that
+/// is in touch, for a while; not those that left.
 #[test]
 fn the_last_known_proxies_are_named_where_none_is_heard() {
     let mut directory = Directory::default();
--- a/crates/control-state/tests/failure_detector.rs
+++ b/crates/control-state/tests/failure_detector.rs
@@ -1,4 +1,5 @@
-//! Who speaks for the workers while a controller is cut off: three controllers and a proxy on a virtual clock, the cuts by hand.
+//! Who speaks for the workers while a controller is cut off: three controllers and a proxy on a virtual
+//! clock, the cuts by hand.
 
 use std::collections::HashMap;
 
@@ -30,7 +31,8 @@
     }
 }
 
-/// Controllers, the proxies that hears all of them, and workers that each keep to the controller that acknowledged them last.
+/// Controllers, the proxies that hears all of them, and workers that each keep to the controller that
+/// acknowledged them last.
 struct Story {
     now: u64,
     controllers: Vec<FailureDetector>,
@@ -119,8 +121,8 @@
     }
 }
 
-/// The day of the cut (control.md): one controller is cut off from the others for 20 s, and hears workers as before. Each
-/// side used to declare those of the other silent, and the proxies dropped them all.
+/// The day of the cut (control.md): one controller is cut off from the others for 20 s, and hears workers as
+/// before. Each side used to declare those of the other silent, and the proxies dropped them all.
 #[test]
 fn an_isolated_controller_calls_nobody_unresponsive() {
     for cut_off in 0..CONTROLLERS {
@@ -153,7 +155,8 @@
     }
 }
 
-/// A drain said to a controller that is cut off: the proxies hears of it, but it is acknowledged by one in touch.
+/// A drain said to a controller that is cut off: the proxies hears of it, but it is acknowledged by one in
+/// touch.
 #[test]
 fn a_drain_is_acknowledged_only_with_quorum_contact() {
     let mut story = Story::new();
@@ -166,7 +169,8 @@
     assert_eq!(story.on_the_road(InstanceState::Draining), 1);
 }
 
-/// An end of a instance that a controller has never heard of can't be passed on: it is not acknowledged there.
+/// An end of a instance that a controller has never heard of can't be passed on: it is not acknowledged
+/// there.
 #[test]
 fn a_deregistration_is_acknowledged_where_the_instance_is_known() {
     let mut detector = FailureDetector::new(at(0), InstanceRegistry::default(), HEARTBEAT);
@@ -182,8 +186,8 @@
     }
 }
 
-/// A new leader counts silence from when it began to lead: what was said to the one before may not have come here. One
-/// that stood still counts anew.
+/// A new leader counts silence from when it began to lead: what was said to the one before may not have come
+/// here. One that stood still counts anew.
 #[test]
 fn silence_counts_from_the_start_of_leadership() {
     let heartbeat_at = |detector: &mut FailureDetector, ms: u64, contact| {
@@ -211,8 +215,9 @@
     assert_eq!(heartbeat_at(&mut detector, 46_000, QuorumRole::Leader), 0, "said once");
 }
 
-/// Workers may have turned cold and found nobody to tell: after a controller was isolated for long, or stood still, and in a
-/// zone whose evacuation has just ended, each instance is unconfirmed until it sends a heartbeat.
+/// Workers may have turned cold and found nobody to tell: after a controller was isolated for long, or stood
+/// still, and in a zone whose evacuation has just ended, each instance is unconfirmed until it sends a
+/// heartbeat.
 #[test]
 fn instances_are_unconfirmed_after_what_may_have_kept_workers_from_reporting() {
     let mut detector = FailureDetector::new(at(0), InstanceRegistry::default(), HEARTBEAT);
--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The names and forms of stored state: files that the build of 2026-12-02 wrote, read and written again. A field that is
-//! renamed keeps its stored name. `WRITE_GOLDEN=1` writes files that are missing.
+//! The names and forms of stored state: files that the build of 2026-12-02 wrote, read and written again. A
+//! field that is renamed keeps its stored name. `WRITE_GOLDEN=1` writes files that are missing.
 
 use std::path::PathBuf;
 
--- a/crates/control-state/tests/instance_registry.rs
+++ b/crates/control-state/tests/instance_registry.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// What was known before a start stands for a while, is silent unless it speaks, and never goes before a heartbeat.
+/// What was known before a start stands for a while, is silent unless it speaks, and never goes before a
+/// heartbeat.
 #[test]
 fn restored_instances_stand_for_a_while() {
     let heartbeat = Span::from_millis(1500);
@@ -86,8 +87,8 @@
     assert!(registry.instances().is_empty());
 }
 
-/// What a controller's disk held of a worker says nothing of how it is now: its next heartbeat does, also where that says
-/// the same, and so is told to proxies.
+/// What a controller's disk held of a worker says nothing of how it is now: its next heartbeat does, also
+/// where that says the same, and so is told to proxies.
 #[test]
 fn a_restored_instance_is_unconfirmed_until_it_sends_a_heartbeat() {
     let now = Time::from_nanos(10_000_000_000);
--- a/crates/control-state/tests/proxy_membership.rs
+++ b/crates/control-state/tests/proxy_membership.rs
@@ -114,8 +114,8 @@
         Leader { planner: MembershipPlanner::default(), committed }
     }
 
-    /// Heartbeats of the first so many proxies of each zone, from a time on for a second, with planning beside them; what
-    /// is planned is committed. `reported`: the revision that they report.
+    /// Heartbeats of the first so many proxies of each zone, from a time on for a second, with planning
+    /// beside them; what is planned is committed. `reported`: the revision that they report.
     fn second(&mut self, from_ms: u64, counts: [usize; 3], reported: u64) {
         for ms in [from_ms, from_ms + 500] {
             for (zone, count) in ZONES.iter().zip(counts) {
--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -19,8 +19,9 @@
     TenantUsage { tenant: "t".into(), admitted: passed, rejected: 0, age_ms: ago_ms }
 }
 
-/// Seven in a second of eight that are granted: what proxies say of the time when they were out of reach closes
-/// nobody, as it lies in the past. Said as if it were of now, it closed the tenant everywhere for seconds.
+/// Seven in a second of eight that are granted: what proxies say of the time when they were out of reach
+/// closes nobody, as it lies in the past. Said as if it were of now, it closed the tenant everywhere for
+/// seconds.
 #[test]
 fn late_usage_reports_count_in_the_past() {
     let tenants = vec![Tenant { name: "t".into(), priority: None, rate: 8.0, burst: 8.0, homes: vec![] }];
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -1,5 +1,5 @@
-//! The quota allocator and the token buckets of all proxies together, on a virtual clock: the sum stays within the quota,
-//! and the quota is given.
+//! The quota allocator and the token buckets of all proxies together, on a virtual clock: the sum stays
+//! within the quota, and the quota is given.
 
 use std::collections::HashMap;
 
@@ -21,8 +21,8 @@
     Time::from_nanos((100_000 + ms) * 1_000_000)
 }
 
-/// Proxies and the allocator, ten milliseconds a step, each with a second of its own for its ping; answers take
-/// 60 ms, and a share of pings and answers is lost.
+/// Proxies and the allocator, ten milliseconds a step, each with a second of its own for its ping; answers
+/// take 60 ms, and a share of pings and answers is lost.
 struct World {
     tenant: Tenant,
     allocator: QuotaAllocator,
