--- a/crates/control-state/tests/directory.rs
+++ b/crates/control-state/tests/directory.rs
@@ -28,7 +28,8 @@
 const CONTROLLER: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 1, 0, 1)), 83);
 
-/// A controller that no proxy has found yet answers by what another controller told it, and only while that one is there.
+/// A controller that no proxy has found yet answers by what another controller told it, and only while that
+/// one is there.
 #[test]
 fn a_controller_answers_by_what_other_controllers_heard() {
     let (mut old, mut new) = (Directory::default(), Directory::default());
@@ -39,10 +40,10 @@
     assert!(new.has_complete_view(at(100)));
     assert_eq!(new.lookup(at(100), "r", false), [front(1)], "those of the region first");
     assert_eq!(new.lookup(at(100), "elsewhere", false).len(), 2, "all where it has none");
-    new.on_controller_heard(at(2_000), CONTROLLER);
+    new.on_controller_contact(at(2_000), CONTROLLER);
     assert_eq!(new.lookup(at(4_000), "r", false), [front(1)]);
     assert!(new.lookup(at(4_600), "r", false).is_empty(), "that controller fell silent");
-    new.on_controller_heard(at(5_000), CONTROLLER);
+    new.on_controller_contact(at(5_000), CONTROLLER);
     assert_eq!(new.lookup(at(5_000), "r", false), [front(1)], "it is heard again");
     new.apply_remote(at(5_100), CONTROLLER, Vec::new(), true, false);
     assert!(new.lookup(at(5_100), "r", false).is_empty(), "it has begun anew");
@@ -73,7 +74,8 @@
     assert_eq!(readiness(directory.take_changes(at(3_300))), []);
 }
 
-/// Who has said to any controller that it leaves is not named, whatever others have of that instance; its next instance is.
+/// Who has said to any controller that it leaves is not named, whatever others have of that instance; its
+/// next instance is.
 #[test]
 fn proxies_that_shut_down_are_not_named() {
     let mut directory = Directory::default();
@@ -101,8 +103,8 @@
     assert_eq!(directory.lookup(at(100), "r", false), [front(3)]);
 }
 
-/// All proxies are cut off from the controllers: those that were there last are named, by a controller that is in touch, for a
-/// while; not those that left.
+/// All proxies are cut off from the controllers: those that were there last are named, by a controller that
+/// is in touch, for a while; not those that left.
 #[test]
 fn the_last_known_proxies_are_named_where_none_is_heard() {
     let mut directory = Directory::default();
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -1,17 +1,17 @@
-//! The quota allocator and the token buckets of all proxies together, on a virtual clock: the sum stays within the quota,
-//! and the quota is given.
+//! The quota allocator and the token buckets of all proxies together, on a virtual clock: the sum stays
+//! within the quota, and the quota is given.
 
 use std::collections::HashMap;
 
 use lynxstair::rng::Rng;
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaTolerance, UsageReport};
 use lynxstair_protocol::messages::QuotaShare;
 use lynxstair_routing::token_buckets::TokenBuckets;
 
 /// What the operators' rule grants.
-const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
+const GRANT: QuotaTolerance = QuotaTolerance { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
 
 fn tenant(rate: f64) -> Tenant {
     Tenant { name: "t".into(), priority: None, rate, burst: rate, homes: vec![] }
@@ -21,8 +21,8 @@
     Time::from_nanos((100_000 + ms) * 1_000_000)
 }
 
-/// Proxies and the allocator, ten milliseconds a step, each with a second of its own for its ping; answers take
-/// 60 ms, and a share of pings and answers is lost.
+/// Proxies and the allocator, ten milliseconds a step, each with a second of its own for its ping; answers
+/// take 60 ms, and a share of pings and answers is lost.
 struct World {
     tenant: Tenant,
     allocator: QuotaAllocator,
