--- a/crates/cluster/src/control_port.rs
+++ b/crates/cluster/src/control_port.rs
@@ -11,7 +11,7 @@
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::spawn_then;
 use lynxstair_net::server;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 use may::io::{CoIo, WaitIo};
 use tracing::warn;
 
@@ -36,18 +36,22 @@
 pub(crate) struct ControlPort {
     listener: CoIo<TcpListener>,
     clock: Clock,
-    ticker: Arc<Ticker>,
+    wake_timer: Arc<WakeTimer>,
     connections: Mutex<HashMap<u64, Arc<Connection>>>,
     next_id: AtomicU64,
 }
 
 impl ControlPort {
     /// Listens on `addr`.
-    pub fn listen(addr: SocketAddrV4, clock: Clock, ticker: Arc<Ticker>) -> Result<Arc<Self>, StartError> {
+    pub fn listen(
+        addr: SocketAddrV4,
+        clock: Clock,
+        wake_timer: Arc<WakeTimer>,
+    ) -> Result<Arc<Self>, StartError> {
         let listener =
             server::listen(addr.into()).map_err(|e| StartError::ControlPort { addr, source: e.source })?;
         let (connections, next_id) = (Mutex::default(), AtomicU64::new(0));
-        Ok(Arc::new(ControlPort { listener, clock, ticker, connections, next_id }))
+        Ok(Arc::new(ControlPort { listener, clock, wake_timer, connections, next_id }))
     }
 
     /// Accepts connections and has `handler` answer their requests, for ever. Runs on a coroutine.
@@ -70,7 +74,7 @@
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let connection = Arc::new(Connection { io, since: self.clock.now() });
         lock(&self.connections).insert(id, connection.clone());
-        self.ticker.wake_by(connection.since + CONNECTION_TIMEOUT);
+        self.wake_timer.wake_by(connection.since + CONNECTION_TIMEOUT);
         let (port, handler) = (self.clone(), handler.clone());
         let remove = move |_| {
             lock(&port.connections).remove(&id);
--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -86,10 +86,11 @@
         };
         let persisted = Arc::new(Mutex::new(persisted));
         let completions = Arc::new(Mutex::new(Vec::new()));
-        let (rewritten, completed, ticker) = (persisted.clone(), completions.clone(), outputs.ticker.clone());
+        let (rewritten, completed, wake_timer) =
+            (persisted.clone(), completions.clone(), outputs.wake_timer.clone());
         let on_written = move |ticket, result: Result<(), lynxstair_record_log::Error>| {
             lock(&completed).push((ticket, result.map_err(WriteError::Log)));
-            ticker.wake_now();
+            wake_timer.wake_now();
         };
         let rewrite = move || lock(&rewritten).to_records().iter().map(Record::to_bytes).collect();
         let writer = Writer::start(opened.log, Box::new(on_written), Box::new(rewrite))
@@ -129,7 +130,7 @@
         }
         if !self.writer.append(ticket, record.to_bytes()) {
             lock(&self.completions).push((ticket, Err(WriteError::QueueFull)));
-            self.outputs.ticker.wake_now();
+            self.outputs.wake_timer.wake_now();
         }
     }
 
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -62,12 +62,13 @@
         let membership = Membership::new(clock.now(), membership_config(config, identity, &records));
         let records = Arc::new(Mutex::new(records));
         let completions = Arc::new(Mutex::new(Vec::new()));
-        let (rewritten, completed, ticker) = (records.clone(), completions.clone(), outputs.ticker.clone());
+        let (rewritten, completed, wake_timer) =
+            (records.clone(), completions.clone(), outputs.wake_timer.clone());
         let on_written =
             move |waiting: Option<Incarnation>, result: Result<(), Error>| match (waiting, result) {
                 (Some(incarnation), result) => {
                     lock(&completed).push((incarnation, result));
-                    ticker.wake_now();
+                    wake_timer.wake_now();
                 }
                 // Nobody waits for it, so nobody retries it: the next one that is waited for shows whether the disk
                 // works again.
@@ -123,7 +124,7 @@
         let mut disk = lock(&self.disk);
         disk.error = Some(why);
         disk.retry = Some((at, record));
-        self.outputs.ticker.wake_by(at);
+        self.outputs.wake_timer.wake_by(at);
     }
 
     fn handle_completions(&self, now: Time) {
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -9,7 +9,7 @@
 use lynxstair_membership::Name;
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::spawn;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 use rand::TryRng;
 use rand::rngs::SysRng;
 use serde::Serialize;
@@ -83,7 +83,7 @@
         let clock = Clock::start();
         let identity = RunIdentity::draw(config.seed)?;
         let outputs = open_outputs(&config, clock, identity)?;
-        let control_port = ControlPort::listen(config.control, clock, outputs.ticker.clone())?;
+        let control_port = ControlPort::listen(config.control, clock, outputs.wake_timer.clone())?;
         let membership = MembershipService::start(&config, clock, outputs.clone(), identity)?;
         if config.trial.broken != Default::default() {
             warn!(broken = ?config.trial.broken, "fleet: parts are taken out for a trial; not for service");
@@ -134,7 +134,7 @@
         if let Some(duties) = &self.duties {
             duties.leave(now);
         }
-        self.outputs.ticker.wake_now();
+        self.outputs.wake_timer.wake_now();
     }
 
     /// Where the usage of succeeded requests is recorded; `None`: usage is not exported.
@@ -198,8 +198,8 @@
                 duties.tick(now);
             }
             self.control_port.tick(now);
-            self.outputs.ticker.wake_by(now + self.control_port.tick_interval());
-            self.outputs.ticker.wait();
+            self.outputs.wake_timer.wake_by(now + self.control_port.tick_interval());
+            self.outputs.wake_timer.wait();
         }
     }
 
@@ -276,9 +276,9 @@
 
 fn open_outputs(config: &Config, clock: Clock, identity: RunIdentity) -> Result<Outputs, StartError> {
     let socket = DatagramSocket::bind(config.bind)?;
-    let ticker = Ticker::new(clock, TIMER_STEP).map_err(StartError::Timer)?;
+    let wake_timer = WakeTimer::new(clock, TIMER_STEP).map_err(StartError::Timer)?;
     let history = History::open(config.history.as_deref(), clock, config.name.clone(), identity.run)?;
-    Ok(Outputs { socket: Arc::new(socket), history: Arc::new(history), ticker: Arc::new(ticker) })
+    Ok(Outputs { socket: Arc::new(socket), history: Arc::new(history), wake_timer: Arc::new(wake_timer) })
 }
 
 fn open_usage_log(config: &Config) -> Result<Arc<UsageLog>, StartError> {
--- a/crates/cluster/src/outputs.rs
+++ b/crates/cluster/src/outputs.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lynxstair::types::Time;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 use serde::Serialize;
 
 use crate::datagrams::DatagramSocket;
@@ -15,7 +15,7 @@
 pub(crate) struct Outputs {
     pub socket: Arc<DatagramSocket>,
     pub history: Arc<History>,
-    pub ticker: Arc<Ticker>,
+    pub wake_timer: Arc<WakeTimer>,
 }
 
 impl Outputs {
@@ -30,7 +30,7 @@
     /// Has the timer tick at `deadline` at the latest.
     pub fn wake_by(&self, deadline: Option<Time>) {
         if let Some(deadline) = deadline {
-            self.ticker.wake_by(deadline);
+            self.wake_timer.wake_by(deadline);
         }
     }
 }
--- a/crates/controller/src/operator_api.rs
+++ b/crates/controller/src/operator_api.rs
@@ -92,7 +92,7 @@
     loop {
         let now = controller.alarms.now();
         // A caller that has gone sends it again, elsewhere perhaps: applied late, it would undo what came after it.
-        if now >= deadline || request.has_hung_up() {
+        if now >= deadline || request.has_caller_disconnected() {
             return Err(unavailable());
         }
         match take_turn(controller, now, path, command, is_confirmed, waiter) {
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -34,9 +34,9 @@
 use crate::{directory_api, disk_writer, http_api, inbound, peer_links, settings_watch, timers};
 
 /// Limits of the control address: workers and operators.
-const CONTROL_LIMITS: ServerLimits = ServerLimits { max_body: 8 << 20, max_connections: 2000 };
+const CONTROL_LIMITS: ServerLimits = ServerLimits { max_body_bytes: 8 << 20, max_connections: 2000 };
 /// Limits of the directory address: clients' look-ups.
-const DIRECTORY_LIMITS: ServerLimits = ServerLimits { max_body: 1024, max_connections: 1500 };
+const DIRECTORY_LIMITS: ServerLimits = ServerLimits { max_body_bytes: 1024, max_connections: 1500 };
 /// The pause before opening the database is retried.
 const STORAGE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How often that is retried while another process has the database open: it may be about to end.
--- a/crates/gatekeeper/src/client_connection.rs
+++ b/crates/gatekeeper/src/client_connection.rs
@@ -9,7 +9,7 @@
 use lynxstair_dispatch::FinalReply;
 use lynxstair_net::clock::Clock;
 use lynxstair_net::connection::Connection;
-use lynxstair_net::http::{self, Extent, HttpError, MAX_BODY, MAX_MESSAGE, RequestHead};
+use lynxstair_net::http::{self, Extent, HttpError, MAX_BODY_BYTES, MAX_MESSAGE_BYTES, RequestHead};
 use lynxstair_net::ring_buffer::RingBuffer;
 
 use crate::lifecycle::Lifecycle;
@@ -24,7 +24,7 @@
 const REPLY_TIMEOUT: Span = Span::from_millis(5_000);
 /// How long the rest of what a client sends is read and discarded after the last reply, and how much of it.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
-const MAX_DISCARDED: usize = MAX_MESSAGE;
+const MAX_DISCARDED: usize = MAX_MESSAGE_BYTES;
 /// This many messages in a row that can't be used are the last of their connection: what comes at full speed would take the
 /// core from the others.
 const MAX_BAD_MESSAGES: u32 = 16;
@@ -170,7 +170,7 @@
         }
         let now = self.context.clock.now();
         let bytes = inbound.bytes();
-        let extent = match http::request_extent(bytes, MAX_BODY) {
+        let extent = match http::request_extent(bytes, MAX_BODY_BYTES) {
             Ok(Some(extent)) => extent,
             Ok(None) => {
                 self.on_partial(&mut state, now, bytes);
--- a/crates/gatekeeper/src/client_handler.rs
+++ b/crates/gatekeeper/src/client_handler.rs
@@ -7,9 +7,9 @@
 use lynxstair_dispatch::{Decision, FinalReply};
 use lynxstair_net::connection::{Connection, ReadOutcome};
 use lynxstair_net::coroutine::spawn_then;
-use lynxstair_net::http::MAX_MESSAGE;
+use lynxstair_net::http::MAX_MESSAGE_BYTES;
 use lynxstair_net::log_limited;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 
 use crate::client_connection::{ClientConnection, ClientContext, NextMessage};
 use crate::client_listener::ClientListener;
@@ -29,7 +29,7 @@
     /// Forwards them.
     pub forwarder: Arc<Forwarder>,
     /// Time.
-    pub ticker: Arc<Ticker>,
+    pub wake_timer: Arc<WakeTimer>,
 }
 
 impl ClientHandler {
@@ -40,7 +40,7 @@
 
     /// Serves a new connection in a coroutine of its own.
     fn admit(self: &Arc<Self>, stream: TcpStream) {
-        let connection = match Connection::new(stream, MAX_MESSAGE) {
+        let connection = match Connection::new(stream, MAX_MESSAGE_BYTES) {
             Ok(connection) => connection,
             Err(e) => return log_limited!("a client's connection: {e}"),
         };
@@ -63,7 +63,7 @@
 
     /// Handles the next message, if it is complete; whether there may be another one.
     fn handle_message(&self, client: &Arc<ClientConnection>) -> bool {
-        let (request, extent) = match client.next_message(|now| self.ticker.received_at(now)) {
+        let (request, extent) = match client.next_message(|now| self.wake_timer.received_at(now)) {
             NextMessage::None => return false,
             NextMessage::Handled => return true,
             NextMessage::Request(request, extent) => (request, extent),
@@ -75,7 +75,7 @@
             Decision::Forward(assignment) => self.forwarder.forward(assignment),
             Decision::Reply(reply) => client.reply(id, reply),
         }
-        self.ticker.wake_by(self.dispatcher.next_due());
+        self.wake_timer.wake_by(self.dispatcher.next_due());
         true
     }
 
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -11,7 +11,7 @@
 use lynxstair_net::clock::Clock;
 use lynxstair_net::connection::{Connection, ReadOutcome};
 use lynxstair_net::coroutine::spawn_then;
-use lynxstair_net::http::{self, MAX_MESSAGE, StreamState};
+use lynxstair_net::http::{self, MAX_MESSAGE_BYTES, StreamState};
 use lynxstair_net::log_limited;
 use lynxstair_net::ring_buffer::RingBuffer;
 
@@ -118,7 +118,7 @@
         if let Some(current) = state.current.as_ref().filter(|c| !c.connection.is_closed()) {
             return Some(current.clone());
         }
-        let connection = match Connection::open(state.address?, MAX_MESSAGE) {
+        let connection = match Connection::open(state.address?, MAX_MESSAGE_BYTES) {
             Ok(connection) => connection,
             Err(e) => {
                 log_limited!("no connection to the counter: {e}");
--- a/crates/gatekeeper/src/forwarder.rs
+++ b/crates/gatekeeper/src/forwarder.rs
@@ -14,9 +14,9 @@
 use lynxstair_net::clock::Clock;
 use lynxstair_net::connection::ReadOutcome;
 use lynxstair_net::coroutine::spawn_then;
-use lynxstair_net::http::{self, Extent, MAX_BODY, ResponseHead, StreamState};
+use lynxstair_net::http::{self, Extent, MAX_BODY_BYTES, ResponseHead, StreamState};
 use lynxstair_net::ring_buffer::RingBuffer;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 
 use crate::client_connection::ClientConnection;
 use crate::worker_connection::{ClientAssignment, Job, WorkerConnection, attempt_key};
@@ -31,7 +31,7 @@
 /// Forwards requests to workers.
 pub struct Forwarder {
     clock: Clock,
-    ticker: Arc<Ticker>,
+    wake_timer: Arc<WakeTimer>,
     dispatcher: Arc<ClientDispatcher>,
     /// The connections to workers.
     pub pool: WorkerPool,
@@ -72,11 +72,18 @@
     /// A forwarder without workers.
     pub fn new(
         clock: Clock,
-        ticker: Arc<Ticker>,
+        wake_timer: Arc<WakeTimer>,
         dispatcher: Arc<ClientDispatcher>,
         pool: WorkerPool,
     ) -> Self {
-        Forwarder { clock, ticker, dispatcher, pool, in_flight: Mutex::default(), usage_log: OnceLock::new() }
+        Forwarder {
+            clock,
+            wake_timer,
+            dispatcher,
+            pool,
+            in_flight: Mutex::default(),
+            usage_log: OnceLock::new(),
+        }
     }
 
     fn in_flight(&self) -> MutexGuard<'_, HashMap<AttemptKey, Arc<WorkerConnection>>> {
@@ -149,7 +156,7 @@
             (NextStep::Retry(another), _) => return Some(another),
             (NextStep::Nothing, _) => {}
         }
-        self.ticker.wake_by(self.dispatcher.next_due());
+        self.wake_timer.wake_by(self.dispatcher.next_due());
         None
     }
 
@@ -196,7 +203,7 @@
 
     fn watch(&self, watched: &Arc<WorkerConnection>, now: Time) {
         let due = self.pool.watch(now, watched);
-        self.ticker.wake_by(due);
+        self.wake_timer.wake_by(due);
     }
 
     /// Gives up connections and health checks that took too long.
@@ -233,7 +240,7 @@
 
     fn end_health_check(&self, worker: WorkerId, outcome: Outcome) {
         self.dispatcher.on_health_check(self.clock.now(), worker, outcome);
-        self.ticker.wake_by(self.dispatcher.next_due());
+        self.wake_timer.wake_by(self.dispatcher.next_due());
     }
 
     // ---- connections ----
@@ -284,7 +291,7 @@
                 return true;
             }
             let bytes = inbound.bytes();
-            let extent = match http::response_extent(bytes, stream, MAX_BODY) {
+            let extent = match http::response_extent(bytes, stream, MAX_BODY_BYTES) {
                 Ok(Some(extent)) => extent,
                 Ok(None) => return true,
                 Err(_) => {
--- a/crates/gatekeeper/src/gatekeeper.rs
+++ b/crates/gatekeeper/src/gatekeeper.rs
@@ -7,7 +7,7 @@
 use lynxstair::types::{Outcome, Span, Time};
 use lynxstair_net::clock::Clock;
 use lynxstair_net::log_limited;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 
 use crate::client_handler::ClientHandler;
 use crate::config;
@@ -29,7 +29,7 @@
     /// The clock.
     pub clock: Clock,
     /// The timer.
-    pub ticker: Arc<Ticker>,
+    pub wake_timer: Arc<WakeTimer>,
     /// The phase of the process.
     pub lifecycle: Arc<Lifecycle>,
     /// Decides on requests.
@@ -55,7 +55,7 @@
                 log_limited!("read anew: discovery {}, counter {:?}", config.discovery, config.counter);
                 self.discovery.move_to(config.discovery);
                 self.counter.move_to(config.counter);
-                self.ticker.wake_now();
+                self.wake_timer.wake_now();
             }
             Err(error) => log_limited!("the configuration stays as it was: {error}"),
         }
@@ -76,12 +76,12 @@
             if catch_unwind(AssertUnwindSafe(|| self.tick(now, is_upkeep_due, since))).is_err() {
                 log_limited!("what was due is given up");
             }
-            self.ticker.wake_by(self.dispatcher.next_due());
-            self.ticker.wake_by(self.forwarder.pool.next_due());
+            self.wake_timer.wake_by(self.dispatcher.next_due());
+            self.wake_timer.wake_by(self.forwarder.pool.next_due());
             if self.lifecycle.phase() == Phase::Ended {
                 break;
             }
-            now = self.ticker.wait();
+            now = self.wake_timer.wait();
         }
         let _ = ended.send(());
     }
@@ -128,6 +128,6 @@
                 return self.lifecycle.enter(Phase::Ended);
             }
         }
-        self.ticker.wake_by(now + SHUTDOWN_INTERVAL);
+        self.wake_timer.wake_by(now + SHUTDOWN_INTERVAL);
     }
 }
--- a/crates/gatekeeper/src/startup.rs
+++ b/crates/gatekeeper/src/startup.rs
@@ -11,7 +11,7 @@
 use lynxstair_net::coroutine::{configure_runtime, spawn};
 use lynxstair_net::log_limited;
 use lynxstair_net::ring_buffer::limit_buffer_memory;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
@@ -67,7 +67,7 @@
         gatekeeper.reload();
     }
     gatekeeper.lifecycle.enter(Phase::Draining);
-    gatekeeper.ticker.wake_now();
+    gatekeeper.wake_timer.wake_now();
     if let Some(cluster_node) = &cluster_node {
         cluster_node.leave();
     }
@@ -80,13 +80,14 @@
     let settings = &config.settings;
     let (max_clients, max_workers) = split_descriptors(config.limits.sockets);
     limit_buffer_memory((config.limits.memory_mb << 20) as usize / BUFFER_DIVISOR);
-    let ticker = Ticker::new(clock, settings.policy.time_resolution).map_err(GatekeeperError::Timer)?;
-    let ticker = Arc::new(ticker);
+    let wake_timer =
+        WakeTimer::new(clock, settings.policy.time_resolution).map_err(GatekeeperError::Timer)?;
+    let wake_timer = Arc::new(wake_timer);
     let lifecycle = Arc::new(Lifecycle::new());
     let dispatcher: Arc<ClientDispatcher> =
         Arc::new(Dispatcher::new(clock.now(), config.seed, &settings.policy));
     let pool = WorkerPool::new(settings.timeouts, max_workers);
-    let forwarder = Arc::new(Forwarder::new(clock, ticker.clone(), dispatcher.clone(), pool));
+    let forwarder = Arc::new(Forwarder::new(clock, wake_timer.clone(), dispatcher.clone(), pool));
     let registry = Arc::new(ClientRegistry::new(max_clients));
     let context = Arc::new(ClientContext {
         clock,
@@ -100,7 +101,7 @@
         listener: ClientListener::bind(config.listen, registry)?,
         dispatcher: dispatcher.clone(),
         forwarder: forwarder.clone(),
-        ticker: ticker.clone(),
+        wake_timer: wake_timer.clone(),
     });
     let discovery = Arc::new(new_discovery(config, clock, &dispatcher, &forwarder));
     let counter = Arc::new(new_counter(config, clock, &dispatcher));
@@ -109,7 +110,7 @@
     let last_replies = longest.min(MAX_COUNTED_TIMEOUT) + LAST_REPLIES;
     Ok(Gatekeeper {
         clock,
-        ticker,
+        wake_timer,
         lifecycle,
         dispatcher,
         forwarder,
--- a/crates/gatekeeper/src/worker_pool.rs
+++ b/crates/gatekeeper/src/worker_pool.rs
@@ -6,7 +6,7 @@
 
 use lynxstair::types::{Time, WorkerId};
 use lynxstair_net::connection::Connection;
-use lynxstair_net::http::MAX_MESSAGE;
+use lynxstair_net::http::MAX_MESSAGE_BYTES;
 use lynxstair_net::log_limited;
 use lynxstair_settings::Timeouts;
 
@@ -103,7 +103,7 @@
             log_limited!("all {} connections to workers are in use", self.max_open);
             return Found::None;
         }
-        match Connection::open(address, MAX_MESSAGE) {
+        match Connection::open(address, MAX_MESSAGE_BYTES) {
             Ok(connection) => {
                 connections.open += 1;
                 Found::New(Arc::new(WorkerConnection::new(now, worker, connection, job)))
--- a/crates/net/src/alarms.rs
+++ b/crates/net/src/alarms.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 use crate::connection::Connection;
-use crate::ticker::Ticker;
+use crate::wake_timer::WakeTimer;
 
 /// Messages that are read within this time count as received at once.
 const STEP: Span = Span::from_millis(1);
@@ -84,15 +84,15 @@
 pub struct Alarms {
     /// The clock that they go by.
     pub clock: Clock,
-    ticker: Ticker,
+    wake_timer: WakeTimer,
     queue: Mutex<AlarmQueue>,
 }
 
 impl Alarms {
     /// No alarms yet. They go off once `run` runs.
     pub fn new(clock: Clock) -> std::io::Result<Self> {
-        let ticker = Ticker::new(clock, STEP)?;
-        Ok(Alarms { clock, ticker, queue: Mutex::new(AlarmQueue::default()) })
+        let wake_timer = WakeTimer::new(clock, STEP)?;
+        Ok(Alarms { clock, wake_timer, queue: Mutex::new(AlarmQueue::default()) })
     }
 
     fn queue(&self) -> MutexGuard<'_, AlarmQueue> {
@@ -106,7 +106,7 @@
             let number = queue.last_number;
             queue.heap.push(Reverse(Alarm { at, number, sleeper }));
         }
-        self.ticker.wake_by(at);
+        self.wake_timer.wake_by(at);
     }
 
     /// The time by the clock.
@@ -117,7 +117,7 @@
     /// When a message that is read now may have been received, at the earliest: now, or, where the process was stalled, when
     /// it last ran.
     pub fn received_at(&self, now: Time) -> Time {
-        self.ticker.received_at(now)
+        self.wake_timer.received_at(now)
     }
 
     /// Wakes the reader of a connection then, if it still stands: it checks its deadline.
@@ -152,9 +152,9 @@
             }
             let next = self.queue().next_due();
             if let Some(next) = next {
-                self.ticker.wake_by(next);
+                self.wake_timer.wake_by(next);
             }
-            self.ticker.wait();
+            self.wake_timer.wait();
         }
     }
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -16,11 +16,11 @@
 use headers::{Framing, MAX_HEADERS};
 
 /// The longest body, where a caller sets no other limit, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The longest head, in bytes.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// What a connection may hold of one direction, in bytes: a message and the framing of its body.
-pub const MAX_MESSAGE: usize = MAX_BODY + 2 * MAX_HEAD;
+pub const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 2 * MAX_HEAD_BYTES;
 
 /// What is wrong with a message. The same message is wrong each time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -96,8 +96,8 @@
     let mut all = [EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut all);
     let length = match parsed.parse(bytes) {
-        Ok(Status::Complete(length)) if length <= MAX_HEAD => length,
-        Ok(Status::Partial) if bytes.len() <= MAX_HEAD => return Ok(None),
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::new(431, "head too large")),
         Err(_) => return Err(HttpError::new(400, "malformed")),
     };
@@ -120,27 +120,27 @@
             let headers = Headers::new(all, count);
             Ok(Some((ResponseHead { is_http_1_0, status, headers }, length)))
         }
-        Ok(Status::Partial) if bytes.len() <= MAX_HEAD => Ok(None),
+        Ok(Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => Ok(None),
         _ => Err(HttpError::new(502, "malformed answer")),
     }
 }
 
-/// Where a request ends, once it is complete. A chunked body is put together in place. `max_body`: the longest body.
-pub fn request_extent(bytes: &mut [u8], max_body: usize) -> Result<Option<Extent>, HttpError> {
+/// Where a request ends, once it is complete. A chunked body is put together in place. `max_body_bytes`: the longest body.
+pub fn request_extent(bytes: &mut [u8], max_body_bytes: usize) -> Result<Option<Extent>, HttpError> {
     let Some((request, head)) = parse_request_head(bytes)? else { return Ok(None) };
     let framing = request.headers.framing()?.unwrap_or(Framing::Length(0));
     let says = |token| request.headers.has_token("connection", token);
     let keep_alive = !says("close") && (!request.is_http_1_0 || says("keep-alive"));
-    extent(bytes, head, framing, keep_alive, max_body)
+    extent(bytes, head, framing, keep_alive, max_body_bytes)
 }
 
 /// Where a response ends, once it is complete: the one place that says so. By its length, by its last chunk, or, where it has
 /// neither, by an orderly end of the connection only; a response that a reset or silence cut short is never complete.
-/// `max_body`: the longest body; a response that says to be longer is an error at once.
+/// `max_body_bytes`: the longest body; a response that says to be longer is an error at once.
 pub fn response_extent(
     bytes: &mut [u8],
     stream: StreamState,
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<Extent>, HttpError> {
     let Some((response, head)) = parse_response_head(bytes)? else { return Ok(None) };
     let has_no_body = response.status < 200 || matches!(response.status, 204 | 304);
@@ -151,11 +151,11 @@
     let keep_alive = !response.is_http_1_0 && !response.headers.has_token("connection", "close");
     match framing {
         Framing::UntilEnd if stream != StreamState::Ended => {
-            let is_too_large = bytes.len() - head > max_body;
+            let is_too_large = bytes.len() - head > max_body_bytes;
             if is_too_large { Err(HttpError::new(502, "answer too large")) } else { Ok(None) }
         }
-        Framing::UntilEnd => extent(bytes, head, Framing::Length(bytes.len() - head), false, max_body),
-        framing => extent(bytes, head, framing, keep_alive, max_body),
+        Framing::UntilEnd => extent(bytes, head, Framing::Length(bytes.len() - head), false, max_body_bytes),
+        framing => extent(bytes, head, framing, keep_alive, max_body_bytes),
     }
 }
 
@@ -164,12 +164,14 @@
     head: usize,
     framing: Framing,
     keep_alive: bool,
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<Extent>, HttpError> {
     let (body, taken) = match framing {
-        Framing::Length(length) if length > max_body => return Err(HttpError::new(413, "body too large")),
+        Framing::Length(length) if length > max_body_bytes => {
+            return Err(HttpError::new(413, "body too large"));
+        }
         Framing::Length(length) => (length, length),
-        Framing::Chunked | Framing::UntilEnd => match chunked::decode(&mut bytes[head..], max_body)? {
+        Framing::Chunked | Framing::UntilEnd => match chunked::decode(&mut bytes[head..], max_body_bytes)? {
             Some(decoded) => (decoded.body, decoded.taken),
             None => return Ok(None),
         },
--- a/crates/net/src/http/chunked.rs
+++ b/crates/net/src/http/chunked.rs
@@ -2,7 +2,7 @@
 
 use httparse::Status;
 
-use super::{HttpError, MAX_HEAD};
+use super::{HttpError, MAX_HEAD_BYTES};
 
 /// The longest chunk, in bytes.
 const MAX_CHUNK: usize = 1 << 30;
@@ -18,9 +18,9 @@
 }
 
 /// Puts a chunked body together in place, once it is complete.
-pub(super) fn decode(bytes: &mut [u8], max_body: usize) -> Result<Option<Decoded>, HttpError> {
+pub(super) fn decode(bytes: &mut [u8], max_body_bytes: usize) -> Result<Option<Decoded>, HttpError> {
     // First only looked through: it may have to wait for more.
-    let Some((chunks, trailers)) = find_last_chunk(bytes, max_body)? else { return Ok(None) };
+    let Some((chunks, trailers)) = find_last_chunk(bytes, max_body_bytes)? else { return Ok(None) };
     let Some(taken) = end_of_trailers(bytes, trailers) else { return Ok(None) };
     let (mut body, mut at) = (0, 0);
     for _ in 0..chunks {
@@ -33,16 +33,16 @@
 }
 
 /// How many chunks come before the last one, and where the trailers begin; None where the last one has not come.
-fn find_last_chunk(bytes: &[u8], max_body: usize) -> Result<Option<(usize, usize)>, HttpError> {
+fn find_last_chunk(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(usize, usize)>, HttpError> {
     let (mut total, mut at, mut chunks) = (0, 0, 0);
     loop {
         let Some((start, size)) = chunk_at(bytes, at)? else {
             // What is there of it is already more than a body may be, with its framing.
-            let is_too_large = bytes.len() > max_body + MAX_HEAD;
+            let is_too_large = bytes.len() > max_body_bytes + MAX_HEAD_BYTES;
             return if is_too_large { Err(HttpError::new(413, "body too large")) } else { Ok(None) };
         };
         total += size;
-        if total > max_body {
+        if total > max_body_bytes {
             return Err(HttpError::new(413, "body too large"));
         }
         if size == 0 {
--- a/crates/net/src/http/tests.rs
+++ b/crates/net/src/http/tests.rs
@@ -1,5 +1,5 @@
 use super::StreamState::{self, Broken, Ended, Open};
-use super::{HttpError, MAX_BODY, request_extent, response_extent};
+use super::{HttpError, MAX_BODY_BYTES, request_extent, response_extent};
 
 /// What is not whole waits, at whatever byte it was cut; what is whole is found with what follows it.
 #[test]
@@ -18,11 +18,11 @@
     ];
     for (text, body, keep_alive) in cases {
         for cut in 1..text.len() {
-            let got = request_extent(&mut text.as_bytes()[..cut].to_vec(), MAX_BODY);
+            let got = request_extent(&mut text.as_bytes()[..cut].to_vec(), MAX_BODY_BYTES);
             assert_eq!(got, Ok(None), "{text:?} cut at {cut}");
         }
         let mut bytes = format!("{text}GET /next").into_bytes();
-        let extent = request_extent(&mut bytes, MAX_BODY).expect("good").expect("whole");
+        let extent = request_extent(&mut bytes, MAX_BODY_BYTES).expect("good").expect("whole");
         assert_eq!((&bytes[extent.body.clone()], extent.total), (body.as_bytes(), text.len()), "{text:?}");
         assert_eq!(extent.keep_alive, keep_alive, "{text:?}");
     }
@@ -52,7 +52,7 @@
     ];
     for (text, stop, wanted) in cases {
         let mut bytes = text.as_bytes().to_vec();
-        let got = response_extent(&mut bytes, stop, MAX_BODY);
+        let got = response_extent(&mut bytes, stop, MAX_BODY_BYTES);
         let got = got.map(|e| e.map(|e| (String::from_utf8_lossy(&bytes[e.body]), e.keep_alive)));
         let got = got
             .as_ref()
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | what it is |
 //! | --- | --- |
-//! | [`clock`], [`ticker`], [`alarms`] | time; one timer; waking whoever waits |
+//! | [`clock`], [`wake_timer`], [`alarms`] | time; one timer; waking whoever waits |
 //! | [`coroutine`] | starting coroutines |
 //! | [`connection`], [`ring_buffer`] | a socket with a buffer for each direction |
 //! | [`http`], [`server`] | messages; a server of requests |
@@ -21,4 +21,4 @@
 pub mod log;
 pub mod ring_buffer;
 pub mod server;
-pub mod ticker;
+pub mod wake_timer;
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -12,7 +12,7 @@
 use crate::alarms::Alarms;
 use crate::connection::{Connection, ReadOutcome};
 use crate::coroutine::spawn_then;
-use crate::http::{self, Extent, MAX_HEAD};
+use crate::http::{self, Extent, MAX_HEAD_BYTES};
 use crate::log_limited;
 
 /// A connection that brings nothing for this long is closed.
@@ -35,7 +35,7 @@
 
 impl Request<'_> {
     /// Whether the caller has ended its connection, and so waits for no response.
-    pub fn has_hung_up(&self) -> bool {
+    pub fn has_caller_disconnected(&self) -> bool {
         self.caller.is_ended_by_peer()
     }
 
@@ -138,7 +138,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
     /// The longest body, in bytes.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// The most connections.
     pub max_connections: usize,
 }
@@ -153,13 +153,15 @@
         if open.load(Ordering::Relaxed) >= limits.max_connections {
             return;
         }
-        let Ok(connection) = Connection::new(stream, limits.max_body + 2 * MAX_HEAD) else { return };
+        let Ok(connection) = Connection::new(stream, limits.max_body_bytes + 2 * MAX_HEAD_BYTES) else {
+            return;
+        };
         open.fetch_add(1, Ordering::Relaxed);
         let connection = Arc::new(connection);
         let (alarms, handler, open) = (alarms.clone(), handler.clone(), open.clone());
         spawn_then(
             "a server connection",
-            move || serve_connection(&connection, &alarms, limits.max_body, &*handler),
+            move || serve_connection(&connection, &alarms, limits.max_body_bytes, &*handler),
             move |_| {
                 open.fetch_sub(1, Ordering::Relaxed);
             },
@@ -167,7 +169,7 @@
     });
 }
 
-fn serve_connection<H>(connection: &Arc<Connection>, alarms: &Alarms, max_body: usize, handler: &H)
+fn serve_connection<H>(connection: &Arc<Connection>, alarms: &Alarms, max_body_bytes: usize, handler: &H)
 where
     H: Fn(&Request) -> Response,
 {
@@ -182,7 +184,7 @@
         if waited >= IDLE_TIMEOUT || has_part && waited >= IDLE_TIMEOUT + MESSAGE_TIMEOUT {
             return connection.close();
         }
-        let (message, extent) = match take_message(connection, max_body) {
+        let (message, extent) = match take_message(connection, max_body_bytes) {
             Ok(Some(message)) => message,
             Ok(None) => continue,
             Err(error) => {
@@ -208,10 +210,10 @@
 /// Removes the message at the front of the buffer, once it is complete.
 fn take_message(
     connection: &Connection,
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<(Vec<u8>, Extent)>, http::HttpError> {
     let mut inbound = connection.inbound();
-    let Some(extent) = http::request_extent(inbound.bytes(), max_body)? else { return Ok(None) };
+    let Some(extent) = http::request_extent(inbound.bytes(), max_body_bytes)? else { return Ok(None) };
     let message = inbound.bytes()[..extent.total].to_vec();
     inbound.consume(extent.total);
     Ok(Some((message, extent)))
--- a/crates/net/src/ticker.rs
+++ b/crates/net/src/wake_timer.rs
@@ -28,7 +28,7 @@
 }
 
 /// The timer that one coroutine waits for. All times are in nanoseconds.
-pub struct Ticker {
+pub struct WakeTimer {
     clock: Clock,
     timer: CoIo<TimerFile>,
     /// When it goes off.
@@ -41,13 +41,13 @@
     step: Span,
 }
 
-impl Ticker {
+impl WakeTimer {
     /// A timer that is not set. `step`: messages that are read within it count as received at once.
     pub fn new(clock: Clock, step: Span) -> io::Result<Self> {
         let flags = TimerFlags::TFD_NONBLOCK | TimerFlags::TFD_CLOEXEC;
         let timer = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags)?;
         let timer = CoIo::new(TimerFile(timer))?;
-        Ok(Ticker {
+        Ok(WakeTimer {
             clock,
             timer,
             armed: AtomicU64::new(NEVER),
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -22,7 +22,7 @@
     let a = alarms.clone();
     spawn("alarms", move || a.run());
     let listener = server::listen(on).expect("listens");
-    let limits = ServerLimits { max_body: 32 << 20, max_connections: 8 };
+    let limits = ServerLimits { max_body_bytes: 32 << 20, max_connections: 8 };
     let long = |_: &Request| Response::json(200, vec![b'x'; LONG]);
     spawn("calls", move || server::serve(&listener, &alarms, limits, &Arc::new(long)));
     for connection in ["close", "keep-alive"] {
--- a/crates/proxy/src/client_limits.rs
+++ b/crates/proxy/src/client_limits.rs
@@ -1,12 +1,12 @@
 //! What a client may send, and how long it may take.
 
 use lynxstair::types::Span;
-use lynxstair_net::http::MAX_HEAD;
+use lynxstair_net::http::MAX_HEAD_BYTES;
 
 use crate::routing_state::RoutingState;
 
 /// What is buffered of a client's requests: the longest body that is held, and a head.
-pub const MAX_BUFFER: usize = MAX_BODY + MAX_HEAD;
+pub const MAX_BUFFER: usize = MAX_BODY + MAX_HEAD_BYTES;
 const MAX_BODY: usize = 2 << 20;
 /// Before a configuration is known.
 const DEFAULT_HEADER_TIMEOUT: Span = Span::from_millis(3_000);
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -43,7 +43,7 @@
 /// and within this time from then on, so that proxies that start together do not send together.
 const HEARTBEAT_SPREAD_MS: u64 = 800;
 /// Limits of the readiness address.
-const READINESS_LIMITS: ServerLimits = ServerLimits { max_body: 1024, max_connections: 64 };
+const READINESS_LIMITS: ServerLimits = ServerLimits { max_body_bytes: 1024, max_connections: 64 };
 
 /// Serves until the process is told to end.
 pub fn run(settings: Settings) -> Result<(), StartError> {
--- a/crates/proxy/src/worker_pool.rs
+++ b/crates/proxy/src/worker_pool.rs
@@ -7,14 +7,14 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_net::alarms::Alarms;
 use lynxstair_net::connection::Connection;
-use lynxstair_net::http::MAX_HEAD;
+use lynxstair_net::http::MAX_HEAD_BYTES;
 use lynxstair_routing::locality_balancer::Worker;
 
 use crate::cancellation::CancelToken;
 use crate::worker_reply::WorkerReply;
 
 /// What a connection holds of a request that the kernel has not taken: as much as a client may send, and its head.
-const MAX_BUFFER: usize = (2 << 20) + 2 * MAX_HEAD;
+const MAX_BUFFER: usize = (2 << 20) + 2 * MAX_HEAD_BYTES;
 /// A connection attempt that takes longer leads to no worker that is there.
 const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 /// An idle connection is reused no later than this,
--- a/crates/proxy/src/worker_reply.rs
+++ b/crates/proxy/src/worker_reply.rs
@@ -6,7 +6,7 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_net::alarms::Alarms;
 use lynxstair_net::connection::{Connection, ReadOutcome};
-use lynxstair_net::http::{self, Extent, HttpError, MAX_HEAD, StreamState};
+use lynxstair_net::http::{self, Extent, HttpError, MAX_HEAD_BYTES, StreamState};
 use lynxstair_net::ring_buffer::RingBuffer;
 use lynxstair_routing::attempt::{AttemptEvent, ReplyHead, ReplyOwner};
 use lynxstair_routing::locality_balancer::Worker;
@@ -16,7 +16,7 @@
 /// A reply with a body up to this long is held until it is complete; a longer one is relayed as it comes.
 const MAX_HELD_BODY: usize = 64 << 10;
 /// What is held of a reply that does not tell its length, until it is complete.
-const MAX_HELD_UNSIZED: usize = (1 << 20) + MAX_HEAD;
+const MAX_HELD_UNSIZED: usize = (1 << 20) + MAX_HEAD_BYTES;
 
 /// A worker's reply that may be relayed.
 pub struct WorkerReply {
