--- a/crates/net/src/alarms.rs
+++ b/crates/net/src/alarms.rs
@@ -1,5 +1,7 @@
-//! Wakes whoever waits, at the time it asked for: the reader of a connection, or a sleeping coroutine. One timer, and one
-//! coroutine that waits for it; an alarm that is no longer of use only wakes somebody for nothing.
+//! Wake-ups at requested times, for readers of connections and for sleeping coroutines.
+//!
+//! One coroutine waits for one timer. Alarms cannot be cancelled: an outdated alarm causes a spurious
+//! wake-up, so every waiter checks its own condition again.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,37 +14,37 @@
 use crate::connection::Connection;
 use crate::wake_timer::WakeTimer;
 
-/// Messages that are read within this time count as received at once.
-const STEP: Span = Span::from_millis(1);
+/// Messages read within this time count as received simultaneously.
+const TIME_RESOLUTION: Span = Span::from_millis(1);
 
-enum Sleeper {
+enum Waiter {
     Connection(Weak<Connection>),
     Blocker(Arc<Blocker>),
 }
 
-impl Sleeper {
+impl Waiter {
     fn wake(self) {
         match self {
-            Sleeper::Connection(connection) => {
+            Waiter::Connection(connection) => {
                 if let Some(connection) = connection.upgrade() {
                     connection.wake();
                 }
             }
-            Sleeper::Blocker(blocker) => blocker.unpark(),
+            Waiter::Blocker(blocker) => blocker.unpark(),
         }
     }
 }
 
-/// Ordered by time, and in the order that they were set in.
+/// A pending wake-up, ordered by time and then by the order of creation.
 struct Alarm {
     at: Time,
-    number: u64,
-    sleeper: Sleeper,
+    sequence: u64,
+    waiter: Waiter,
 }
 
 impl PartialEq for Alarm {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -56,18 +58,18 @@
 
 impl Ord for Alarm {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 #[derive(Default)]
 struct AlarmQueue {
     heap: BinaryHeap<Reverse<Alarm>>,
-    last_number: u64,
+    last_sequence: u64,
 }
 
 impl AlarmQueue {
-    /// Removes the first alarm that is due.
+    /// Removes and returns the earliest alarm if it is due.
     fn pop_due(&mut self, now: Time) -> Option<Alarm> {
         if self.next_due()? > now {
             return None;
@@ -80,18 +82,18 @@
     }
 }
 
-/// The alarms of a process.
+/// Pending wake-ups of a process.
 pub struct Alarms {
-    /// The clock that they go by.
+    /// Clock of the alarm times.
     pub clock: Clock,
     wake_timer: WakeTimer,
     queue: Mutex<AlarmQueue>,
 }
 
 impl Alarms {
-    /// No alarms yet. They go off once `run` runs.
+    /// Creates an empty set of alarms. They fire while `run` is running.
     pub fn new(clock: Clock) -> std::io::Result<Self> {
-        let wake_timer = WakeTimer::new(clock, STEP)?;
+        let wake_timer = WakeTimer::new(clock, TIME_RESOLUTION)?;
         Ok(Alarms { clock, wake_timer, queue: Mutex::new(AlarmQueue::default()) })
     }
 
@@ -99,38 +101,38 @@
         self.queue.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn set(&self, at: Time, sleeper: Sleeper) {
+    fn set(&self, at: Time, waiter: Waiter) {
         {
             let mut queue = self.queue();
-            queue.last_number += 1;
-            let number = queue.last_number;
-            queue.heap.push(Reverse(Alarm { at, number, sleeper }));
+            queue.last_sequence += 1;
+            let sequence = queue.last_sequence;
+            queue.heap.push(Reverse(Alarm { at, sequence, waiter }));
         }
         self.wake_timer.wake_by(at);
     }
 
-    /// The time by the clock.
+    /// Current time of the clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// When a message that is read now may have been received, at the earliest: now, or, where the process was stalled, when
-    /// it last ran.
+    /// Earliest time at which a message that is read at `now` may have been received; before `now` after a
+    /// stall of the process.
     pub fn received_at(&self, now: Time) -> Time {
         self.wake_timer.received_at(now)
     }
 
-    /// Wakes the reader of a connection then, if it still stands: it checks its deadline.
+    /// Wakes the reader of a connection at `at`, unless the connection has been dropped.
     pub fn wake_connection(&self, at: Time, connection: &Arc<Connection>) {
-        self.set(at, Sleeper::Connection(Arc::downgrade(connection)));
+        self.set(at, Waiter::Connection(Arc::downgrade(connection)));
     }
 
-    /// Unparks a blocker then.
+    /// Unparks a blocker at `at`.
     pub fn unpark_at(&self, at: Time, blocker: &Arc<Blocker>) {
-        self.set(at, Sleeper::Blocker(blocker.clone()));
+        self.set(at, Waiter::Blocker(blocker.clone()));
     }
 
-    /// Sleeps until then; for coroutines.
+    /// Suspends the calling coroutine until `at`.
     pub fn sleep_until(&self, at: Time) {
         if at <= self.now() {
             return;
@@ -140,15 +142,15 @@
         let _ = blocker.park(None);
     }
 
-    /// Has alarms go off; never returns. For a coroutine of its own.
+    /// Fires alarms as they become due. Never returns; must run in a coroutine of its own.
     pub fn run(&self) {
         loop {
             let now = self.now();
             loop {
-                // A statement of its own: the queue is not locked any more when the sleeper is woken.
+                // A separate statement, so that the queue is unlocked when the waiter is woken.
                 let due = self.queue().pop_due(now);
                 let Some(alarm) = due else { break };
-                alarm.sleeper.wake();
+                alarm.waiter.wake();
             }
             let next = self.queue().next_due();
             if let Some(next) = next {
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock: monotonic, and set to Unix time once at the start, so that windows are the same everywhere.
+//! Monotonic clock that starts at Unix time, so that time windows are aligned across processes.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use lynxstair::types::{Span, Time};
 
-/// A monotonic clock. Its copies tell the same time.
+/// Monotonic clock. Copies return the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -12,13 +12,13 @@
 }
 
 impl Clock {
-    /// Takes the time of day, once.
+    /// Starts the clock at the system's current Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
         Clock { started: Instant::now(), unix_at_start: Time::from_nanos(unix) }
     }
 
-    /// The time since the Unix epoch. It never goes back, whatever becomes of the time of day.
+    /// Time since the Unix epoch. Never decreases, and ignores later changes of the system time.
     pub fn now(&self) -> Time {
         self.unix_at_start + Span::from_nanos(self.started.elapsed().as_nanos() as u64)
     }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,5 +1,7 @@
-//! A connection: a socket and one ring buffer for each direction. One coroutine waits on it and reads; whoever has a message
-//! writes it at once, and what the kernel does not take is sent later by the one that reads.
+//! A socket with a ring buffer for each direction.
+//!
+//! One coroutine waits on the connection and reads. Any coroutine may write; what the kernel does not take at
+//! once is sent later by the reading coroutine.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -14,47 +16,47 @@
 use crate::log_limited;
 use crate::ring_buffer::RingBuffer;
 
-/// What a waiter is told when another coroutine wakes it; no event of epoll has this bit.
+/// Event bit that is set when another coroutine wakes the waiting one. No epoll event uses it.
 const WOKEN: usize = 0x8000_0000;
 
-/// One connection. Reading and waiting are for one coroutine, everything else for any.
+/// A connection. Only one coroutine may read and wait; the other methods may be called by any.
 pub struct Connection {
     io: CoIo<TcpStream>,
     inbound: Mutex<RingBuffer>,
     outbound: Mutex<RingBuffer>,
     is_closed: AtomicBool,
-    /// All that the kernel held was read: nothing to read until the next event.
+    /// `true` if nothing is left to read until the next event.
     is_drained: AtomicBool,
-    /// The end of the other side was signalled: what is left is to be read up to it.
+    /// `true` if the end of the peer's stream was signalled: the remaining bytes must be read up to it.
     is_ending: AtomicBool,
-    /// An error was met. The kernel reports it once, to a read or to a write, and after that it looks like an orderly end: so
-    /// it is kept.
+    /// `true` after an error. The kernel reports it only once, to a read or a write; later reads look like an
+    /// orderly end.
     is_broken: AtomicBool,
 }
 
-/// What became of reading.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// There may be something new in the buffer.
+    /// The buffer may contain new bytes.
     Bytes,
-    /// The other side has ended its sending in order: all that it sent is in the buffer.
+    /// The peer has closed its sending direction in order. The buffer contains all remaining bytes.
     End,
-    /// The connection broke, or was closed here: what is in the buffer may lack its end.
+    /// The connection failed or was closed by this side. The bytes in the buffer may be incomplete.
     Broken,
 }
 
-fn lock(buffer: &Mutex<RingBuffer>) -> MutexGuard<'_, RingBuffer> {
+fn lock_buffer(buffer: &Mutex<RingBuffer>) -> MutexGuard<'_, RingBuffer> {
     buffer.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Connection {
-    /// A connection that was accepted. `max_buffer`: the bound of each buffer, in bytes.
-    pub fn new(stream: TcpStream, max_buffer: usize) -> io::Result<Self> {
+    /// Wraps an accepted stream. `max_buffer_bytes` is the limit of each of the two buffers.
+    pub fn new(stream: TcpStream, max_buffer_bytes: usize) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Connection {
             io: CoIo::new(stream).map_err(|e| io::Error::other(e.to_string()))?,
-            inbound: Mutex::new(RingBuffer::new(max_buffer)),
-            outbound: Mutex::new(RingBuffer::new(max_buffer)),
+            inbound: Mutex::new(RingBuffer::new(max_buffer_bytes)),
+            outbound: Mutex::new(RingBuffer::new(max_buffer_bytes)),
             is_closed: AtomicBool::new(false),
             is_drained: AtomicBool::new(false),
             is_ending: AtomicBool::new(false),
@@ -62,33 +64,35 @@
         })
     }
 
-    /// Begins to connect; `wait_connected` waits for the end of that.
-    pub fn open(to: SocketAddr, max_buffer: usize) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, None)?;
+    /// Starts to connect to `address`. `wait_connected` waits until the connection is established.
+    pub fn open(address: SocketAddr, max_buffer_bytes: usize) -> io::Result<Self> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
-        match socket.connect(&to.into()) {
+        match socket.connect(&address.into()) {
             Ok(()) => {}
             Err(e) if e.raw_os_error() == Some(nix::errno::Errno::EINPROGRESS as i32) => {}
             Err(e) => return Err(e),
         }
-        Connection::new(socket.into(), max_buffer)
+        Connection::new(socket.into(), max_buffer_bytes)
     }
 
-    /// Ends the connection where the other side does not acknowledge bytes for this long (`TCP_USER_TIMEOUT`): it would
-    /// hang otherwise while the network is partitioned.
+    /// Sets the time after which the connection fails if the peer acknowledges no bytes (`TCP_USER_TIMEOUT`).
+    /// Without it, the connection would hang during a network partition.
     pub fn set_unacknowledged_timeout(&self, timeout: Span) {
         let timeout = std::time::Duration::from_nanos(timeout.nanos());
         if let Err(e) = socket2::SockRef::from(self.io.inner()).set_tcp_user_timeout(Some(timeout)) {
-            log_limited!("no limit to silence: {e}");
+            log_limited!("cannot set TCP_USER_TIMEOUT: {e}");
         }
     }
 
-    /// Waits until it is connected.
+    /// Waits until the connection is established. Fails if it cannot be established or is closed by this
+    /// side.
     pub fn wait_connected(&self) -> io::Result<()> {
         self.wait_connected_until(|| false)
     }
 
-    /// The same, until `is_over`; whoever asks has it woken then.
+    /// Like `wait_connected`, but also fails once `is_over` returns `true`. The caller must have the
+    /// connection woken then.
     pub fn wait_connected_until(&self, is_over: impl Fn() -> bool) -> io::Result<()> {
         loop {
             if self.is_closed() || is_over() {
@@ -105,12 +109,12 @@
         }
     }
 
-    /// What has come in and was not consumed. Not to be held over a wait.
+    /// Locks the buffer of received bytes. The lock must not be held across a wait.
     pub fn inbound(&self) -> MutexGuard<'_, RingBuffer> {
-        lock(&self.inbound)
+        lock_buffer(&self.inbound)
     }
 
-    /// Waits until there is something to read, the end, or a call of `wake`; reads what there is.
+    /// Reads the available bytes. If there are none, waits for bytes, for the end or for a call of `wake`.
     pub fn read(&self) -> ReadOutcome {
         loop {
             if !self.is_drained.load(Ordering::Relaxed) {
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Reads what the kernel holds by now, without waiting. None: nothing more, for now.
+    /// Reads the available bytes without waiting; `None` if there are none.
     pub fn try_read(&self) -> Option<ReadOutcome> {
         match self.read_available() {
             Ok(0) => None,
@@ -148,27 +152,33 @@
         }
     }
 
-    /// How it ended: in order only where nothing broke and nobody closed it here. A reset is no orderly end.
+    /// Returns `End` if the connection ended in order, and `Broken` after an error or if this side closed it.
     fn end(&self) -> ReadOutcome {
         let is_broken = self.is_broken.load(Ordering::Relaxed) || self.is_closed();
-        // A reset that came behind the last bytes is still with the kernel.
+        // The kernel may still hold the error of a reset that followed the last bytes.
         let is_broken = is_broken || !matches!(self.io.inner().take_error(), Ok(None));
         self.is_broken.store(is_broken, Ordering::Relaxed);
         if is_broken { ReadOutcome::Broken } else { ReadOutcome::End }
     }
 
-    /// Reads what is there; an error is the end. A piece that is not filled up means that no more is there, which saves a
-    /// system call: the next bytes are signalled anew.
+    /// Reads the available bytes and returns their number; fails at the end of the stream.
+    ///
+    /// A read that does not fill the free part of the buffer has emptied the socket. Stopping there saves a
+    /// system call, as an event signals further bytes.
     fn read_available(&self) -> io::Result<usize> {
         let mut inbound = self.inbound();
-        let mut total = 0;
+        let mut received = 0;
         while !inbound.is_full() {
             match inbound.read_from(&mut self.io.inner()) {
                 Ok((0, _)) => {
-                    return if total > 0 { Ok(total) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+                    return if received > 0 {
+                        Ok(received)
+                    } else {
+                        Err(io::ErrorKind::UnexpectedEof.into())
+                    };
                 }
                 Ok((n, is_filled)) => {
-                    total += n;
+                    received += n;
                     if !is_filled && !self.is_ending.load(Ordering::Relaxed) {
                         self.is_drained.store(true, Ordering::Relaxed);
                         break;
@@ -181,22 +191,24 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
                     self.is_broken.store(true, Ordering::Relaxed);
-                    return if total > 0 { Ok(total) } else { Err(e) };
+                    return if received > 0 { Ok(received) } else { Err(e) };
                 }
             }
         }
-        Ok(total)
+        Ok(received)
     }
 
-    /// Writes a message, with one system call where the kernel takes all of it. An error means that the connection broke, or
-    /// that the buffer could not hold the message; `unsent` then tells whether all of it was handed to the kernel.
+    /// Writes a message, with one system call if the kernel takes all of it.
+    ///
+    /// Fails if the connection has failed or the buffer cannot hold the message. After an error, `unsent`
+    /// shows whether the kernel has taken all of it.
     pub fn write(&self, message: impl FnOnce(&mut RingBuffer) -> io::Result<()>) -> io::Result<()> {
-        message(&mut lock(&self.outbound))?;
+        message(&mut lock_buffer(&self.outbound))?;
         self.flush()
     }
 
     fn flush(&self) -> io::Result<()> {
-        let mut outbound = lock(&self.outbound);
+        let mut outbound = lock_buffer(&self.outbound);
         match outbound.write_to(&mut self.io.inner()) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(e) => {
@@ -207,8 +219,10 @@
         }
     }
 
-    /// Waits until the kernel has taken all that was written; false where the connection broke, or `is_over`: whoever asks
-    /// has it woken then. For the coroutine that reads, when it reads no more.
+    /// Waits until the kernel has taken all written bytes.
+    ///
+    /// Returns `false` if the connection failed or `is_over` returned `true`; the caller must have the
+    /// connection woken then. Only the reading coroutine may call this, after its last read.
     pub fn wait_flushed(&self, is_over: impl Fn() -> bool) -> bool {
         while !self.is_closed() && !is_over() && self.flush().is_ok() {
             if self.unsent() == 0 {
@@ -219,18 +233,20 @@
         false
     }
 
-    /// How many bytes the kernel has not taken yet.
+    /// Number of written bytes that the kernel has not taken yet.
     pub fn unsent(&self) -> usize {
-        lock(&self.outbound).len()
+        lock_buffer(&self.outbound).len()
     }
 
-    /// Whether the other side has ended it or sent something unasked, without waiting.
+    /// Returns `true` if an idle connection cannot be reused: it was closed by either side, or unread bytes
+    /// have been received. Does not wait.
     pub fn is_stale(&self) -> bool {
         let peeked = self.io.inner().peek(&mut [0]);
         self.is_closed() || !matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the other side has ended it, without waiting. What it sent besides is no end.
+    /// Returns `true` if either side has closed the connection. Does not wait, and does not see an end behind
+    /// unread bytes.
     pub fn is_ended_by_peer(&self) -> bool {
         let is_ended = match self.io.inner().peek(&mut [0]) {
             Ok(n) => n == 0,
@@ -239,25 +255,25 @@
         self.is_closed() || is_ended
     }
 
-    /// Whether it was closed here.
+    /// Returns `true` if this side has closed the connection.
     pub fn is_closed(&self) -> bool {
         self.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Wakes the coroutine that waits on it, to look at the buffer again.
+    /// Wakes the coroutine that waits on the connection.
     pub fn wake(&self) {
         self.io.waker().wakeup();
     }
 
-    /// Ends it in both directions, and wakes the coroutine that waits on it.
+    /// Closes both directions and wakes the coroutine that waits on the connection.
     pub fn close(&self) {
         self.is_closed.store(true, Ordering::Relaxed);
         let _ = self.io.inner().shutdown(Shutdown::Both);
         self.wake();
     }
 
-    /// Ends the sending: the other side gets all that the kernel has taken, and then the end. What it has not taken is lost:
-    /// see `wait_flushed`.
+    /// Closes the sending direction. The peer receives what the kernel has taken; bytes still in the buffer
+    /// are lost unless `wait_flushed` was called before.
     pub fn shut_down_write(&self) {
         let _ = self.io.inner().shutdown(Shutdown::Write);
     }
--- a/crates/net/src/coroutine.rs
+++ b/crates/net/src/coroutine.rs
@@ -1,43 +1,45 @@
-//! Starting coroutines: the only place that needs `unsafe`, and what a panic in one leads to.
+//! Starts coroutines and contains their panics. This is the only module that needs `unsafe`.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use crate::log_limited;
 
-/// The stack of a coroutine, in words. The deepest use measured was 1,342 in a release build and 5,926 in a debug one
-/// (docs/gatekeeper.md says how); the rest is for unwinding. What is not touched takes no memory.
+/// Stack size of a coroutine, in words. Includes room for unwinding; pages that are not touched take no
+/// memory.
 const STACK_WORDS: usize = 0x4000;
 
-/// How many stacks are made at the start and kept for reuse. Each costs two system calls and a page: may's default of a
-/// thousand took 10 ms of CPU before the first request.
+/// Number of stacks that are allocated at the start and kept for reuse. The default of `may` slows down the
+/// start.
 const POOLED_STACKS: usize = 64;
 
-/// Runs a job as a coroutine. A panic in it is logged and ends only the job.
+/// Runs `job` in a new coroutine. A panic is logged and ends only this coroutine.
 pub fn spawn(name: &'static str, job: impl FnOnce() + Send + 'static) {
     spawn_then(name, job, |_| ());
 }
 
-/// The same, and then `on_end`, which is told whether the job panicked. It is called on every path, also where there is no
-/// stack for the job.
+/// Runs `job` in a new coroutine, and then `on_end` with `true` if the job panicked.
+///
+/// `on_end` is called on every path, even if the coroutine cannot be started.
 pub fn spawn_then(
     name: &'static str,
     job: impl FnOnce() + Send + 'static,
     on_end: impl FnOnce(bool) + Send + 'static,
 ) {
     let guarded = guarded(name, job, on_end);
-    // Safe here as there is one worker thread: no coroutine moves to another, so thread locals stay valid; the stack is far
-    // larger than what was measured, and has a guard page.
+    // SAFETY: there is one worker thread, so no coroutine moves to another thread and thread locals stay
+    // valid. The stack is large enough for every job, and has a guard page.
     #[allow(unsafe_code)]
     let spawn = || unsafe { may::coroutine::Builder::new().spawn(guarded) };
-    // may panics where no stack can be had: that must not end the coroutine that asked, which accepts all others.
+    // `may` panics if it cannot allocate a stack. That must not end the calling coroutine, such as a
+    // listener's.
     match catch_unwind(AssertUnwindSafe(spawn)) {
         Ok(Ok(_)) => {}
-        Ok(Err(e)) => log_limited!("no coroutine for {name}: {e}"),
-        Err(_) => log_limited!("no coroutine for {name}"),
+        Ok(Err(e)) => log_limited!("cannot start a coroutine for {name}: {e}"),
+        Err(_) => log_limited!("cannot start a coroutine for {name}"),
     }
 }
 
-/// Calls `on_end` when it is dropped.
+/// Calls `on_end` on drop.
 struct Completion<E: FnOnce(bool)> {
     name: &'static str,
     on_end: Option<E>,
@@ -57,14 +59,16 @@
 fn guarded(name: &'static str, job: impl FnOnce(), on_end: impl FnOnce(bool)) -> impl FnOnce() {
     let mut completion = Completion { name, on_end: Some(on_end), has_panicked: false };
     move || {
-        // Captured as one value, so that it is dropped with the closure where that never runs.
+        // Captures the whole value, so that it is dropped with the closure even if the closure never runs.
         let completion = &mut completion;
         completion.has_panicked = catch_unwind(AssertUnwindSafe(job)).is_err();
     }
 }
 
-/// Configures the runtime; to be called before the first coroutine. One thread, not pinned (each program would take the same
-/// core), small stacks. A panic's message is one line: a backtrace would need more stack than a coroutine has.
+/// Configures the runtime. Must be called before the first coroutine is started.
+///
+/// The one worker thread is not pinned, as every program would use the same core. Panics are logged without a
+/// backtrace, which would need more stack than a coroutine has.
 pub fn configure_runtime() {
     let config = may::config();
     config.set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(POOLED_STACKS).set_worker_pin(false);
--- a/crates/net/src/coroutine/tests.rs
+++ b/crates/net/src/coroutine/tests.rs
@@ -3,38 +3,38 @@
 
 use super::{configure_runtime, guarded, spawn};
 
-/// What ends a job comes once: after it, after its panic, and where it never ran.
+/// `on_end` is called once if the job returns, panics or never runs.
 #[test]
-fn the_end_comes_on_every_path() {
-    let (runs, panics, never) = (1, 2, 3);
-    for (case, wanted) in [(runs, false), (panics, true), (never, false)] {
-        let (said, heard) = channel();
-        let job = guarded("a test", move || assert!(case != panics), move |p| said.send(p).expect("heard"));
-        if case != never {
+fn on_end_is_called_once_on_every_path() {
+    let (returns, panics, never_runs) = (1, 2, 3);
+    for (case, wanted) in [(returns, false), (panics, true), (never_runs, false)] {
+        let (sender, receiver) = channel();
+        let job =
+            guarded("a test", move || assert!(case != panics), move |p| sender.send(p).expect("receiver"));
+        if case != never_runs {
             job();
         } else {
             drop(job);
         }
-        assert_eq!(heard.iter().collect::<Vec<_>>(), [wanted], "{case}");
+        assert_eq!(receiver.iter().collect::<Vec<_>>(), [wanted], "{case}");
     }
 }
 
-/// A panic ends its own coroutine only.
 #[test]
-fn panics_are_contained() {
+fn panic_ends_only_its_own_coroutine() {
     configure_runtime();
-    let (said, heard) = channel();
+    let (sender, receiver) = channel();
     for n in 0..20 {
-        let said = said.clone();
+        let sender = sender.clone();
         spawn("a test", move || {
-            said.send(n).expect("heard");
+            sender.send(n).expect("receiver");
             assert!(n % 2 == 0, "meant to fail");
-            said.send(100 + n).expect("heard");
+            sender.send(100 + n).expect("receiver");
         });
     }
-    drop(said);
+    drop(sender);
     let mut all = Vec::new();
-    while let Ok(n) = heard.recv_timeout(Duration::from_secs(10)) {
+    while let Ok(n) = receiver.recv_timeout(Duration::from_secs(10)) {
         all.push(n);
     }
     all.sort_unstable();
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: where they end, what their heads say, writing responses. Nothing here knows a peer's own headers.
+//! HTTP/1.1 messages: finding the end of a message, parsing its head, writing responses.
 
 mod chunked;
 mod headers;
@@ -15,24 +15,24 @@
 pub use headers::Headers;
 use headers::{Framing, MAX_HEADERS};
 
-/// The longest body, where a caller sets no other limit, in bytes.
+/// Default limit on the length of a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest head, in bytes.
+/// Limit on the length of a head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// What a connection may hold of one direction, in bytes: a message and the framing of its body.
+/// Buffer size for a message and the framing of its body, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 2 * MAX_HEAD_BYTES;
 
-/// What is wrong with a message. The same message is wrong each time.
+/// Error in a message. It is permanent: the same message always fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpError {
-    /// The status that tells it to the sender.
+    /// Status of the response to the sender.
     pub status: u16,
-    /// Why.
+    /// Description of the error.
     pub reason: &'static str,
 }
 
 impl HttpError {
-    /// An error with this status.
+    /// Creates an error.
     pub const fn new(status: u16, reason: &'static str) -> HttpError {
         HttpError { status, reason }
     }
@@ -46,52 +46,52 @@
 
 impl std::error::Error for HttpError {}
 
-/// How far the connection that a response comes on has got.
+/// State of the connection on which a response is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
-    /// More may come.
+    /// More bytes may be received.
     Open,
-    /// The other side has ended its sending in order.
+    /// The peer has closed its sending direction in order.
     Ended,
-    /// It broke, by a reset, by silence or closed here: what came may lack its end.
+    /// The connection was reset, timed out or was closed by this side: the received bytes may be incomplete.
     Broken,
 }
 
-/// Where the parts of a complete message lie, which begins at the front of a buffer. All in bytes.
+/// Layout of a complete message at the front of a buffer, in bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Extent {
-    /// The length of the head.
+    /// Length of the head.
     pub head: usize,
-    /// The body.
+    /// Range of the decoded body.
     pub body: Range<usize>,
-    /// The length of all that the message takes up; more than its parts where the body came in chunks.
+    /// Length of the whole message. A chunked body takes more than its decoded length.
     pub total: usize,
-    /// Whether the connection may carry another message.
+    /// `true` if the connection may carry another message.
     pub keep_alive: bool,
 }
 
-/// The head of a request.
+/// Head of a request.
 pub struct RequestHead<'a> {
-    /// HTTP/1.0, where a connection carries one message unless it says otherwise.
+    /// `true` for HTTP/1.0, where a connection carries one message unless `keep-alive` is given.
     is_http_1_0: bool,
-    /// The method.
+    /// Method.
     pub method: &'a str,
-    /// The target: path and query.
+    /// Request target: path and query.
     pub target: &'a str,
-    /// Its headers.
+    /// Headers.
     pub headers: Headers<'a>,
 }
 
-/// The head of a response.
+/// Head of a response.
 pub struct ResponseHead<'a> {
     is_http_1_0: bool,
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its headers.
+    /// Headers.
     pub headers: Headers<'a>,
 }
 
-/// Parses the head of a request, once it is complete; with its length.
+/// Parses the head of a request. Returns it with its length, or `None` if it is incomplete.
 pub fn parse_request_head(bytes: &[u8]) -> Result<Option<(RequestHead<'_>, usize)>, HttpError> {
     let mut all = [EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut all);
@@ -108,7 +108,7 @@
     Ok(Some((RequestHead { is_http_1_0, method, target, headers }, length)))
 }
 
-/// Parses the head of a response, once it is complete; with its length.
+/// Parses the head of a response. Returns it with its length, or `None` if it is incomplete.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<(ResponseHead<'_>, usize)>, HttpError> {
     let mut all = [EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut all);
@@ -125,18 +125,25 @@
     }
 }
 
-/// Where a request ends, once it is complete. A chunked body is put together in place. `max_body_bytes`: the longest body.
+/// Finds the end of the request at the front of `bytes`; returns `None` if it is incomplete.
+///
+/// A complete chunked body is decoded in place. Fails if the message is malformed or the body exceeds
+/// `max_body_bytes`.
 pub fn request_extent(bytes: &mut [u8], max_body_bytes: usize) -> Result<Option<Extent>, HttpError> {
     let Some((request, head)) = parse_request_head(bytes)? else { return Ok(None) };
     let framing = request.headers.framing()?.unwrap_or(Framing::Length(0));
-    let says = |token| request.headers.has_token("connection", token);
-    let keep_alive = !says("close") && (!request.is_http_1_0 || says("keep-alive"));
+    let has_connection_token = |token| request.headers.has_token("connection", token);
+    let keep_alive =
+        !has_connection_token("close") && (!request.is_http_1_0 || has_connection_token("keep-alive"));
     extent(bytes, head, framing, keep_alive, max_body_bytes)
 }
 
-/// Where a response ends, once it is complete: the one place that says so. By its length, by its last chunk, or, where it has
-/// neither, by an orderly end of the connection only; a response that a reset or silence cut short is never complete.
-/// `max_body_bytes`: the longest body; a response that says to be longer is an error at once.
+/// Finds the end of the response at the front of `bytes`; returns `None` if it is incomplete.
+///
+/// A response ends by its length, by its last chunk or, if it has neither, by an orderly end of the
+/// connection. A response that a reset or a time-out cut short is never complete. A complete chunked body is
+/// decoded in place. Fails if the message is malformed, or as soon as its body is known to exceed
+/// `max_body_bytes`.
 pub fn response_extent(
     bytes: &mut [u8],
     stream: StreamState,
@@ -166,23 +173,23 @@
     keep_alive: bool,
     max_body_bytes: usize,
 ) -> Result<Option<Extent>, HttpError> {
-    let (body, taken) = match framing {
+    let (body, encoded_len) = match framing {
         Framing::Length(length) if length > max_body_bytes => {
             return Err(HttpError::new(413, "body too large"));
         }
         Framing::Length(length) => (length, length),
         Framing::Chunked | Framing::UntilEnd => match chunked::decode(&mut bytes[head..], max_body_bytes)? {
-            Some(decoded) => (decoded.body, decoded.taken),
+            Some(decoded) => (decoded.body, decoded.encoded_len),
             None => return Ok(None),
         },
     };
-    if bytes.len() < head + taken {
+    if bytes.len() < head + encoded_len {
         return Ok(None);
     }
-    Ok(Some(Extent { head, body: head..head + body, total: head + taken, keep_alive }))
+    Ok(Some(Extent { head, body: head..head + body, total: head + encoded_len, keep_alive }))
 }
 
-/// Writes one header line.
+/// Writes a header line.
 pub fn write_header(out: &mut RingBuffer, name: &str, value: &[u8]) -> io::Result<()> {
     out.write_all(name.as_bytes())?;
     out.write_all(b": ")?;
@@ -190,7 +197,7 @@
     out.write_all(b"\r\n")
 }
 
-/// Writes a response of the program itself. `headers`: complete header lines.
+/// Writes a response with a text body. `headers` holds complete header lines.
 pub fn write_response(
     out: &mut RingBuffer,
     status: u16,
@@ -203,7 +210,7 @@
     write!(out, "HTTP/1.1 {status} {reason}\r\n{headers}{connection}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// The reason phrase of a status.
+/// Reason phrase of a status code; `Error` for an unlisted one.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/net/src/http/chunked.rs
+++ b/crates/net/src/http/chunked.rs
@@ -1,27 +1,27 @@
-//! Bodies that come in chunks.
+//! Decodes chunked bodies.
 
 use httparse::Status;
 
 use super::{HttpError, MAX_HEAD_BYTES};
 
-/// The longest chunk, in bytes.
+/// Limit on the length of a chunk, in bytes.
 const MAX_CHUNK: usize = 1 << 30;
-/// The line end behind each chunk.
+/// Line end after the data of a chunk.
 const LINE_END: &[u8] = b"\r\n";
 
-/// A body that was put together at the front of its bytes.
+/// A body that was decoded in place.
 pub(super) struct Decoded {
-    /// Its length.
+    /// Length of the decoded body, in bytes.
     pub body: usize,
-    /// The length of all that it took up, trailers included.
-    pub taken: usize,
+    /// Length of the encoded body, including trailers, in bytes.
+    pub encoded_len: usize,
 }
 
-/// Puts a chunked body together in place, once it is complete.
+/// Decodes a chunked body to the front of `bytes`. Returns `None`, and moves nothing, if the body is
+/// incomplete.
 pub(super) fn decode(bytes: &mut [u8], max_body_bytes: usize) -> Result<Option<Decoded>, HttpError> {
-    // First only looked through: it may have to wait for more.
     let Some((chunks, trailers)) = find_last_chunk(bytes, max_body_bytes)? else { return Ok(None) };
-    let Some(taken) = end_of_trailers(bytes, trailers) else { return Ok(None) };
+    let Some(encoded_len) = end_of_trailers(bytes, trailers) else { return Ok(None) };
     let (mut body, mut at) = (0, 0);
     for _ in 0..chunks {
         let Some((start, size)) = chunk_at(bytes, at)? else { break };
@@ -29,15 +29,16 @@
         body += size;
         at = start + size + LINE_END.len();
     }
-    Ok(Some(Decoded { body, taken }))
+    Ok(Some(Decoded { body, encoded_len }))
 }
 
-/// How many chunks come before the last one, and where the trailers begin; None where the last one has not come.
+/// Returns the number of chunks before the last one, and the start of the trailers; `None` if the last one is
+/// missing.
 fn find_last_chunk(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(usize, usize)>, HttpError> {
     let (mut total, mut at, mut chunks) = (0, 0, 0);
     loop {
         let Some((start, size)) = chunk_at(bytes, at)? else {
-            // What is there of it is already more than a body may be, with its framing.
+            // Longer than any allowed body with its framing.
             let is_too_large = bytes.len() > max_body_bytes + MAX_HEAD_BYTES;
             return if is_too_large { Err(HttpError::new(413, "body too large")) } else { Ok(None) };
         };
@@ -58,7 +59,8 @@
     }
 }
 
-/// Where the bytes of the chunk begin whose size stands at `at`, and how many they are; None where the size is not complete.
+/// Parses the chunk size at `at`. Returns the start and the length of the chunk's data; `None` if the size is
+/// incomplete.
 pub fn chunk_at(bytes: &[u8], at: usize) -> Result<Option<(usize, usize)>, HttpError> {
     match httparse::parse_chunk_size(bytes.get(at..).unwrap_or(&[])) {
         Ok(Status::Complete((n, size))) => match usize::try_from(size) {
@@ -70,7 +72,7 @@
     }
 }
 
-/// Trailers are skipped, up to an empty line.
+/// Returns the end of the empty line after the trailers, which are ignored; `None` if it is missing.
 fn end_of_trailers(bytes: &[u8], start: usize) -> Option<usize> {
     if bytes.get(start..start + LINE_END.len())? == LINE_END {
         return Some(start + LINE_END.len());
--- a/crates/net/src/http/headers.rs
+++ b/crates/net/src/http/headers.rs
@@ -1,13 +1,13 @@
-//! The headers of a message.
+//! Headers of a message.
 
 use httparse::Header;
 
 use super::HttpError;
 
-/// The most headers of a message.
+/// Maximum number of headers of a message.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// Headers that belong to one connection and are never passed on.
+/// Headers that apply to one connection or frame its messages, and are never forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "content-length",
@@ -20,30 +20,30 @@
     "expect",
 ];
 
-/// How the end of a body is found.
+/// Indicator of the end of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// By its length, in bytes.
+    /// `Content-Length`, in bytes.
     Length(usize),
-    /// By its last chunk.
+    /// Last chunk.
     Chunked,
-    /// By the end of the connection.
+    /// End of the connection.
     UntilEnd,
 }
 
-/// The headers of a message, in their order.
+/// Headers of a message, in the order received.
 pub struct Headers<'a> {
     all: [Header<'a>; MAX_HEADERS],
     count: usize,
 }
 
 impl<'a> Headers<'a> {
-    /// The first `count` of these.
+    /// Creates headers from the first `count` entries of `all`.
     pub(super) fn new(all: [Header<'a>; MAX_HEADERS], count: usize) -> Self {
         Headers { all, count }
     }
 
-    /// Names and values.
+    /// Iterates over names and values.
     pub fn iter(&self) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         self.all[..self.count].iter().map(|header| (header.name, header.value))
     }
@@ -52,14 +52,16 @@
         self.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The first value of a header; None where it is missing or no text.
+    /// First value of a header, trimmed; `None` if it is missing or not UTF-8.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         let value = self.named(name).next()?;
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// The value of a header that must not come twice: peers that take the one and the other would not agree on what was
-    /// said.
+    /// Value of a header, trimmed; `None` if it is missing.
+    ///
+    /// Fails if the header is repeated, because peers could disagree on the value that applies, or if it is
+    /// not UTF-8.
     pub fn single(&self, name: &str) -> Result<Option<&'a str>, HttpError> {
         let mut values = self.named(name);
         let Some(value) = values.next() else { return Ok(None) };
@@ -70,22 +72,25 @@
         Ok(Some(text.trim()))
     }
 
-    /// Headers that are passed on: all but what belongs to one connection, by its name or by what `Connection` names.
+    /// Headers to forward: all except hop-by-hop headers and those listed in `Connection`.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&'a str, &'a [u8])> {
-        let names_more = self.get("connection").is_some();
+        let has_connection_header = self.get("connection").is_some();
         self.iter().filter(move |(name, _)| {
             let is_hop_by_hop = HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
-            !(is_hop_by_hop || names_more && self.has_token("connection", name))
+            !(is_hop_by_hop || has_connection_header && self.has_token("connection", name))
         })
     }
 
-    /// Whether a header whose values are lists holds a token.
+    /// Returns `true` if a list-valued header contains `token`, ignoring case.
     pub(super) fn has_token(&self, name: &str, token: &str) -> bool {
         let lists = self.named(name).filter_map(|value| std::str::from_utf8(value).ok());
         lists.flat_map(|list| list.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 
-    /// How the end of the body is found. Two ways at once, or two lengths, are how requests are smuggled past a gateway.
+    /// Framing of the body; `None` if the headers give none.
+    ///
+    /// Fails for a length with a transfer coding and for different lengths, which could be used for request
+    /// smuggling.
     pub(super) fn framing(&self) -> Result<Option<Framing>, HttpError> {
         let length = self.content_length()?;
         let is_encoded = self.named("transfer-encoding").next().is_some();
@@ -105,7 +110,7 @@
             if !is_number {
                 return Err(HttpError::new(400, "bad length"));
             }
-            // More digits than a number holds are too much of a body, not a bad number.
+            // A number that overflows is a body that is too large, not a malformed length.
             let parsed = text.parse().unwrap_or(usize::MAX);
             if length.is_some_and(|other| other != parsed) {
                 return Err(HttpError::new(400, "two lengths"));
--- a/crates/net/src/http/tests.rs
+++ b/crates/net/src/http/tests.rs
@@ -1,9 +1,9 @@
 use super::StreamState::{self, Broken, Ended, Open};
 use super::{HttpError, MAX_BODY_BYTES, request_extent, response_extent};
 
-/// What is not whole waits, at whatever byte it was cut; what is whole is found with what follows it.
+/// A request cut at any byte is incomplete; a complete one is found even if more bytes follow.
 #[test]
-fn messages_cut_anywhere() {
+fn incomplete_requests_wait_for_more_bytes() {
     let cases = [
         ("POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody", "body", true),
         ("GET /a HTTP/1.1\r\nConnection: x, Close\r\n\r\n", "", false),
@@ -28,12 +28,12 @@
     }
 }
 
-/// An answer ends by its length, by its last chunk, or with an orderly close; a reset is no end.
+/// A reset never completes a response that has no length.
 #[test]
-fn answers() {
+fn responses_end_by_length_last_chunk_or_orderly_close() {
     let too_large = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(70_000));
     let long_head = format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(17_000));
-    // The text, how the connection stands; then the body and whether another may follow.
+    // Text and state of the connection; expected body and keep-alive, or error status.
     type Wanted = Result<Option<(&'static str, bool)>, u16>;
     let cases: [(&str, StreamState, Wanted); 13] = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Open, Ok(Some(("ok", true)))),
@@ -50,9 +50,9 @@
         (&too_large, Open, Err(502)),
         (&long_head, Open, Err(502)),
     ];
-    for (text, stop, wanted) in cases {
+    for (text, stream, wanted) in cases {
         let mut bytes = text.as_bytes().to_vec();
-        let got = response_extent(&mut bytes, stop, MAX_BODY_BYTES);
+        let got = response_extent(&mut bytes, stream, MAX_BODY_BYTES);
         let got = got.map(|e| e.map(|e| (String::from_utf8_lossy(&bytes[e.body]), e.keep_alive)));
         let got = got
             .as_ref()
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,16 +1,16 @@
-//! Input and output of the programs on sockets, in blocking style on `may` coroutines: a monotonic clock, coroutines that
-//! contain panics, one timer, connections, HTTP/1.1 messages, a small HTTP server, rate-limited log lines.
+//! Socket I/O in blocking style on `may` coroutines, shared by the programs.
 //!
-//! Contract: everything runs on one worker thread, so nothing here may block that thread, and no lock is held over a wait.
-//! Buffers are bounded. Nothing is decided here, and no program is known.
+//! All coroutines run on one worker thread. No function may block that thread, and no lock is held across a
+//! wait. Buffers are bounded.
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
-//! | [`clock`], [`wake_timer`], [`alarms`] | time; one timer; waking whoever waits |
-//! | [`coroutine`] | starting coroutines |
-//! | [`connection`], [`ring_buffer`] | a socket with a buffer for each direction |
-//! | [`http`], [`server`] | messages; a server of requests |
-//! | [`log`] | log lines, no more than so many a second |
+//! | [`clock`] | monotonic clock |
+//! | [`wake_timer`], [`alarms`] | timer of one coroutine; wake-ups of any number of coroutines |
+//! | [`coroutine`] | starting coroutines and containing their panics |
+//! | [`connection`], [`ring_buffer`] | socket with a bounded buffer for each direction |
+//! | [`http`], [`server`] | HTTP/1.1 messages; a small HTTP server |
+//! | [`log`] | rate-limited log lines |
 #![deny(unsafe_code)]
 
 pub mod alarms;
--- a/crates/net/src/ring_buffer/tests.rs
+++ b/crates/net/src/ring_buffer/tests.rs
@@ -1,9 +1,10 @@
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 
-use super::{INITIAL_LEN, RingBuffer};
+use super::{MIN_ALLOCATION_BYTES, RingBuffer};
 
-/// Gives so many bytes, counting up, and then no more for now.
+/// Source of a limited number of consecutive byte values, which then returns `WouldBlock`: next value, bytes
+/// left.
 struct Source(u8, usize);
 
 impl Read for Source {
@@ -21,7 +22,7 @@
     }
 }
 
-/// Takes so many bytes, and then no more for now.
+/// Sink that accepts a limited number of bytes, and then returns `WouldBlock`: bytes received, bytes left.
 struct Sink(Vec<u8>, usize);
 
 impl Write for Sink {
@@ -36,16 +37,16 @@
     }
 }
 
-/// Whatever is put in and taken out, and however: the same bytes in the same order.
+/// Compares random reads, writes and removals with a `VecDeque`.
 #[test]
-fn a_ring_keeps_the_order() {
+fn ring_buffer_behaves_like_a_queue() {
     for seed in 1..40u64 {
-        let (mut ring, mut model) = (RingBuffer::new(3 * INITIAL_LEN), VecDeque::new());
-        let mut draw = lynxstair::rng::Rng::new(seed);
+        let (mut ring, mut model) = (RingBuffer::new(3 * MIN_ALLOCATION_BYTES), VecDeque::new());
+        let mut rng = lynxstair::rng::Rng::new(seed);
         let mut source = Source(0, 0);
         for _ in 0..400 {
-            let n = draw.next_u32() as usize % (INITIAL_LEN / 2);
-            match draw.next_u32() % 4 {
+            let n = rng.next_u32() as usize % (MIN_ALLOCATION_BYTES / 2);
+            match rng.next_u32() % 4 {
                 0 => {
                     source.1 = n;
                     let before = source.0;
@@ -58,7 +59,7 @@
                 }
                 1 => {
                     let piece: Vec<u8> = (0..n).map(|i| (i * 7) as u8).collect();
-                    let fits = model.len() + n <= 3 * INITIAL_LEN;
+                    let fits = model.len() + n <= 3 * MIN_ALLOCATION_BYTES;
                     assert_eq!(ring.write(&piece).is_ok(), fits);
                     model.extend(piece.iter().filter(|_| fits));
                 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,5 +1,7 @@
-//! A small HTTP server: readiness of the platform, commands of the operator, calls of workers, look-ups. One message after
-//! another on a connection; a handler gives each its response, and may wait for it.
+//! A small HTTP server.
+//!
+//! Requests on a connection are served one after another. A handler returns the response to each, and may
+//! wait for it.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,55 +17,56 @@
 use crate::http::{self, Extent, MAX_HEAD_BYTES};
 use crate::log_limited;
 
-/// A connection that brings nothing for this long is closed.
+/// A connection is closed if no request has been completed for this long after its start or its last
+/// response.
 const IDLE_TIMEOUT: Span = Span::from_millis(15_000);
-/// How much longer a message may take to be complete, and a last response to be taken.
+/// Time limit for sending the last response of a connection.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(5_000);
 
-/// A request as its handler gets it.
+/// A request to a handler.
 pub struct Request<'a> {
-    /// The method.
+    /// Method.
     pub method: &'a str,
-    /// The segments of the path, empty ones left out.
+    /// Segments of the path, without empty ones.
     pub segments: Vec<&'a str>,
-    /// What follows the question mark, or nothing.
+    /// Query without the question mark; empty if there is none.
     pub query: &'a str,
-    /// The body.
+    /// Body.
     pub body: &'a [u8],
     caller: &'a Connection,
 }
 
 impl Request<'_> {
-    /// Whether the caller has ended its connection, and so waits for no response.
+    /// Returns `true` if the caller has closed its connection and no longer waits for the response.
     pub fn has_caller_disconnected(&self) -> bool {
         self.caller.is_ended_by_peer()
     }
 
-    /// The value of a name in the query, as it stands there.
+    /// First value of a name in the query, without decoding.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 }
 
-/// The response to a request.
+/// Response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Complete header lines.
+    /// Complete header lines, without `Connection` and `Content-Length`.
     pub headers: String,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn new(status: u16) -> Response {
         Response { status, headers: String::new(), body: Vec::new() }
     }
 
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> Response {
         Response { status, headers: "Content-Type: application/json\r\n".to_string(), body: body.into() }
     }
@@ -80,12 +83,12 @@
     }
 }
 
-/// An address that can't be listened on. Trying again may help: another process may hold it.
+/// Failure to listen on an address. It may be temporary: another process may be using the address.
 #[derive(Debug)]
 pub struct ListenError {
-    /// The address.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Why.
+    /// Cause.
     pub source: io::Error,
 }
 
@@ -101,18 +104,18 @@
     }
 }
 
-/// Binds a listener for coroutines.
+/// Binds a listener for use by a coroutine.
 pub fn listen(address: SocketAddr) -> Result<CoIo<TcpListener>, ListenError> {
     let listener = TcpListener::bind(address).and_then(|listener| Ok(CoIo::new(listener)?));
     listener.map_err(|source| ListenError { address, source })
 }
 
-/// Accepts connections and hands each to `admit`; never returns. Errors are logged.
+/// Accepts connections and passes each to `admit`. Logs errors and never returns.
 pub fn accept(listener: &CoIo<TcpListener>, admit: impl FnMut(TcpStream)) {
-    accept_reporting(listener, admit, |e| log_limited!("accepting: {e}"));
+    accept_reporting(listener, admit, |e| log_limited!("cannot accept a connection: {e}"));
 }
 
-/// The same, and hands errors to `report`.
+/// Accepts connections and passes each to `admit`, and errors to `report`. Never returns.
 pub fn accept_reporting(
     listener: &CoIo<TcpListener>,
     mut admit: impl FnMut(TcpStream),
@@ -126,7 +129,7 @@
             }
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => {
-                // Out of descriptors: those that wait are let in once a connection ends.
+                // Usually out of file descriptors: tries again after the next event of the listener.
                 report(&e);
                 listener.wait_io();
             }
@@ -134,16 +137,16 @@
     }
 }
 
-/// The limits of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// The longest body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// The most connections.
+    /// Maximum number of concurrent connections. Further ones are closed at once.
     pub max_connections: usize,
 }
 
-/// Serves requests on a listener; never returns.
+/// Serves requests on a listener with `handler`. Never returns.
 pub fn serve<H>(listener: &CoIo<TcpListener>, alarms: &Arc<Alarms>, limits: ServerLimits, handler: &Arc<H>)
 where
     H: Fn(&Request) -> Response + Send + Sync + 'static,
@@ -180,8 +183,8 @@
             return connection.close();
         }
         let waited = alarms.now() - idle_since;
-        let has_part = !connection.inbound().is_empty();
-        if waited >= IDLE_TIMEOUT || has_part && waited >= IDLE_TIMEOUT + MESSAGE_TIMEOUT {
+        let is_partial = !connection.inbound().is_empty();
+        if waited >= IDLE_TIMEOUT || is_partial && waited >= IDLE_TIMEOUT + MESSAGE_TIMEOUT {
             return connection.close();
         }
         let (message, extent) = match take_message(connection, max_body_bytes) {
@@ -207,7 +210,7 @@
     }
 }
 
-/// Removes the message at the front of the buffer, once it is complete.
+/// Removes the message at the front of the buffer; returns `None` if it is incomplete.
 fn take_message(
     connection: &Connection,
     max_body_bytes: usize,
@@ -232,7 +235,8 @@
     handler(&Request { method: head.method, segments, query, body, caller: connection })
 }
 
-/// Ends a connection behind its last response. A long one is more than the kernel takes at once, and must not be cut short.
+/// Closes a connection after its last response. Waits first, as the kernel does not take a long response at
+/// once and closing would truncate it.
 fn finish(connection: &Arc<Connection>, alarms: &Alarms) {
     let deadline = alarms.now() + MESSAGE_TIMEOUT;
     alarms.wake_connection(deadline, connection);
--- a/crates/net/src/wake_timer.rs
+++ b/crates/net/src/wake_timer.rs
@@ -1,5 +1,7 @@
-//! Wakes one coroutine when the next thing is due. A timerfd in the same epoll as the sockets: no second thread, no polling,
-//! and no system call where what is due comes after what is set already.
+//! Timer that wakes one coroutine at the earliest requested time.
+//!
+//! It is a timerfd in the epoll instance of the sockets. A request for a later time than the armed one makes
+//! no system call.
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd, RawFd};
@@ -14,10 +16,10 @@
 use crate::clock::Clock;
 use crate::log_limited;
 
-/// A wake-up that is late by this much means that the process was stalled: half of what replies may be late by.
+/// Delay of a wake-up above which the process is considered to have been stalled.
 const STALL_THRESHOLD: Span = Span::from_millis(25);
-/// The timer is not set.
-const NEVER: u64 = u64::MAX;
+/// Value of `WakeTimer::armed_for` if the timer is not armed.
+const NOT_ARMED: u64 = u64::MAX;
 
 struct TimerFile(TimerFd);
 
@@ -27,60 +29,64 @@
     }
 }
 
-/// The timer that one coroutine waits for. All times are in nanoseconds.
+/// One-shot timer that one coroutine waits for. Times in its fields are in nanoseconds.
 pub struct WakeTimer {
     clock: Clock,
     timer: CoIo<TimerFile>,
-    /// When it goes off.
-    armed: AtomicU64,
-    /// When the process was last seen to run.
+    /// Time at which the timer fires.
+    armed_for: AtomicU64,
+    /// Last time at which the process was known to run without a stall.
     ran_at: AtomicU64,
-    /// When it was last found to have been stalled.
+    /// End of the last stall.
     resumed_at: AtomicU64,
-    /// Messages that are read within one step count as received at once.
-    step: Span,
+    /// Messages read within this time count as received simultaneously.
+    time_resolution: Span,
 }
 
 impl WakeTimer {
-    /// A timer that is not set. `step`: messages that are read within it count as received at once.
-    pub fn new(clock: Clock, step: Span) -> io::Result<Self> {
+    /// Creates a timer that is not armed. Messages read within `time_resolution` count as received
+    /// simultaneously.
+    pub fn new(clock: Clock, time_resolution: Span) -> io::Result<Self> {
         let flags = TimerFlags::TFD_NONBLOCK | TimerFlags::TFD_CLOEXEC;
         let timer = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags)?;
         let timer = CoIo::new(TimerFile(timer))?;
         Ok(WakeTimer {
             clock,
             timer,
-            armed: AtomicU64::new(NEVER),
+            armed_for: AtomicU64::new(NOT_ARMED),
             ran_at: AtomicU64::new(clock.now().nanos()),
             resumed_at: AtomicU64::new(0),
-            step,
+            time_resolution,
         })
     }
 
-    /// Wakes the coroutine no later than then.
+    /// Arms the timer for `at`, unless it is armed for an earlier time.
     pub fn wake_by(&self, at: Time) {
-        if at.nanos() >= self.armed.load(Ordering::Relaxed) {
+        if at.nanos() >= self.armed_for.load(Ordering::Relaxed) {
             return;
         }
-        self.armed.store(at.nanos(), Ordering::Relaxed);
+        self.armed_for.store(at.nanos(), Ordering::Relaxed);
         let wait = (at - self.clock.now()).nanos().max(1);
         let wait = TimeSpec::from_duration(Duration::from_nanos(wait));
         if let Err(e) = self.timer.inner().0.set(Expiration::OneShot(wait), TimerSetTimeFlags::empty()) {
-            log_limited!("timer not set: {e}");
+            log_limited!("cannot arm the timer: {e}");
         }
     }
 
-    /// Wakes the coroutine now; from any thread.
+    /// Wakes the coroutine at once. May be called from any thread.
     pub fn wake_now(&self) {
         self.timer.waker().wakeup();
     }
 
-    /// When a message that is read now may have been received: now, or, where the process was stalled, when it last ran
-    /// before that. What came meanwhile is read before the timer's turn, or in the same step after it.
+    /// Earliest time at which a message that is read at `now` may have been received.
+    ///
+    /// This is `now`, or, after a stall, the last time at which the process ran before it. Messages that
+    /// arrived during the stall are read before the overdue timer is handled or within `time_resolution`
+    /// after it.
     pub fn received_at(&self, now: Time) -> Time {
         let load = |at: &AtomicU64| Time::from_nanos(at.load(Ordering::Relaxed));
-        let is_overdue = now > load(&self.armed) + STALL_THRESHOLD;
-        let has_just_resumed = now < load(&self.resumed_at) + self.step;
+        let is_overdue = now > load(&self.armed_for) + STALL_THRESHOLD;
+        let has_just_resumed = now < load(&self.resumed_at) + self.time_resolution;
         if is_overdue || has_just_resumed {
             return load(&self.ran_at);
         }
@@ -88,13 +94,13 @@
         now
     }
 
-    /// Waits until the timer goes off or `wake_now` is called; the time then.
+    /// Waits until the timer fires or `wake_now` is called, disarms the timer and returns the current time.
     pub fn wait(&self) -> Time {
         self.timer.wait_io();
         let now = self.clock.now();
-        let armed = Time::from_nanos(self.armed.swap(NEVER, Ordering::Relaxed));
-        if now > armed + STALL_THRESHOLD {
-            log_limited!("stood still, or had no core, for {:.3} s at the least", (now - armed).secs());
+        let armed_for = Time::from_nanos(self.armed_for.swap(NOT_ARMED, Ordering::Relaxed));
+        if now > armed_for + STALL_THRESHOLD {
+            log_limited!("process was paused or had no CPU for at least {:.3} s", (now - armed_for).secs());
             self.resumed_at.store(now.nanos(), Ordering::Relaxed);
         } else {
             self.received_at(now);
