--- a/crates/gatekeeper/src/client_connection.rs
+++ b/crates/gatekeeper/src/client_connection.rs
@@ -1,6 +1,6 @@
-//! One client's connection: what it asks, one request at a time, and the replies that it gets.
+//! A client connection, which serves one request at a time.
 //!
-//! The message of a request stays in the inbound buffer until its final reply: every attempt is written from there.
+//! The message of a request stays in the inbound buffer until the final reply, as every attempt is written from it.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,56 +16,55 @@
 use crate::open_ids::OpenIds;
 use crate::request_parser::{ClientRequest, RequestParser};
 
-/// A connection brings its first request within this time, and a message is complete within this time after its first byte:
-/// who sends nothing, or half a message, takes up no place.
+/// Time limits for the first request of a connection, and for a message after its first byte.
 const FIRST_REQUEST_TIMEOUT: Span = Span::from_millis(2_000);
 const MESSAGE_TIMEOUT: Span = Span::from_millis(2_000);
-/// A client takes a reply within this time.
+/// Time limit for a client to receive a reply.
 const REPLY_TIMEOUT: Span = Span::from_millis(5_000);
-/// How long the rest of what a client sends is read and discarded after the last reply, and how much of it.
+/// Limits on the time and on the bytes for which further input is discarded after the last reply.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
 const MAX_DISCARDED: usize = MAX_MESSAGE_BYTES;
-/// This many messages in a row that can't be used are the last of their connection: what comes at full speed would take the
-/// core from the others.
+/// Number of consecutive invalid messages after which the connection is closed. A client that sends them at full speed
+/// would take the CPU from the others.
 const MAX_BAD_MESSAGES: u32 = 16;
 
-/// What a connection needs of the process.
+/// State that is shared by all client connections.
 pub struct ClientContext {
-    /// The clock.
+    /// Clock.
     pub clock: Clock,
-    /// The phase of the process.
+    /// Phase of the process.
     pub lifecycle: Arc<Lifecycle>,
-    /// The ids of open requests.
+    /// Ids of open requests.
     pub open_ids: OpenIds,
-    /// Reads requests.
+    /// Parser of requests.
     pub parser: RequestParser,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Between messages, or within one.
+    /// No complete message has been received.
     Waiting,
-    /// A request is open; its message stays in the buffer.
+    /// A request is open and its message is in the buffer.
     Serving(RequestId, Extent),
-    /// The last reply is written.
+    /// The last reply has been written.
     Ending,
 }
 
 struct State {
     stage: Stage,
-    /// When the stage was entered.
+    /// Start of the stage.
     since: Time,
-    /// When the first part of the message that is coming in was read.
+    /// Time at which the first part of an incomplete message was read.
     partial_since: Option<Time>,
-    /// An interim reply was given to the message that is coming in.
+    /// `true` if `100 Continue` was sent for the incomplete message.
     has_sent_continue: bool,
-    /// It has brought a request.
-    has_asked: bool,
-    /// Messages in a row that could not be used.
+    /// `true` once a valid request has been received.
+    has_sent_request: bool,
+    /// Number of consecutive invalid messages.
     bad_messages: u32,
-    /// Bytes that were discarded after the last reply.
+    /// Number of bytes discarded after the last reply.
     discarded: usize,
-    /// The id of the request that is open, hashed.
+    /// Hash of the id of the open request.
     open_id: Option<u64>,
 }
 
@@ -76,7 +75,7 @@
             since: now,
             partial_since: None,
             has_sent_continue: false,
-            has_asked: false,
+            has_sent_request: false,
             bad_messages: 0,
             discarded: 0,
             open_id: None,
@@ -84,21 +83,21 @@
     }
 }
 
-/// What became of looking at what was read.
+/// Result of looking for a message in the buffer.
 pub enum NextMessage {
-    /// Nothing can be done until more is read.
+    /// No message can be handled until more bytes are read.
     None,
-    /// A message was replied to here; another one may follow.
+    /// A message was answered without forwarding it; another one may follow.
     Handled,
-    /// A request to be forwarded, with where its message lies.
+    /// A request to forward, and the position of its message.
     Request(Request, Extent),
 }
 
-/// One client's connection.
+/// A client connection.
 pub struct ClientConnection {
-    /// Its number.
+    /// Number of the connection, unique within the process.
     pub number: u64,
-    /// Its socket.
+    /// Socket and buffers.
     pub connection: Connection,
     opened_at: Time,
     context: Arc<ClientContext>,
@@ -112,7 +111,7 @@
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Wraps a connection that was just accepted.
     pub fn new(number: u64, connection: Connection, context: Arc<ClientContext>) -> Self {
         let opened_at = context.clock.now();
         let state = Mutex::new(State::new(opened_at));
@@ -125,27 +124,27 @@
 
     // ---- queries ----
 
-    /// Whether nothing is open and no bytes wait in either direction.
+    /// Returns `true` if no request is open and both buffers are empty.
     pub fn is_idle(&self) -> bool {
-        self.state().stage == Stage::Waiting && self.holds_nothing()
+        self.state().stage == Stage::Waiting && self.has_empty_buffers()
     }
 
-    fn holds_nothing(&self) -> bool {
+    fn has_empty_buffers(&self) -> bool {
         self.connection.inbound().is_empty() && self.connection.unsent() == 0
     }
 
-    /// How long the connection has done nothing, where it may be closed to make room.
+    /// Time since the start of the stage if the connection may be closed to make room for another; otherwise `None`.
     pub fn idle_time(&self, now: Time) -> Option<Span> {
         let state = self.state();
-        let is_spare = match state.stage {
+        let is_evictable = match state.stage {
             Stage::Serving(..) => false,
             Stage::Ending => true,
-            Stage::Waiting => !state.has_asked || self.holds_nothing(),
+            Stage::Waiting => !state.has_sent_request || self.has_empty_buffers(),
         };
-        is_spare.then(|| now - state.since)
+        is_evictable.then(|| now - state.since)
     }
 
-    /// The request that is open.
+    /// Identifier of the open request.
     pub fn open_request(&self) -> Option<RequestId> {
         match &self.state().stage {
             Stage::Serving(request, _) => Some(*request),
@@ -155,7 +154,9 @@
 
     // ---- messages ----
 
-    /// Looks at what was read, for one message. `received_at` tells when a message that is read now may have been received.
+    /// Takes the next message from the buffer, and answers it unless it must be forwarded.
+    ///
+    /// `received_at` returns the earliest time at which a message that is read at a given time may have been received.
     pub fn next_message(&self, received_at: impl FnOnce(Time) -> Time) -> NextMessage {
         let mut state = self.state();
         let mut inbound = self.connection.inbound();
@@ -178,7 +179,7 @@
             }
             Err(error) => {
                 drop(inbound);
-                // What follows a message that can't be read can't be read either.
+                // The end of a malformed message is unknown, so no further message can be read.
                 self.reply_locally(&mut state, error.status, error.reason, None);
                 return NextMessage::None;
             }
@@ -193,7 +194,7 @@
         match parsed {
             Ok(Parsed::Request(request, open_id)) => {
                 state.open_id = Some(open_id);
-                (state.has_asked, state.bad_messages) = (true, 0);
+                (state.has_sent_request, state.bad_messages) = (true, 0);
                 NextMessage::Request(request, extent)
             }
             Ok(Parsed::Readiness) => {
@@ -232,7 +233,7 @@
         }
     }
 
-    /// A part of a message is there.
+    /// Handles an incomplete message, and sends `100 Continue` if its head expects it.
     fn on_partial(&self, state: &mut State, now: Time, bytes: &[u8]) {
         state.partial_since.get_or_insert(now);
         if state.has_sent_continue {
@@ -246,14 +247,14 @@
         }
     }
 
-    /// The request that `next_message` returned is open from now on, under this id.
+    /// Opens the request that `next_message` returned, under the identifier `request`.
     pub fn begin_request(&self, request: RequestId, extent: Extent) {
         let mut state = self.state();
         state.stage = Stage::Serving(request, extent);
         state.since = self.context.clock.now();
     }
 
-    /// Gives the message of a request to `write`, if that is still the open one.
+    /// Calls `write` with the message of a request. Returns `None` if the request is no longer open.
     pub fn with_message<R>(
         &self,
         request: RequestId,
@@ -272,18 +273,21 @@
 
     // ---- replies ----
 
-    /// Writes a final reply of the gatekeeper itself.
+    /// Writes a final reply that the gatekeeper generates.
     pub fn reply(&self, request: RequestId, reply: FinalReply) {
-        let (status, body, wait) = match reply {
-            FinalReply::Throttled(wait) => (429, "throttled\n", wait),
+        let (status, body, retry_after) = match reply {
+            FinalReply::Throttled(retry_after) => (429, "throttled\n", retry_after),
             FinalReply::Errored => (502, "errored\n", None),
         };
-        let header = wait.map(|wait| format!("Retry-After: {:.3}\r\n", wait.secs())).unwrap_or_default();
+        let header = retry_after
+            .map(|retry_after| format!("Retry-After: {:.3}\r\n", retry_after.secs()))
+            .unwrap_or_default();
         self.finish(request, |out, keep_alive| http::write_response(out, status, &header, body, keep_alive));
     }
 
-    /// Writes the final reply to a request, if that is still the open one; the connection is then free for the next.
-    /// `write` is told whether the connection stays.
+    /// Writes the final reply to a request, unless the request is no longer open. The connection can then take the next one.
+    ///
+    /// The second argument of `write` is `true` if the connection is kept alive.
     pub fn finish(&self, request: RequestId, write: impl FnOnce(&mut RingBuffer, bool) -> io::Result<()>) {
         let mut state = self.state();
         let Stage::Serving(open, extent) = &state.stage else { return };
@@ -291,11 +295,11 @@
             return;
         }
         let extent = extent.clone();
-        self.forget(&mut state);
+        self.release_id(&mut state);
         self.write(&mut state, Some(&extent), write);
     }
 
-    /// Writes a reply that no request stands behind. Without an extent it is the last one.
+    /// Writes a reply to a message that is not forwarded. Without an extent it is the last reply.
     fn reply_locally(&self, state: &mut State, status: u16, body: &str, extent: Option<&Extent>) {
         self.write(state, extent, |out, keep_alive| http::write_response(out, status, "", body, keep_alive));
     }
@@ -326,20 +330,20 @@
 
     // ---- the end ----
 
-    /// The open request is over: its id may come again.
-    fn forget(&self, state: &mut State) {
+    /// Releases the id of the open request, so that it can be used again.
+    fn release_id(&self, state: &mut State) {
         if let Some(id) = state.open_id.take() {
             self.context.open_ids.close(id);
         }
     }
 
-    /// The connection has ended.
+    /// Closes the connection and releases the id of its open request.
     pub fn end(&self) {
-        self.forget(&mut self.state());
+        self.release_id(&mut self.state());
         self.connection.close();
     }
 
-    /// Ends the connection where nothing has moved on it for too long. `idle_timeout`: of one that rests.
+    /// Closes the connection if it has made no progress for too long. `idle_timeout` applies between messages.
     pub fn expire(&self, now: Time, idle_timeout: Span) {
         let mut state = self.state();
         if !is_expired(&state, self.connection.unsent() > 0, self.opened_at, idle_timeout, now) {
@@ -355,15 +359,17 @@
 
 enum Parsed {
     Readiness,
-    /// With the hash of its id.
+    /// Request to forward, and the hash of its id.
     Request(Request, u64),
 }
 
-/// Whether nothing has moved on a connection for too long. A message that has just begun counts from then, however long the
-/// connection rested before: closing it would lose the request. Before the first request the whole time counts.
+/// Returns `true` if a connection has made no progress for too long.
+///
+/// The time of an incomplete message starts with its first byte, even after a long idle time, as closing the connection
+/// would lose the request. Before the first request, the time since the connection was opened counts too.
 fn is_expired(state: &State, has_unsent: bool, opened_at: Time, idle_timeout: Span, now: Time) -> bool {
     let waited = now - state.since;
-    let is_late_first = !state.has_asked && now - opened_at > FIRST_REQUEST_TIMEOUT;
+    let is_late_first = !state.has_sent_request && now - opened_at > FIRST_REQUEST_TIMEOUT;
     match state.stage {
         Stage::Serving(..) => false,
         _ if has_unsent => waited > REPLY_TIMEOUT,
--- a/crates/gatekeeper/src/client_connection/tests.rs
+++ b/crates/gatekeeper/src/client_connection/tests.rs
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn connections_that_end() {
+fn connection_expiry_by_stage() {
     use Stage::{Ending, Waiting};
     let serving = Stage::Serving(RequestId(1), Extent::default());
-    // The stage, since second 100, of a connection opened then that brought a request or did not; when a
-    // message began; whether bytes are unsent; the second; is it over.
+    // Stage, `has_sent_request`, start of an incomplete message, unsent bytes, current time, and whether the
+    // connection has expired. The connection was opened and entered the stage at second 100.
     let cases = [
         (Waiting, true, None, false, 109, false),
         (Waiting, true, None, false, 111, true),
-        // A message that begins after a long rest has its own time.
+        // A message that starts after a long idle time has its own time limit.
         (Waiting, true, Some(109), false, 110, false),
         (Waiting, true, Some(109), false, 111, false),
         (Waiting, true, Some(109), false, 112, true),
-        // Nothing, or half a message, on a new connection.
+        // No message, or an incomplete one, on a new connection.
         (Waiting, false, None, false, 102, false),
         (Waiting, false, None, false, 103, true),
         (Waiting, false, Some(101), false, 102, false),
@@ -35,9 +35,10 @@
         (Ending, false, None, true, 104, false),
         (Ending, false, None, true, 106, true),
     ];
-    for (stage, has_asked, part, has_unsent, now, wanted) in cases {
-        let case = format!("{stage:?} {has_asked} {part:?} {has_unsent} {now}");
-        let state = State { stage, has_asked, partial_since: part.map(at), ..State::new(at(100)) };
+    for (stage, has_sent_request, partial_since, has_unsent, now, wanted) in cases {
+        let case = format!("{stage:?} {has_sent_request} {partial_since:?} {has_unsent} {now}");
+        let state =
+            State { stage, has_sent_request, partial_since: partial_since.map(at), ..State::new(at(100)) };
         assert_eq!(is_expired(&state, has_unsent, at(100), IDLE_TIMEOUT, at(now)), wanted, "{case}");
     }
 }
--- a/crates/gatekeeper/src/client_handler.rs
+++ b/crates/gatekeeper/src/client_handler.rs
@@ -1,4 +1,4 @@
-//! Handles clients' requests: from a message that was read to the decision on it, and to the end of the connection.
+//! Serves client connections: reads requests, asks the dispatcher for a decision and executes it.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -16,33 +16,33 @@
 use crate::client_registry::ClientRegistry;
 use crate::forwarder::{ClientDispatcher, Forwarder};
 
-/// Handles the requests of all clients.
+/// Serves all client connections.
 pub struct ClientHandler {
-    /// What each connection needs.
+    /// State shared by the connections.
     pub context: Arc<ClientContext>,
-    /// All connections.
+    /// Open connections.
     pub registry: Arc<ClientRegistry>,
-    /// Accepts them.
+    /// Listener for new connections.
     pub listener: ClientListener,
-    /// Decides on requests.
+    /// Dispatcher of requests.
     pub dispatcher: Arc<ClientDispatcher>,
-    /// Forwards them.
+    /// Forwarder of attempts to workers.
     pub forwarder: Arc<Forwarder>,
-    /// Time.
+    /// Timer of the gatekeeper.
     pub wake_timer: Arc<WakeTimer>,
 }
 
 impl ClientHandler {
-    /// Accepts clients until it is told to stop; for a coroutine of its own.
+    /// Accepts clients until the listener is stopped. Must run in a coroutine of its own.
     pub fn accept(self: &Arc<Self>) {
         self.listener.accept(&self.context.clock, |stream| self.admit(stream));
     }
 
-    /// Serves a new connection in a coroutine of its own.
+    /// Serves a new connection in a new coroutine.
     fn admit(self: &Arc<Self>, stream: TcpStream) {
         let connection = match Connection::new(stream, MAX_MESSAGE_BYTES) {
             Ok(connection) => connection,
-            Err(e) => return log_limited!("a client's connection: {e}"),
+            Err(e) => return log_limited!("cannot serve a client connection: {e}"),
         };
         let number = self.registry.next_number();
         let client = Arc::new(ClientConnection::new(number, connection, self.context.clone()));
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Handles the next message, if it is complete; whether there may be another one.
+    /// Handles the next message if it is complete. Returns `false` if there is none.
     fn handle_message(&self, client: &Arc<ClientConnection>) -> bool {
         let (request, extent) = match client.next_message(|now| self.wake_timer.received_at(now)) {
             NextMessage::None => return false,
@@ -81,48 +81,48 @@
 
     fn on_connection_ended(&self, client: &ClientConnection, has_panicked: bool) {
         if has_panicked {
-            self.give_up(client);
+            self.fail_request(client);
         }
         self.end_request(client);
         client.end();
         self.registry.remove(client);
-        self.listener.on_room();
+        self.listener.resume();
     }
 
-    /// Nothing more is owed for the open request, if there is one: its attempts end.
+    /// Ends the open request, if there is one, and aborts its attempts.
     fn end_request(&self, client: &ClientConnection) -> Option<RequestId> {
         let request = client.open_request()?;
         for attempt in &self.dispatcher.end_request(self.context.clock.now(), request) {
-            self.forwarder.give_up(attempt, Outcome::Cancelled);
+            self.forwarder.abort(attempt, Outcome::Cancelled);
         }
         Some(request)
     }
 
-    /// No reply can be waited for any more: an error promises nothing.
-    fn give_up(&self, client: &ClientConnection) {
+    /// Ends the open request with an error reply, which leaves open whether the request was processed.
+    fn fail_request(&self, client: &ClientConnection) {
         if let Some(request) = self.end_request(client) {
             client.reply(request, FinalReply::Errored);
         }
     }
 
-    /// Gives all open requests their final reply now.
-    pub fn give_up_all(&self) {
+    /// Ends all open requests with an error reply.
+    pub fn fail_all_requests(&self) {
         for client in self.registry.all() {
-            self.give_up(&client);
+            self.fail_request(&client);
         }
     }
 
-    /// Admits what the kernel has accepted already, then closes the listener and the idle connections.
+    /// Serves the connections that the kernel has accepted already, then closes the listener and the idle connections.
     pub fn stop_listening(self: &Arc<Self>) {
         self.listener.stop(|stream| self.admit(stream));
         let all = self.registry.all();
-        let is_unused = |client: &&Arc<ClientConnection>| client.is_idle() && !client.connection.is_stale();
-        all.iter().filter(is_unused).for_each(|client| client.connection.close());
+        let is_idle = |client: &&Arc<ClientConnection>| client.is_idle() && !client.connection.is_stale();
+        all.iter().filter(is_idle).for_each(|client| client.connection.close());
     }
 
-    /// Ends connections on which nothing has moved for too long.
+    /// Closes connections that have made no progress for too long.
     pub fn expire(&self) {
         self.registry.expire(self.context.clock.now());
-        self.listener.on_room();
+        self.listener.resume();
     }
 }
--- a/crates/gatekeeper/src/client_listener.rs
+++ b/crates/gatekeeper/src/client_listener.rs
@@ -62,7 +62,7 @@
     }
 
     /// There may be room again.
-    pub fn on_room(&self) {
+    pub fn resume(&self) {
         if self.is_full.swap(false, Ordering::Relaxed) {
             self.listener.waker().wakeup();
         }
--- a/crates/gatekeeper/src/forwarder.rs
+++ b/crates/gatekeeper/src/forwarder.rs
@@ -1,7 +1,8 @@
-//! Forwards requests to workers: makes the attempts that the decisions ask for, reports how they ended, and does what comes
-//! next.
+//! Forwards requests to workers: sends the attempts that the dispatcher returns, reports their outcomes and executes the
+//! next steps.
 //!
-//! "Never ran" is reported only where a connection failed with bytes of the message still here, or where the worker said so.
+//! An attempt is reported as never run only if no connection was established, if the connection ended before the kernel
+//! had taken the whole message, or if the worker's reply says so.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -20,12 +21,12 @@
 
 use crate::client_connection::ClientConnection;
 use crate::worker_connection::{ClientAssignment, Job, WorkerConnection, attempt_key};
-use crate::worker_pool::{Found, WorkerPool};
+use crate::worker_pool::{PoolConnection, WorkerPool};
 
-/// Headers of a worker that are for the gatekeeper alone.
+/// Headers of a worker's reply that are not relayed to the client.
 const HIDDEN_HEADERS: [&str; 3] = ["x-allowance-used", "server-load", "not-started"];
 
-/// Decides on the requests of clients.
+/// Dispatcher of client requests.
 pub type ClientDispatcher = Dispatcher<Arc<ClientConnection>>;
 
 /// Forwards requests to workers.
@@ -33,28 +34,28 @@
     clock: Clock,
     wake_timer: Arc<WakeTimer>,
     dispatcher: Arc<ClientDispatcher>,
-    /// The connections to workers.
+    /// Connections to workers.
     pub pool: WorkerPool,
-    /// The connection that carries each attempt in flight.
+    /// Connection of each attempt in flight.
     in_flight: Mutex<HashMap<AttemptKey, Arc<WorkerConnection>>>,
-    /// Where the use of succeeded requests is recorded, in a cluster that exports it.
+    /// Log of the usage of successful requests; set if the cluster exports it.
     pub usage_log: OnceLock<Arc<UsageLog>>,
 }
 
-/// A worker's complete reply at the front of its connection's buffer.
+/// A complete reply at the front of the buffer of a worker connection.
 struct WorkerReply<'a> {
     worker: &'a WorkerConnection,
     extent: &'a Extent,
 }
 
-/// What a worker's reply says of the attempt.
-struct ReplyVerdict {
+/// Result of an attempt according to the worker's reply.
+struct ReplyReport {
     outcome: Outcome,
-    /// The tenant's use of its rate by all gatekeepers, as a fraction.
+    /// Fraction of the tenant's rate that all gatekeepers used.
     quota_used: Option<f32>,
 }
 
-impl ReplyVerdict {
+impl ReplyReport {
     fn new(head: &ResponseHead) -> Self {
         let never_ran = head.headers.get("not-started") == Some("1");
         let outcome = match head.status {
@@ -64,12 +65,12 @@
         };
         let percent = head.headers.get("x-allowance-used").and_then(|used| used.parse::<f32>().ok());
         let quota_used = percent.filter(|percent| percent.is_finite()).map(|percent| percent / 100.0);
-        ReplyVerdict { outcome, quota_used }
+        ReplyReport { outcome, quota_used }
     }
 }
 
 impl Forwarder {
-    /// A forwarder without workers.
+    /// Creates a forwarder.
     pub fn new(
         clock: Clock,
         wake_timer: Arc<WakeTimer>,
@@ -92,50 +93,50 @@
 
     // ---- attempts ----
 
-    /// Makes an attempt; where that fails, does what comes next.
+    /// Sends an attempt. If that fails, executes the next step, which may be another attempt.
     pub fn forward(self: &Arc<Self>, assignment: ClientAssignment) {
         let mut next = Some(assignment);
         while let Some(assignment) = next {
             let now = self.clock.now();
             let job = Job::Attempt { assignment: assignment.clone(), sent_at: now };
             match self.pool.assign(now, assignment.worker, job) {
-                Found::Idle(idle) => {
+                PoolConnection::Idle(idle) => {
                     self.in_flight().insert(attempt_key(&assignment), idle.clone());
                     if idle.send(self.clock.now()).is_ok() {
                         return;
                     }
-                    // It broke with the last byte still here: this worker never saw it, another connection may.
+                    // The worker has not received the whole message, so it is safe to use another connection.
                     idle.connection.close();
                     if self.take_job(&idle).is_none() {
                         return;
                     }
                     next = Some(assignment);
                 }
-                Found::New(new) => {
+                PoolConnection::New(new) => {
                     self.in_flight().insert(attempt_key(&assignment), new.clone());
                     return self.run_new(new);
                 }
-                Found::None => {
+                PoolConnection::None => {
                     next = self.end_attempt(&assignment, Outcome::ConnectFailed, now, None, None);
                 }
             }
         }
     }
 
-    /// Gives up an attempt that is in flight: closes its connection at once.
-    pub fn give_up(self: &Arc<Self>, attempt: &Cancellation<Arc<ClientConnection>>, outcome: Outcome) {
+    /// Aborts an attempt in flight and closes its connection at once.
+    pub fn abort(self: &Arc<Self>, attempt: &Cancellation<Arc<ClientConnection>>, outcome: Outcome) {
         let key = (attempt.request_id, attempt.attempt);
-        let Some(carrier) = self.in_flight().get(&key).cloned() else { return };
-        if !carrier.carries(key) {
+        let Some(worker_connection) = self.in_flight().get(&key).cloned() else { return };
+        if !worker_connection.carries(key) {
             return;
         }
-        // What was not handed over completely never ran, whatever ended it.
-        let is_unsent = outcome == Outcome::TimedOut && !carrier.is_sent();
-        carrier.connection.close();
-        self.end_job(&carrier, if is_unsent { Outcome::ConnectFailed } else { outcome });
+        // A timed-out attempt that the kernel has not taken completely never ran.
+        let is_unsent = outcome == Outcome::TimedOut && !worker_connection.is_sent();
+        worker_connection.connection.close();
+        self.end_job(&worker_connection, if is_unsent { Outcome::ConnectFailed } else { outcome });
     }
 
-    /// Reports the end of an attempt and does what comes next; another attempt is left to the caller.
+    /// Reports the end of an attempt and executes the next step. A further attempt is returned for the caller to send.
     fn end_attempt(
         self: &Arc<Self>,
         ended: &ClientAssignment,
@@ -147,27 +148,27 @@
         let now = self.clock.now();
         let (next, cancelled) = self.dispatcher.report(now, ended, outcome, now - sent_at, quota_used);
         for attempt in &cancelled {
-            self.give_up(attempt, Outcome::Cancelled);
+            self.abort(attempt, Outcome::Cancelled);
         }
         match (next, reply) {
             (NextStep::Relay(client), Some(reply)) => self.relay(&client, ended, reply),
             (NextStep::Relay(client), None) => client.reply(ended.request_id, FinalReply::Errored),
             (NextStep::Reply(client, reply), _) => client.reply(ended.request_id, reply),
-            (NextStep::Retry(another), _) => return Some(another),
+            (NextStep::Retry(retry), _) => return Some(retry),
             (NextStep::Nothing, _) => {}
         }
         self.wake_timer.wake_by(self.dispatcher.next_due());
         None
     }
 
-    /// Gives the worker's reply to the client, completely.
+    /// Relays the worker's complete reply to the client.
     fn relay(&self, client: &ClientConnection, assignment: &ClientAssignment, reply: &WorkerReply) {
         let mut inbound = reply.worker.connection.inbound();
         let bytes = inbound.bytes();
         let Ok(Some((head, _))) = http::parse_response_head(&bytes[..reply.extent.head]) else { return };
         let body = &bytes[reply.extent.body.clone()];
         client.finish(assignment.request_id, |out, keep_alive| {
-            // Before the client can have it: what it is told is on record, however this process ends.
+            // Recorded before the reply is written, so that no delivered reply lacks its record if the process ends.
             if let Some(usage_log) = self.usage_log.get() {
                 let usage = &assignment.usage;
                 usage_log.record(self.clock.now(), usage.tenant.0, usage.operation.0, usage.units);
@@ -178,13 +179,13 @@
 
     // ---- health checks ----
 
-    /// Checks a worker's health.
+    /// Sends a health check to a worker.
     pub fn check_health(self: &Arc<Self>, worker: WorkerId) {
         loop {
             let now = self.clock.now();
             match self.pool.assign(now, worker, Job::HealthCheck { sent_at: now }) {
-                Found::Idle(idle) => {
-                    self.watch(&idle, now);
+                PoolConnection::Idle(idle) => {
+                    self.start_timeout(&idle, now);
                     if idle.send(self.clock.now()).is_ok() {
                         return;
                     }
@@ -193,47 +194,47 @@
                         return;
                     }
                 }
-                Found::New(new) => return self.run_new(new),
-                Found::None => {
+                PoolConnection::New(new) => return self.run_new(new),
+                PoolConnection::None => {
                     return self.dispatcher.on_health_check(now, worker, Outcome::ConnectFailed);
                 }
             }
         }
     }
 
-    fn watch(&self, watched: &Arc<WorkerConnection>, now: Time) {
-        let due = self.pool.watch(now, watched);
+    fn start_timeout(&self, worker_connection: &Arc<WorkerConnection>, now: Time) {
+        let due = self.pool.start_timeout(now, worker_connection);
         self.wake_timer.wake_by(due);
     }
 
-    /// Gives up connections and health checks that took too long.
+    /// Closes connections that were not established in time or whose health check timed out.
     pub fn tick(self: &Arc<Self>, now: Time) {
-        while let Some(late) = self.pool.pop_timed_out(now) {
-            let outcome = if late.is_connected() { Outcome::TimedOut } else { Outcome::ConnectFailed };
-            late.connection.close();
-            self.end_job(&late, outcome);
+        while let Some(timed_out) = self.pool.pop_timed_out(now) {
+            let outcome = if timed_out.is_connected() { Outcome::TimedOut } else { Outcome::ConnectFailed };
+            timed_out.connection.close();
+            self.end_job(&timed_out, outcome);
         }
     }
 
     // ---- jobs ----
 
-    fn take_job(&self, carrier: &Arc<WorkerConnection>) -> Option<Job> {
-        let job = carrier.take_job();
+    fn take_job(&self, worker_connection: &Arc<WorkerConnection>) -> Option<Job> {
+        let job = worker_connection.take_job();
         if let Some(Job::Attempt { assignment, .. }) = &job {
             self.in_flight().remove(&attempt_key(assignment));
         }
         job
     }
 
-    /// A job ends without a reply.
-    fn end_job(self: &Arc<Self>, carrier: &Arc<WorkerConnection>, outcome: Outcome) {
-        match self.take_job(carrier) {
+    /// Ends the job of a connection without a reply.
+    fn end_job(self: &Arc<Self>, worker_connection: &Arc<WorkerConnection>, outcome: Outcome) {
+        match self.take_job(worker_connection) {
             Some(Job::Attempt { assignment, sent_at }) => {
-                if let Some(another) = self.end_attempt(&assignment, outcome, sent_at, None, None) {
-                    self.forward(another);
+                if let Some(retry) = self.end_attempt(&assignment, outcome, sent_at, None, None) {
+                    self.forward(retry);
                 }
             }
-            Some(Job::HealthCheck { .. }) => self.end_health_check(carrier.worker, outcome),
+            Some(Job::HealthCheck { .. }) => self.end_health_check(worker_connection.worker, outcome),
             None => {}
         }
     }
@@ -245,9 +246,9 @@
 
     // ---- connections ----
 
-    /// Runs a connection that is being opened, in a coroutine of its own.
+    /// Runs a connection that is being established in a new coroutine.
     fn run_new(self: &Arc<Self>, new: Arc<WorkerConnection>) {
-        self.watch(&new, self.clock.now());
+        self.start_timeout(&new, self.clock.now());
         let (forwarder, running, this) = (self.clone(), new.clone(), self.clone());
         let run = move || forwarder.run(&running);
         spawn_then("a worker", run, move |has_panicked| this.on_connection_ended(&new, has_panicked));
@@ -258,7 +259,7 @@
             return;
         }
         worker.set_connected();
-        // The job may have been given up meanwhile; then the connection is good for the next.
+        // If the job was aborted meanwhile, the connection can take the next one.
         if !worker.has_job() {
             self.pool.release(self.clock.now(), worker);
         } else if !self.pool.accepts_jobs(worker.worker) || worker.send(self.clock.now()).is_err() {
@@ -283,7 +284,7 @@
         self.end_job(ended, if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed });
     }
 
-    /// Acts on the reply, if it is complete; whether the connection is still good.
+    /// Handles the reply if it is complete. Returns `false` if the connection must be closed.
     fn handle_replies(self: &Arc<Self>, worker: &Arc<WorkerConnection>, stream: StreamState) -> bool {
         loop {
             let mut inbound = worker.connection.inbound();
@@ -305,9 +306,9 @@
                 inbound.consume(extent.total);
                 continue;
             }
-            let verdict = ReplyVerdict::new(&head);
+            let report = ReplyReport::new(&head);
             drop(inbound);
-            return self.handle_reply(worker, stream, &extent, &verdict);
+            return self.handle_reply(worker, stream, &extent, &report);
         }
     }
 
@@ -316,15 +317,15 @@
         worker: &Arc<WorkerConnection>,
         stream: StreamState,
         extent: &Extent,
-        verdict: &ReplyVerdict,
+        report: &ReplyReport,
     ) -> bool {
-        // What comes unasked can't be told from what is asked next.
+        // An unsolicited reply could be taken for the reply to the next job.
         let Some(job) = self.take_job(worker) else { return false };
-        let outcome = verdict.outcome;
-        let another = match job {
+        let outcome = report.outcome;
+        let retry = match job {
             Job::Attempt { assignment, sent_at } => {
                 let reply = WorkerReply { worker, extent };
-                self.end_attempt(&assignment, outcome, sent_at, verdict.quota_used, Some(&reply))
+                self.end_attempt(&assignment, outcome, sent_at, report.quota_used, Some(&reply))
             }
             Job::HealthCheck { .. } => {
                 let outcome = if outcome == Outcome::Errored { Outcome::Full } else { outcome };
@@ -341,7 +342,7 @@
         if keep {
             self.pool.release(self.clock.now(), worker);
         }
-        if let Some(assignment) = another {
+        if let Some(assignment) = retry {
             self.forward(assignment);
         }
         keep
--- a/crates/gatekeeper/src/gatekeeper.rs
+++ b/crates/gatekeeper/src/gatekeeper.rs
@@ -105,8 +105,8 @@
         let due = self.dispatcher.tick(now);
         self.counter.add(&due.counter_adds);
         due.attempts.into_iter().for_each(|attempt| self.forwarder.forward(attempt));
-        due.timed_out.iter().for_each(|attempt| self.forwarder.give_up(attempt, Outcome::TimedOut));
-        due.cancelled.iter().for_each(|attempt| self.forwarder.give_up(attempt, Outcome::Cancelled));
+        due.timed_out.iter().for_each(|attempt| self.forwarder.abort(attempt, Outcome::TimedOut));
+        due.cancelled.iter().for_each(|attempt| self.forwarder.abort(attempt, Outcome::Cancelled));
         due.replies.into_iter().for_each(|(client, request, reply)| client.reply(request, reply));
         due.health_checks.into_iter().for_each(|worker| self.forwarder.check_health(worker));
     }
@@ -120,7 +120,7 @@
         }
         if self.lifecycle.phase() == Phase::Closing {
             if elapsed >= self.last_replies {
-                self.clients.give_up_all();
+                self.clients.fail_all_requests();
             }
             let registry = &self.clients.registry;
             if registry.count() == 0 || elapsed >= self.last_replies + LAST_WRITES {
--- a/crates/gatekeeper/src/request_parser.rs
+++ b/crates/gatekeeper/src/request_parser.rs
@@ -1,38 +1,40 @@
-//! Reads a client's request out of its head. What the settings rule out is an error here and never reaches the decisions: it
-//! would be charged to a tenant who never asked for it.
+//! Parses client requests. Requests that the settings do not allow are rejected here, so that they are not charged to a
+//! tenant.
 
 use lynxstair::types::{OperationId, PlanId, Request, RequestId, Span, TenantId, Time};
 use lynxstair_net::http::{HttpError, RequestHead};
 use lynxstair_settings::{Names, OperationBounds, RequestBounds};
 
-/// Tenants are numbers below this.
+/// Tenant numbers are below this value.
 const MAX_TENANT: u64 = 1 << 33;
-/// The longest id of a request, in bytes.
+/// Maximum length of a request id, in bytes.
 const MAX_ID_LEN: usize = 128;
-/// The path at which the platform asks whether the gatekeeper serves.
+/// Path of the readiness check.
 const READINESS_PATH: &str = "/up";
 
-/// What a client asks for.
+/// A parsed client request.
 pub enum ClientRequest<'a> {
-    /// Whether the gatekeeper serves.
+    /// Readiness check.
     Readiness,
-    /// A request to be forwarded, with the id that its client gave it.
+    /// Request to forward, and the id that the client chose for it.
     Forward(Request, &'a str),
 }
 
-/// Reads requests, by what the settings allow.
+/// Parses requests according to the settings.
 pub struct RequestParser {
     names: Names,
     bounds: RequestBounds,
 }
 
 impl RequestParser {
-    /// A parser for these settings.
+    /// Creates a parser with the names and limits of the settings.
     pub fn new(names: Names, bounds: RequestBounds) -> Self {
         RequestParser { names, bounds }
     }
 
-    /// Reads a request that was received at `received_at`. Its id is for the dispatcher to give.
+    /// Parses a request that was received at `received_at`. The dispatcher assigns its `RequestId` later.
+    ///
+    /// Fails if the request is malformed or not allowed by the settings.
     pub fn parse<'a>(
         &self,
         head: &RequestHead<'a>,
@@ -58,7 +60,7 @@
         let tenant = parse_tenant(header("cookie")?)?;
         let time_limit = header("request-timeout-ms")?.ok_or(HttpError::new(400, "no time limit"))?;
         let time_limit: u32 = time_limit.parse().map_err(|_| HttpError::new(400, "bad time limit"))?;
-        // No client waits longer than its operation's integration timeout.
+        // Clients wait no longer than the integration time-out of the operation.
         let time_limit = Span::from_millis(u64::from(time_limit)).min(integration_timeout);
         let weight = parse_weight(header("x-weight")?.unwrap_or(""), &self.bounds)?;
         let request = Request {
@@ -79,11 +81,11 @@
 }
 
 fn check_method(method: &str, is_idempotent: bool) -> Result<(), HttpError> {
-    let fits = if is_idempotent { method == "GET" } else { matches!(method, "POST" | "PUT" | "PATCH") };
-    if fits { Ok(()) } else { Err(HttpError::new(405, "bad method")) }
+    let is_allowed = if is_idempotent { method == "GET" } else { matches!(method, "POST" | "PUT" | "PATCH") };
+    if is_allowed { Ok(()) } else { Err(HttpError::new(405, "bad method")) }
 }
 
-/// The tenant whose key is among the cookies.
+/// Parses the tenant from the cookie `key`, a hexadecimal number.
 fn parse_tenant(cookies: Option<&str>) -> Result<TenantId, HttpError> {
     let cookies = cookies.ok_or(HttpError::new(400, "no key"))?;
     let key = cookies.split(';').find_map(|cookie| cookie.trim().strip_prefix("key="));
@@ -93,12 +95,12 @@
     tenant.map(TenantId).ok_or(HttpError::new(400, "bad key"))
 }
 
-/// What a request says of its weight; not a number where it says nothing.
+/// Values of the header `X-Weight`; NaN if not given.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Weight {
-    /// The units that it takes.
+    /// Units of the quota that the request uses.
     units: f32,
-    /// At how many gatekeepers its tenant's requests arrive.
+    /// Number of gatekeepers that may receive the tenant's requests.
     spread: f32,
 }
 
@@ -109,7 +111,7 @@
         let Some((name, value)) = part.split_once('=') else { continue };
         let value = value.trim();
         let integer = || value.parse::<u32>().ok().filter(|_| !value.starts_with('+'));
-        let is_twice = match name.trim() {
+        let is_repeated = match name.trim() {
             "units" => {
                 let number = value.parse::<f32>().ok().filter(|n| *n > 0.0 && *n <= bounds.max_units);
                 units.replace(number.ok_or(BAD)?).is_some()
@@ -121,7 +123,7 @@
             "first" => first.replace(integer().filter(|n| *n < bounds.max_gatekeepers).ok_or(BAD)?).is_some(),
             _ => false,
         };
-        if is_twice {
+        if is_repeated {
             return Err(BAD);
         }
     }
--- a/crates/gatekeeper/src/request_parser/tests.rs
+++ b/crates/gatekeeper/src/request_parser/tests.rs
@@ -4,7 +4,7 @@
 use super::{Weight, parse_weight};
 
 #[test]
-fn weights() {
+fn parses_weight_header() {
     let bad = Err(HttpError::new(400, "bad weight"));
     let bounds = RequestBounds { max_gatekeepers: 3, max_units: 4.0, operations: vec![] };
     let cases = [
--- a/crates/gatekeeper/src/worker_connection.rs
+++ b/crates/gatekeeper/src/worker_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a worker, and the job that it carries: an attempt of a request, or a health check.
+//! A connection to a worker and its current job: an attempt or a health check.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,24 +12,24 @@
 
 use crate::client_connection::ClientConnection;
 
-/// The name that workers know the service by.
-const SERVICE: &str = "origin.svc";
+/// `Host` header of health checks.
+const HOST: &str = "origin.svc";
 
-/// An attempt of a client's request.
+/// An attempt of a client request.
 pub type ClientAssignment = Assignment<Arc<ClientConnection>>;
 
-/// What a connection is used for at the moment.
+/// Current use of a connection.
 pub enum Job {
-    /// An attempt.
+    /// Attempt of a request.
     Attempt {
-        /// Which one.
+        /// The attempt.
         assignment: ClientAssignment,
-        /// When it began.
+        /// Start time.
         sent_at: Time,
     },
-    /// A health check.
+    /// Health check.
     HealthCheck {
-        /// When it began.
+        /// Start time.
         sent_at: Time,
     },
 }
@@ -37,27 +37,27 @@
 struct State {
     is_connected: bool,
     job: Option<Job>,
-    /// The message of the job is in the buffer or beyond.
+    /// `true` once the message of the job has been written to the buffer.
     is_written: bool,
     idle_since: Time,
 }
 
-/// One connection to a worker.
+/// A connection to a worker.
 pub struct WorkerConnection {
-    /// The worker.
+    /// Identifier of the worker.
     pub worker: WorkerId,
-    /// Its socket.
+    /// Socket and buffers.
     pub connection: Connection,
     state: Mutex<State>,
 }
 
-/// The key of an assignment's attempt.
+/// Key of an attempt.
 pub fn attempt_key(assignment: &ClientAssignment) -> AttemptKey {
     (assignment.request_id, assignment.attempt)
 }
 
 impl WorkerConnection {
-    /// A connection that is being opened, for a job.
+    /// Creates a connection that is being established for `job`.
     pub fn new(now: Time, worker: WorkerId, connection: Connection, job: Job) -> Self {
         let state = State { is_connected: false, job: Some(job), is_written: false, idle_since: now };
         WorkerConnection { worker, connection, state: Mutex::new(state) }
@@ -67,49 +67,49 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// It is connected.
+    /// Marks the connection as established.
     pub fn set_connected(&self) {
         self.state().is_connected = true;
     }
 
-    /// Whether it is connected.
+    /// Returns `true` if the connection is established.
     pub fn is_connected(&self) -> bool {
         self.state().is_connected
     }
 
-    /// Since when it has had no job.
+    /// Start of the current idle time.
     pub fn idle_since(&self) -> Time {
         self.state().idle_since
     }
 
-    /// It has no job from now on.
+    /// Starts the idle time.
     pub fn set_idle(&self, now: Time) {
         self.state().idle_since = now;
     }
 
-    /// Gives an idle connection a job.
+    /// Assigns a job to an idle connection.
     pub fn assign(&self, job: Job) {
         let mut state = self.state();
         state.job = Some(job);
         state.is_written = false;
     }
 
-    /// Takes its job away.
+    /// Removes and returns the job.
     pub fn take_job(&self) -> Option<Job> {
         self.state().job.take()
     }
 
-    /// Whether it has a job.
+    /// Returns `true` if the connection has a job.
     pub fn has_job(&self) -> bool {
         self.state().job.is_some()
     }
 
-    /// Whether it carries this attempt.
+    /// Returns `true` if the job is the attempt `key`.
     pub fn carries(&self, key: AttemptKey) -> bool {
         matches!(&self.state().job, Some(Job::Attempt { assignment, .. }) if attempt_key(assignment) == key)
     }
 
-    /// When the health check that it carries was sent.
+    /// Start time of the current health check; `None` if the job is not a health check.
     pub fn health_check_sent_at(&self) -> Option<Time> {
         match self.state().job {
             Some(Job::HealthCheck { sent_at }) => Some(sent_at),
@@ -117,28 +117,27 @@
         }
     }
 
-    /// Whether the kernel was handed all of the job's message: else the worker never saw a complete one.
+    /// Returns `true` if the kernel has taken the whole message of the job. Otherwise the worker cannot have received it.
     pub fn is_sent(&self) -> bool {
         self.state().is_written && self.connection.unsent() == 0
     }
 
-    /// Writes the message of the job in one piece.
+    /// Writes the whole message of the job. Fails if the connection fails or the client's request is no longer open.
     pub fn send(&self, now: Time) -> io::Result<()> {
         let mut state = self.state();
         state.is_written = true;
         match &state.job {
             Some(Job::Attempt { assignment, .. }) => {
-                let left_ms = (assignment.deadline - now).nanos() / 1_000_000;
+                let remaining_ms = (assignment.deadline - now).nanos() / 1_000_000;
                 let write = |head: &RequestHead, body: &[u8]| {
-                    self.connection.write(|out| write_attempt(out, head, body, left_ms))
+                    self.connection.write(|out| write_attempt(out, head, body, remaining_ms))
                 };
-                // Where the request is answered already, there is nothing to send.
+                // `None` if the request has been answered already.
                 let written = assignment.context.with_message(assignment.request_id, write);
                 written.unwrap_or(Err(io::ErrorKind::NotFound.into()))
             }
             Some(Job::HealthCheck { .. }) => {
-                let write =
-                    |out: &mut RingBuffer| write!(out, "GET /alive HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n");
+                let write = |out: &mut RingBuffer| write!(out, "GET /alive HTTP/1.1\r\nHost: {HOST}\r\n\r\n");
                 self.connection.write(write)
             }
             None => Ok(()),
@@ -146,9 +145,9 @@
     }
 }
 
-/// Writes the client's message as the worker gets it: unchanged but for the time left and what belongs to one connection.
-fn write_attempt(out: &mut RingBuffer, head: &RequestHead, body: &[u8], left_ms: u64) -> io::Result<()> {
-    write!(out, "{} {} HTTP/1.1\r\nRequest-Timeout-Ms: {left_ms}\r\n", head.method, head.target)?;
+/// Writes the client's message for the worker, with the remaining time and without hop-by-hop headers.
+fn write_attempt(out: &mut RingBuffer, head: &RequestHead, body: &[u8], remaining_ms: u64) -> io::Result<()> {
+    write!(out, "{} {} HTTP/1.1\r\nRequest-Timeout-Ms: {remaining_ms}\r\n", head.method, head.target)?;
     if !body.is_empty() || head.method != "GET" {
         write!(out, "Content-Length: {}\r\n", body.len())?;
     }
--- a/crates/gatekeeper/src/worker_pool.rs
+++ b/crates/gatekeeper/src/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to all workers: idle ones by worker, and those that are given up if they take too long.
+//! Pool of connections to workers, with the time-outs of connecting and of health checks.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,37 +12,37 @@
 
 use crate::worker_connection::{Job, WorkerConnection};
 
-/// An idle connection is closed here after this fraction of the time that workers keep it open.
-const IDLE_PART: f64 = 0.7;
+/// Fraction of the workers' idle time-out after which this side closes an idle connection.
+const MAX_IDLE_FRACTION: f64 = 0.7;
 
-/// A worker.
+/// A worker's address and idle connections.
 struct Endpoint {
     address: SocketAddr,
     is_draining: bool,
-    /// Connections without a job, the one used last at the end.
+    /// Connections without a job, in the order of their last use.
     idle: Vec<Arc<WorkerConnection>>,
 }
 
 #[derive(Default)]
 struct Connections {
     endpoints: BTreeMap<WorkerId, Endpoint>,
-    /// How many are open, to all workers.
+    /// Number of open connections to all workers.
     open: usize,
-    /// Connections being opened and health checks in flight, in the order in which their time is up.
-    watched: VecDeque<(Time, Arc<WorkerConnection>)>,
+    /// Connections being established and health checks in flight, in the order of their time-outs.
+    pending_timeouts: VecDeque<(Time, Arc<WorkerConnection>)>,
 }
 
-/// A connection for a job.
-pub enum Found {
-    /// An idle one.
+/// Result of a request for a connection.
+pub enum PoolConnection {
+    /// An idle connection.
     Idle(Arc<WorkerConnection>),
-    /// One that is being opened; it has to be run.
+    /// A connection that is being established; the caller must run it.
     New(Arc<WorkerConnection>),
-    /// None can be had.
+    /// No connection is available.
     None,
 }
 
-/// The connections to all workers.
+/// Connections to all workers.
 pub struct WorkerPool {
     connections: Mutex<Connections>,
     timeouts: Timeouts,
@@ -50,7 +50,7 @@
 }
 
 impl WorkerPool {
-    /// A pool without workers. `max_open`: how many connections there may be.
+    /// Creates a pool without workers, for at most `max_open` connections.
     pub fn new(timeouts: Timeouts, max_open: usize) -> Self {
         WorkerPool { connections: Mutex::new(Connections::default()), timeouts, max_open }
     }
@@ -61,7 +61,7 @@
 
     // ---- workers ----
 
-    /// A worker as the list has it now.
+    /// Adds or updates a worker. A changed address closes its idle connections.
     pub fn update_worker(&self, id: WorkerId, address: SocketAddr, is_draining: bool) {
         let mut connections = self.connections();
         let new = Endpoint { address, is_draining, idle: Vec::new() };
@@ -73,49 +73,49 @@
         }
     }
 
-    /// A worker is no longer listed.
+    /// Removes a worker and closes its idle connections.
     pub fn remove_worker(&self, id: WorkerId) {
         if let Some(endpoint) = self.connections().endpoints.remove(&id) {
             endpoint.idle.iter().for_each(|idle| idle.connection.close());
         }
     }
 
-    /// Whether something new may go to a worker.
+    /// Returns `true` if the worker is listed and not draining.
     pub fn accepts_jobs(&self, worker: WorkerId) -> bool {
         self.connections().endpoints.get(&worker).is_some_and(|endpoint| !endpoint.is_draining)
     }
 
     // ---- connections ----
 
-    /// Gives a job to the connection to a worker that was used last and is still good, or else to a new one.
-    pub fn assign(&self, now: Time, worker: WorkerId, job: Job) -> Found {
+    /// Assigns a job to the most recently used idle connection to a worker, or to a new connection if none can be used.
+    pub fn assign(&self, now: Time, worker: WorkerId, job: Job) -> PoolConnection {
         let mut connections = self.connections();
-        let Some(endpoint) = connections.endpoints.get_mut(&worker) else { return Found::None };
+        let Some(endpoint) = connections.endpoints.get_mut(&worker) else { return PoolConnection::None };
         let address = endpoint.address;
         while let Some(idle) = endpoint.idle.pop() {
             if !idle.connection.is_stale() {
                 idle.assign(job);
-                return Found::Idle(idle);
+                return PoolConnection::Idle(idle);
             }
             idle.connection.close();
         }
-        if connections.open >= self.max_open && !connections.close_oldest_idle() {
+        if connections.open >= self.max_open && !connections.close_longest_idle() {
             log_limited!("all {} connections to workers are in use", self.max_open);
-            return Found::None;
+            return PoolConnection::None;
         }
         match Connection::open(address, MAX_MESSAGE_BYTES) {
             Ok(connection) => {
                 connections.open += 1;
-                Found::New(Arc::new(WorkerConnection::new(now, worker, connection, job)))
+                PoolConnection::New(Arc::new(WorkerConnection::new(now, worker, connection, job)))
             }
             Err(e) => {
-                log_limited!("no connection to a worker: {e}");
-                Found::None
+                log_limited!("cannot connect to a worker: {e}");
+                PoolConnection::None
             }
         }
     }
 
-    /// A connection has no job: it goes into the pool, or ends.
+    /// Returns a connection without a job to the pool, or closes it if its worker is draining or removed.
     pub fn release(&self, now: Time, released: &Arc<WorkerConnection>) {
         released.set_idle(now);
         match self.connections().endpoints.get_mut(&released.worker) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn on_ended(&self, ended: &Arc<WorkerConnection>) {
         let mut connections = self.connections();
         connections.open -= 1;
@@ -133,9 +133,9 @@
         }
     }
 
-    /// Closes what has been idle for long: the worker would do so soon, and what crosses that is lost.
+    /// Closes idle connections before the worker does. A job sent while the worker closes the connection would be lost.
     pub fn close_idle(&self, now: Time) {
-        let max_idle = self.timeouts.idle.times(IDLE_PART);
+        let max_idle = self.timeouts.idle.times(MAX_IDLE_FRACTION);
         for endpoint in self.connections().endpoints.values_mut() {
             endpoint.idle.retain(|idle| {
                 let keep = now - idle.idle_since() < max_idle;
@@ -149,26 +149,28 @@
 
     // ---- time-outs ----
 
-    /// Has a connection that is being opened, or that carries a health check, given up in time. Returns when.
-    pub fn watch(&self, now: Time, watched: &Arc<WorkerConnection>) -> Time {
+    /// Starts the time-out of a connection that is being established or carries a health check. Returns its end.
+    pub fn start_timeout(&self, now: Time, connection: &Arc<WorkerConnection>) -> Time {
         let until = now + self.timeouts.connect;
-        self.connections().watched.push_back((until, watched.clone()));
+        self.connections().pending_timeouts.push_back((until, connection.clone()));
         until
     }
 
-    /// When the first one that is watched is due.
+    /// End of the first pending time-out; the maximum time if there is none.
     pub fn next_due(&self) -> Time {
-        self.connections().watched.front().map_or(Time::from_nanos(u64::MAX), |(until, _)| *until)
+        self.connections().pending_timeouts.front().map_or(Time::from_nanos(u64::MAX), |(until, _)| *until)
     }
 
-    /// The next one that took too long; none of those that were in time.
+    /// Removes ended time-outs until one has really expired, and returns its connection.
     pub fn pop_timed_out(&self, now: Time) -> Option<Arc<WorkerConnection>> {
         let mut connections = self.connections();
-        while let Some((_, watched)) = connections.watched.pop_front_if(|(until, _)| *until <= now) {
-            let sent_at = watched.health_check_sent_at();
+        while let Some((_, connection)) =
+            connections.pending_timeouts.pop_front_if(|(until, _)| *until <= now)
+        {
+            let sent_at = connection.health_check_sent_at();
             let is_late_check = sent_at.is_some_and(|sent_at| sent_at + self.timeouts.connect <= now);
-            if !watched.is_connected() || is_late_check {
-                return Some(watched);
+            if !connection.is_connected() || is_late_check {
+                return Some(connection);
             }
         }
         None
@@ -176,8 +178,8 @@
 }
 
 impl Connections {
-    /// Closes the connection that has been idle for the longest, to any worker; false where there is none.
-    fn close_oldest_idle(&mut self) -> bool {
+    /// Closes the connection that has been idle for the longest time. Returns `false` if none is idle.
+    fn close_longest_idle(&mut self) -> bool {
         let idle = self.endpoints.values_mut().filter(|endpoint| !endpoint.idle.is_empty());
         let Some(oldest) = idle.min_by_key(|endpoint| endpoint.idle[0].idle_since()) else { return false };
         oldest.idle.remove(0).connection.close();
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -171,14 +171,12 @@
     head: usize,
     framing: Framing,
     keep_alive: bool,
-    max_body_bytes: usize,
+    max_body: usize,
 ) -> Result<Option<Extent>, HttpError> {
     let (body, encoded_len) = match framing {
-        Framing::Length(length) if length > max_body_bytes => {
-            return Err(HttpError::new(413, "body too large"));
-        }
+        Framing::Length(length) if length > max_body => return Err(HttpError::new(413, "body too large")),
         Framing::Length(length) => (length, length),
-        Framing::Chunked | Framing::UntilEnd => match chunked::decode(&mut bytes[head..], max_body_bytes)? {
+        Framing::Chunked | Framing::UntilEnd => match chunked::decode(&mut bytes[head..], max_body)? {
             Some(decoded) => (decoded.body, decoded.encoded_len),
             None => return Ok(None),
         },
