--- a/crates/gatekeeper/src/client_connection.rs
+++ b/crates/gatekeeper/src/client_connection.rs
@@ -1,6 +1,7 @@
 //! A client connection, which serves one request at a time.
 //!
-//! The message of a request stays in the inbound buffer until the final reply, as every attempt is written from it.
+//! The message of a request stays in the inbound buffer until the final reply, as every attempt is written
+//! from it.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -24,8 +25,8 @@
 /// Limits on the time and on the bytes for which further input is discarded after the last reply.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
 const MAX_DISCARDED: usize = MAX_MESSAGE_BYTES;
-/// Number of consecutive invalid messages after which the connection is closed. A client that sends them at full speed
-/// would take the CPU from the others.
+/// Number of consecutive invalid messages after which the connection is closed. A client that sends them at
+/// full speed would take the CPU from the others.
 const MAX_BAD_MESSAGES: u32 = 16;
 
 /// State that is shared by all client connections.
@@ -133,7 +134,8 @@
         self.connection.inbound().is_empty() && self.connection.unsent() == 0
     }
 
-    /// Time since the start of the stage if the connection may be closed to make room for another; otherwise `None`.
+    /// Time since the start of the stage if the connection may be closed to make room for another; otherwise
+    /// `None`.
     pub fn idle_time(&self, now: Time) -> Option<Span> {
         let state = self.state();
         let is_evictable = match state.stage {
@@ -156,7 +158,8 @@
 
     /// Takes the next message from the buffer, and answers it unless it must be forwarded.
     ///
-    /// `received_at` returns the earliest time at which a message that is read at a given time may have been received.
+    /// `received_at` returns the earliest time at which a message that is read at a given time may have been
+    /// received.
     pub fn next_message(&self, received_at: impl FnOnce(Time) -> Time) -> NextMessage {
         let mut state = self.state();
         let mut inbound = self.connection.inbound();
@@ -285,7 +288,8 @@
         self.finish(request, |out, keep_alive| http::write_response(out, status, &header, body, keep_alive));
     }
 
-    /// Writes the final reply to a request, unless the request is no longer open. The connection can then take the next one.
+    /// Writes the final reply to a request, unless the request is no longer open. The connection can then
+    /// take the next one.
     ///
     /// The second argument of `write` is `true` if the connection is kept alive.
     pub fn finish(&self, request: RequestId, write: impl FnOnce(&mut RingBuffer, bool) -> io::Result<()>) {
@@ -343,7 +347,8 @@
         self.connection.close();
     }
 
-    /// Closes the connection if it has made no progress for too long. `idle_timeout` applies between messages.
+    /// Closes the connection if it has made no progress for too long. `idle_timeout` applies between
+    /// messages.
     pub fn expire(&self, now: Time, idle_timeout: Span) {
         let mut state = self.state();
         if !is_expired(&state, self.connection.unsent() > 0, self.opened_at, idle_timeout, now) {
@@ -365,8 +370,9 @@
 
 /// Returns `true` if a connection has made no progress for too long.
 ///
-/// The time of an incomplete message starts with its first byte, even after a long idle time, as closing the connection
-/// would lose the request. Before the first request, the time since the connection was opened counts too.
+/// The time of an incomplete message starts with its first byte, even after a long idle time, as closing the
+/// connection would lose the request. Before the first request, the time since the connection was opened
+/// counts too.
 fn is_expired(state: &State, has_unsent: bool, opened_at: Time, idle_timeout: Span, now: Time) -> bool {
     let waited = now - state.since;
     let is_late_first = !state.has_sent_request && now - opened_at > FIRST_REQUEST_TIMEOUT;
--- a/crates/gatekeeper/src/client_handler.rs
+++ b/crates/gatekeeper/src/client_handler.rs
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Serves the connections that the kernel has accepted already, then closes the listener and the idle connections.
+    /// Serves the connections that the kernel has accepted already, then closes the listener and the idle
+    /// connections.
     pub fn stop_listening(self: &Arc<Self>) {
         self.listener.stop(|stream| self.admit(stream));
         let all = self.registry.all();
--- a/crates/gatekeeper/src/client_listener.rs
+++ b/crates/gatekeeper/src/client_listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, as many as there is room for.
+//! Accepts client connections up to a limit.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,32 +12,34 @@
 
 use crate::client_registry::ClientRegistry;
 
-/// The listener for clients.
+/// Listener for client connections.
 pub struct ClientListener {
     listener: CoIo<TcpListener>,
     registry: Arc<ClientRegistry>,
-    /// No more are accepted: the listener is to be closed.
+    /// `true` once the listener is being closed.
     is_closing: AtomicBool,
-    /// Connections wait to be accepted until there is room.
-    is_full: AtomicBool,
+    /// `true` while accepting is paused because no further connection can be opened.
+    is_paused: AtomicBool,
 }
 
 impl ClientListener {
-    /// Binds the address.
+    /// Binds a listener to `address`.
     pub fn bind(address: SocketAddr, registry: Arc<ClientRegistry>) -> Result<Self, ListenError> {
         Ok(ClientListener {
             listener: server::listen(address)?,
             registry,
             is_closing: AtomicBool::new(false),
-            is_full: AtomicBool::new(false),
+            is_paused: AtomicBool::new(false),
         })
     }
 
-    /// Accepts until it is told to stop, and hands each connection to `admit`.
+    /// Accepts connections until `stop` is called, and passes each to `admit`.
+    ///
+    /// At the limit, the connection that has been idle for the longest time is closed first.
     pub fn accept(&self, clock: &Clock, admit: impl Fn(TcpStream)) {
         while !self.is_closing.load(Ordering::Relaxed) {
-            if !self.registry.has_room() && !self.registry.close_idlest(clock.now()) {
-                self.wait_for_room();
+            if !self.registry.has_capacity() && !self.registry.close_longest_idle(clock.now()) {
+                self.wait_for_capacity();
                 continue;
             }
             match self.listener.inner().accept() {
@@ -47,35 +49,35 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    log_limited!("accepting: {e}");
-                    self.registry.close_idlest(clock.now());
-                    self.wait_for_room();
+                    log_limited!("cannot accept a connection: {e}");
+                    self.registry.close_longest_idle(clock.now());
+                    self.wait_for_capacity();
                 }
             }
         }
     }
 
-    /// Those that wait outside are let in as soon as a connection ends.
-    fn wait_for_room(&self) {
-        self.is_full.store(true, Ordering::Relaxed);
+    /// Pauses until a connection ends or the listener has an event.
+    fn wait_for_capacity(&self) {
+        self.is_paused.store(true, Ordering::Relaxed);
         self.listener.wait_io();
     }
 
-    /// There may be room again.
+    /// Resumes accepting if it is paused.
     pub fn resume(&self) {
-        if self.is_full.swap(false, Ordering::Relaxed) {
+        if self.is_paused.swap(false, Ordering::Relaxed) {
             self.listener.waker().wakeup();
         }
     }
 
-    /// Admits what the kernel has accepted already, and stops listening.
+    /// Passes the connections that the kernel has accepted already to `admit`, and stops listening.
     pub fn stop(&self, admit: impl Fn(TcpStream)) {
         self.is_closing.store(true, Ordering::Relaxed);
         while let Ok((stream, _)) = self.listener.inner().accept() {
             admit(stream);
         }
         if let Err(e) = socket2::SockRef::from(self.listener.inner()).shutdown(std::net::Shutdown::Both) {
-            log_limited!("closing the listener: {e}");
+            log_limited!("cannot close the listener: {e}");
         }
         self.listener.waker().wakeup();
     }
--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: a JSON file named by the environment. Keys that are not known are ignored.
+//! Configuration of the gatekeeper: a JSON file named by an environment variable. Unknown keys are ignored.
 
 use std::env::VarError;
 use std::fmt;
@@ -12,7 +12,7 @@
 
 use crate::discovery::ListMessage;
 
-/// The environment variable that names the file.
+/// Environment variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "RELAY_CONFIG";
 
 #[derive(Deserialize)]
@@ -20,7 +20,7 @@
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
-    /// Absent where there is no counter.
+    /// Absent if there is no counter.
     #[serde(default)]
     counter: Option<SocketAddr>,
     seed: String,
@@ -31,13 +31,13 @@
     settings: Box<RawValue>,
 }
 
-/// What the process may take up.
+/// Resource limits of the process.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// Descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory, in MiB.
+    /// Maximum memory, in MiB.
     pub memory_mb: u64,
 }
 
@@ -47,40 +47,40 @@
     }
 }
 
-/// A configuration that can be used.
+/// A validated configuration.
 pub struct Config {
-    /// The gatekeeper's name.
+    /// Name of the gatekeeper.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where the list of workers is.
+    /// Address of discovery, which sends the list of workers.
     pub discovery: SocketAddr,
-    /// Where the shared counter is, if there is one.
+    /// Address of the shared counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Of the decisions' draws.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// What the process may take up.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// The list of workers as it was last held.
+    /// Last known list of workers, which may be stale.
     pub known: ListMessage,
-    /// What the decisions and the connections go by.
+    /// Settings of the decision module and of connections.
     pub settings: GatekeeperSettings,
 }
 
-/// Why a configuration can't be used. Trying again helps once the file is another one.
+/// Error in the configuration. It is permanent until the file changes.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The environment variable is not set.
     NoFile(VarError),
-    /// The file can't be read.
+    /// The file cannot be read.
     Read(io::Error),
-    /// The file is no configuration.
+    /// The file is not valid JSON, or a value is missing or has the wrong type.
     Parse(serde_json::Error),
-    /// Its settings can't be read.
+    /// The settings are invalid.
     Settings(SettingsError),
-    /// Its settings name no operation or no plan.
-    NothingToServe,
-    /// Its seed is no hexadecimal number.
+    /// The settings contain no operation or no plan.
+    NoOperationOrPlan,
+    /// The seed is not a hexadecimal number.
     Seed(ParseIntError),
 }
 
@@ -91,7 +91,7 @@
             ConfigError::Read(source) => write!(f, "{FILE_VARIABLE}: {source}"),
             ConfigError::Parse(source) => write!(f, "configuration: {source}"),
             ConfigError::Settings(source) => source.fmt(f),
-            ConfigError::NothingToServe => {
+            ConfigError::NoOperationOrPlan => {
                 f.write_str("configuration: the settings name no operation or no plan")
             }
             ConfigError::Seed(source) => write!(f, "configuration: seed: {source}"),
@@ -107,12 +107,12 @@
             ConfigError::Parse(source) => Some(source),
             ConfigError::Settings(source) => Some(source),
             ConfigError::Seed(source) => Some(source),
-            ConfigError::NothingToServe => None,
+            ConfigError::NoOperationOrPlan => None,
         }
     }
 }
 
-/// Reads the file that the environment names.
+/// Reads and validates the configuration file.
 pub fn read() -> Result<Config, ConfigError> {
     let path = std::env::var(FILE_VARIABLE).map_err(ConfigError::NoFile)?;
     let text = std::fs::read(&path).map_err(ConfigError::Read)?;
@@ -123,7 +123,7 @@
     let file: File = serde_json::from_slice(text).map_err(ConfigError::Parse)?;
     let settings = lynxstair_settings::read(file.settings.get().as_bytes()).map_err(ConfigError::Settings)?;
     if settings.names.operations.is_empty() || settings.names.plans.is_empty() {
-        return Err(ConfigError::NothingToServe);
+        return Err(ConfigError::NoOperationOrPlan);
     }
     let seed = u64::from_str_radix(&file.seed, 16).map_err(ConfigError::Seed)?;
     Ok(Config {
--- a/crates/gatekeeper/src/config/tests.rs
+++ b/crates/gatekeeper/src/config/tests.rs
@@ -1,19 +1,19 @@
 use super::parse;
 
-const GOOD: &str = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","more":{},
+const VALID: &str = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","more":{},
     "known":{"revision":4,"complete":true,"members":[]},
     "settings":{"classes":[{"name":"a"}],"packages":[{"name":"p"}],"else":1}}"#;
 
 #[test]
-fn good_and_bad_files() {
+fn parses_valid_and_rejects_invalid_files() {
     let cases = [
-        (GOOD.to_string(), None),
-        (GOOD.replace("\"n0\"", "4"), Some("configuration: invalid type")),
-        (GOOD.replace("127.0.0.1:1", "nowhere"), Some("configuration: invalid socket address")),
-        (GOOD.replace("8c1f", "none"), Some("configuration: seed")),
-        (GOOD.replace("\"a\"", "[]"), Some("settings: ")),
-        (GOOD.replace("\"packages\"", "\"other\""), Some("configuration: the settings name no")),
-        (GOOD[..40].to_string(), Some("configuration: EOF")),
+        (VALID.to_string(), None),
+        (VALID.replace("\"n0\"", "4"), Some("configuration: invalid type")),
+        (VALID.replace("127.0.0.1:1", "nowhere"), Some("configuration: invalid socket address")),
+        (VALID.replace("8c1f", "none"), Some("configuration: seed")),
+        (VALID.replace("\"a\"", "[]"), Some("settings: ")),
+        (VALID.replace("\"packages\"", "\"other\""), Some("configuration: the settings name no")),
+        (VALID[..40].to_string(), Some("configuration: EOF")),
         (String::new(), Some("configuration: EOF")),
     ];
     for (text, wanted) in cases {
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -1,5 +1,6 @@
-//! The client of the shared counter: calls go out one after another on one connection, replies come in their order. Nothing
-//! waits for them. Where the counter moves to another address, the old connection stays for the replies that it owes.
+//! Client of the shared counter. Calls are pipelined on one connection, and replies are passed to a callback.
+//!
+//! After a change of the counter's address, the previous connection stays open for its outstanding replies.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -15,52 +16,55 @@
 use lynxstair_net::log_limited;
 use lynxstair_net::ring_buffer::RingBuffer;
 
-/// A call that takes this many times the counter's time limit gets no reply any more. A late total is no failure.
-const GIVE_UP_FACTOR: f64 = 20.0;
-/// The counter closes idle connections after ten seconds or less; this side does so well before.
+/// Multiple of the counter's time-out after which a missing reply closes the connection. Late totals are
+/// still reported.
+const REPLY_TIMEOUT_FACTOR: f64 = 20.0;
+/// Idle time-out of a connection. Shorter than that of the counter, which is at most ten seconds.
 const IDLE_TIMEOUT: Span = Span::from_millis(4_000);
-/// The longest body of a reply, in bytes: a total is a number.
-const MAX_TOTAL_LEN: usize = 64;
+/// Maximum length of the body of a reply, which is a number, in bytes.
+const MAX_REPLY_BODY_BYTES: usize = 64;
 
-/// Is told how a call ended: its key, the outcome, and the total that came back; not a number where that can't be read.
+/// Callback for the end of a call, with its key, its outcome and the returned total, which is NaN if it is
+/// unreadable.
 pub type ReplyHandler = Box<dyn Fn(Time, CounterKey, Outcome, f32) + Send + Sync>;
 
-/// A call that has no reply yet.
+/// A call without a reply yet.
 struct Call {
     key: CounterKey,
     sent_at: Time,
-    /// The length of its message, in bytes.
+    /// Length of the call's message, in bytes.
     length: usize,
 }
 
-/// A connection with the calls that wait for their replies, in their order.
+/// A connection and its calls without a reply, in the order sent.
 struct CounterConnection {
     connection: Connection,
-    waiting: Mutex<VecDeque<Call>>,
+    pending: Mutex<VecDeque<Call>>,
 }
 
 struct State {
     address: Option<SocketAddr>,
     current: Option<Arc<CounterConnection>>,
-    /// Connections to addresses that the counter had before.
-    old: Vec<Arc<CounterConnection>>,
-    used_at: Time,
+    /// Connections to previous addresses of the counter.
+    previous: Vec<Arc<CounterConnection>>,
+    last_used_at: Time,
 }
 
-/// The client of the shared counter.
+/// Client of the shared counter.
 pub struct CounterClient {
     clock: Clock,
-    give_up_after: Span,
+    reply_timeout: Span,
     on_reply: ReplyHandler,
     state: Mutex<State>,
 }
 
 impl CounterClient {
-    /// `address`: None where there is no counter. `timeout`: how long a call may take.
+    /// Creates a client. `address` is `None` if there is no counter. `timeout` is the time after which a
+    /// reply is late.
     pub fn new(clock: Clock, address: Option<SocketAddr>, timeout: Span, on_reply: ReplyHandler) -> Self {
-        let state = State { address, current: None, old: Vec::new(), used_at: Time::default() };
-        let give_up_after = timeout.times(GIVE_UP_FACTOR);
-        CounterClient { clock, give_up_after, on_reply, state: Mutex::new(state) }
+        let state = State { address, current: None, previous: Vec::new(), last_used_at: Time::default() };
+        let reply_timeout = timeout.times(REPLY_TIMEOUT_FACTOR);
+        CounterClient { clock, reply_timeout, on_reply, state: Mutex::new(state) }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -71,17 +75,17 @@
         (self.on_reply)(self.clock.now(), key, outcome, total);
     }
 
-    /// The counter is at this address from now on.
-    pub fn move_to(&self, address: Option<SocketAddr>) {
+    /// Changes the address of the counter.
+    pub fn set_address(&self, address: Option<SocketAddr>) {
         let mut state = self.state();
         if state.address != address {
             state.address = address;
-            let old = state.current.take();
-            state.old.extend(old);
+            let previous = state.current.take();
+            state.previous.extend(previous);
         }
     }
 
-    /// Sends calls, in one piece.
+    /// Sends calls with a single write. Failures are reported to the callback.
     pub fn add(self: &Arc<Self>, adds: &[CounterAdd]) {
         if adds.is_empty() {
             return;
@@ -97,7 +101,7 @@
                 let before = out.len();
                 write_call(out, add)?;
                 let length = out.len() - before;
-                counter.waiting().push_back(Call { key: add.key, sent_at: now, length });
+                counter.pending().push_back(Call { key: add.key, sent_at: now, length });
                 written += 1;
             }
             Ok(())
@@ -105,27 +109,27 @@
         if result.is_err() {
             counter.connection.close();
         }
-        // What did not fit into the buffer was not sent.
+        // Calls that did not fit into the buffer were not sent.
         for add in adds.iter().skip(written) {
             self.report(add.key, Outcome::ConnectFailed, 0.0);
         }
     }
 
-    /// The connection; a new one where there is none.
+    /// Returns the current connection, or opens one if there is none.
     fn connect(self: &Arc<Self>, now: Time) -> Option<Arc<CounterConnection>> {
         let mut state = self.state();
-        state.used_at = now;
+        state.last_used_at = now;
         if let Some(current) = state.current.as_ref().filter(|c| !c.connection.is_closed()) {
             return Some(current.clone());
         }
         let connection = match Connection::open(state.address?, MAX_MESSAGE_BYTES) {
             Ok(connection) => connection,
             Err(e) => {
-                log_limited!("no connection to the counter: {e}");
+                log_limited!("cannot connect to the counter: {e}");
                 return None;
             }
         };
-        let counter = Arc::new(CounterConnection { connection, waiting: Mutex::default() });
+        let counter = Arc::new(CounterConnection { connection, pending: Mutex::default() });
         state.current = Some(counter.clone());
         drop(state);
         let (client, running) = (self.clone(), counter.clone());
@@ -134,20 +138,20 @@
         Some(counter)
     }
 
-    /// Ends a connection on which a reply has been missing for too long, or that is idle.
+    /// Closes connections that are idle or on which a reply has been missing for too long.
     pub fn tick(&self, now: Time) {
         let state = self.state();
         let current = state.current.iter().map(|counter| (counter, IDLE_TIMEOUT));
-        // An old one is done with its last reply.
-        let old = state.old.iter().map(|counter| (counter, Span::ZERO));
-        for (counter, idle_timeout) in current.chain(old) {
-            let first = counter.waiting().front().map(|call| call.sent_at);
+        // Previous connections are closed after their last reply.
+        let previous = state.previous.iter().map(|counter| (counter, Span::ZERO));
+        for (counter, idle_timeout) in current.chain(previous) {
+            let first = counter.pending().front().map(|call| call.sent_at);
             match first {
-                Some(sent_at) if now - sent_at > self.give_up_after => {
-                    log_limited!("the counter is silent");
+                Some(sent_at) if now - sent_at > self.reply_timeout => {
+                    log_limited!("no reply from the counter in time");
                     counter.connection.close();
                 }
-                None if now - state.used_at > idle_timeout => counter.connection.close(),
+                None if now - state.last_used_at > idle_timeout => counter.connection.close(),
                 _ => {}
             }
         }
@@ -160,7 +164,7 @@
         while counter.connection.read() == ReadOutcome::Bytes && self.handle_replies(counter) {}
     }
 
-    /// Handles the replies that are complete; whether the connection is still good.
+    /// Handles the complete replies. Returns `false` if the connection must be closed.
     fn handle_replies(&self, counter: &CounterConnection) -> bool {
         loop {
             let mut inbound = counter.connection.inbound();
@@ -168,7 +172,7 @@
                 return true;
             }
             let bytes = inbound.bytes();
-            let extent = match http::response_extent(bytes, StreamState::Open, MAX_TOTAL_LEN) {
+            let extent = match http::response_extent(bytes, StreamState::Open, MAX_REPLY_BODY_BYTES) {
                 Ok(Some(extent)) => extent,
                 Ok(None) => return true,
                 Err(_) => {
@@ -179,11 +183,11 @@
             };
             let Ok(Some((head, _))) = http::parse_response_head(&bytes[..extent.head]) else { return false };
             let body = std::str::from_utf8(&bytes[extent.body.clone()]).unwrap_or("");
-            let (outcome, total) = read_reply(head.status, body);
+            let (outcome, total) = parse_reply(head.status, body);
             inbound.consume(extent.total);
             drop(inbound);
-            // Nothing more comes where a reply was garbled: what waits behind it would wait for its time limit, and be taken
-            // for a counter that is asked too much.
+            // After an unreadable reply, the pending calls would time out, which would look like an
+            // overloaded counter. Closing the connection ends them at once.
             let is_completed = self.complete_first(counter, outcome, total);
             if !is_completed || total.is_nan() || !extent.keep_alive {
                 return false;
@@ -191,26 +195,27 @@
         }
     }
 
-    /// The first call has its reply; false where there is none.
+    /// Completes the oldest pending call; returns `false` if there is none.
     fn complete_first(&self, counter: &CounterConnection, outcome: Outcome, total: f32) -> bool {
-        let Some(call) = counter.waiting().pop_front() else { return false };
+        let Some(call) = counter.pending().pop_front() else { return false };
         self.report(call.key, outcome, total);
         true
     }
 
-    /// A connection has ended. The calls whose bytes are still here were not added; of the others nobody knows.
+    /// Removes a connection that has ended. Its pending calls with unsent bytes were not executed; the others
+    /// may have been.
     fn on_ended(&self, ended: &Arc<CounterConnection>) {
         ended.connection.close();
         let mut unsent = ended.connection.unsent();
         loop {
-            let last = ended.waiting().pop_back();
+            let last = ended.pending().pop_back();
             let Some(call) = last else { break };
             let outcome = if unsent > 0 { Outcome::ConnectFailed } else { Outcome::TimedOut };
             unsent = unsent.saturating_sub(call.length);
             self.report(call.key, outcome, 0.0);
         }
         let mut state = self.state();
-        state.old.retain(|old| !Arc::ptr_eq(old, ended));
+        state.previous.retain(|previous| !Arc::ptr_eq(previous, ended));
         if state.current.as_ref().is_some_and(|current| Arc::ptr_eq(current, ended)) {
             state.current = None;
         }
@@ -218,8 +223,8 @@
 }
 
 impl CounterConnection {
-    fn waiting(&self) -> MutexGuard<'_, VecDeque<Call>> {
-        self.waiting.lock().unwrap_or_else(|e| e.into_inner())
+    fn pending(&self) -> MutexGuard<'_, VecDeque<Call>> {
+        self.pending.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
@@ -232,8 +237,8 @@
     )
 }
 
-/// What a reply says. One that can't be read means that the amount was added and nothing more: its total is not a number.
-fn read_reply(status: u16, body: &str) -> (Outcome, f32) {
+/// Parses a reply. The total is NaN if the amount was added but the body is unreadable.
+fn parse_reply(status: u16, body: &str) -> (Outcome, f32) {
     let total = body.trim().parse::<f32>().ok().filter(|total| total.is_finite());
     match status {
         200 => (Outcome::Succeeded, total.unwrap_or(f32::NAN)),
--- a/crates/gatekeeper/src/discovery.rs
+++ b/crates/gatekeeper/src/discovery.rs
@@ -1,5 +1,7 @@
-//! The client of discovery: watches the list of workers, and opens the watch anew when it breaks or falls silent. Where
-//! discovery moves to another address, the watch on the old one is read until the new one has been heard.
+//! Client of discovery: watches the list of workers, and reopens the watch when it ends or times out.
+//!
+//! After a change of discovery's address, the watch at the previous address is read until the new one has
+//! received data.
 
 mod list;
 
@@ -19,34 +21,35 @@
 use list::WorkerList;
 pub use list::{EndpointChange, ListMessage, WorkerListUpdate};
 
-/// A line comes every two seconds, empty where nothing changed: silence for longer is a broken watch.
-const SILENCE_TIMEOUT: Span = Span::from_millis(3_500);
-/// The first answer to a watch comes at once: one that brought nothing by then never came up.
+/// Time without data after which a watch has failed. Discovery sends a line every two seconds, empty if
+/// nothing changed.
+const DATA_TIMEOUT: Span = Span::from_millis(3_500);
+/// Time limit for the first data of a new watch, which discovery sends at once.
 const OPEN_TIMEOUT: Span = Span::from_millis(1_000);
-/// The pause after a watch has ended.
+/// Minimum time between opening a watch, or its last data, and opening the next one.
 const REOPEN_DELAY: Span = Span::from_millis(500);
-/// The longest line of a list, in bytes.
-const MAX_LINE: usize = 1 << 20;
+/// Maximum length of a line, in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Takes over a change of the list.
+/// Callback for a change of the list.
 pub type UpdateHandler = Box<dyn Fn(WorkerListUpdate) + Send + Sync>;
 
-/// Why a watch ended.
+/// Reason for the end of a watch.
 #[derive(Debug)]
 enum WatchEnd {
-    /// The connection did not come up, or refused the request.
+    /// The connection could not be established, or the request could not be sent.
     Io(io::Error),
-    /// Discovery answered with this status.
+    /// Discovery answered with an error status.
     Status(u16),
-    /// What came is no HTTP.
+    /// The answer is not valid HTTP.
     Http(HttpError),
     /// The connection was closed.
     Closed,
-    /// Discovery ended the list.
-    Over,
-    /// A line is no list.
-    Unreadable(serde_json::Error),
-    /// A line is too long.
+    /// Discovery ended the stream.
+    StreamEnded,
+    /// A line could not be parsed.
+    InvalidLine(serde_json::Error),
+    /// A line exceeds the maximum length.
     LineTooLong,
 }
 
@@ -56,10 +59,10 @@
             WatchEnd::Io(source) => source.fmt(f),
             WatchEnd::Status(status) => write!(f, "status {status}"),
             WatchEnd::Http(source) => f.write_str(source.reason),
-            WatchEnd::Closed => f.write_str("closed"),
-            WatchEnd::Over => f.write_str("over"),
-            WatchEnd::Unreadable(source) => write!(f, "a line that can't be read: {source}"),
-            WatchEnd::LineTooLong => f.write_str("a line too long"),
+            WatchEnd::Closed => f.write_str("connection closed"),
+            WatchEnd::StreamEnded => f.write_str("stream ended by discovery"),
+            WatchEnd::InvalidLine(source) => write!(f, "invalid line: {source}"),
+            WatchEnd::LineTooLong => f.write_str("line too long"),
         }
     }
 }
@@ -68,12 +71,12 @@
     address: SocketAddr,
     list: WorkerList,
     watch: Option<Arc<Connection>>,
-    /// The watch has brought something.
-    is_heard: bool,
-    /// Watches on addresses that discovery had before.
-    old: Vec<Arc<Connection>>,
-    /// When something last came, or a watch was last opened.
-    heard_at: Time,
+    /// `true` if the current watch has received data.
+    has_received: bool,
+    /// Watches at previous addresses of discovery.
+    previous: Vec<Arc<Connection>>,
+    /// Time of the last data of the current watch, or of opening it.
+    last_active_at: Time,
 }
 
 impl State {
@@ -81,17 +84,17 @@
         self.watch.as_ref().is_some_and(|current| Arc::ptr_eq(current, watch))
     }
 
-    /// Something came from a watch; the current one makes those before it needless.
-    fn on_heard(&mut self, watch: &Arc<Connection>, now: Time) {
+    /// Records data from a watch. Data from the current watch closes those at previous addresses.
+    fn on_received(&mut self, watch: &Arc<Connection>, now: Time) {
         if self.is_current(watch) {
-            self.heard_at = now;
-            self.is_heard = true;
-            self.old.drain(..).for_each(|old| old.close());
+            self.last_active_at = now;
+            self.has_received = true;
+            self.previous.drain(..).for_each(|previous| previous.close());
         }
     }
 }
 
-/// The client of discovery.
+/// Client of discovery.
 pub struct DiscoveryClient {
     clock: Clock,
     on_update: UpdateHandler,
@@ -99,15 +102,15 @@
 }
 
 impl DiscoveryClient {
-    /// A client that knows no worker yet. `names`: of the settings.
+    /// Creates a client with an empty list. `names` are those of the settings.
     pub fn new(clock: Clock, address: SocketAddr, names: Names, on_update: UpdateHandler) -> Self {
         let state = State {
             address,
             list: WorkerList::new(names),
             watch: None,
-            is_heard: false,
-            old: Vec::new(),
-            heard_at: Time::default(),
+            has_received: false,
+            previous: Vec::new(),
+            last_active_at: Time::default(),
         };
         DiscoveryClient { clock, on_update, state: Mutex::new(state) }
     }
@@ -116,18 +119,18 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Discovery is at this address from now on; the next tick opens a watch there.
-    pub fn move_to(&self, address: SocketAddr) {
+    /// Changes the address of discovery. The next tick opens a watch there.
+    pub fn set_address(&self, address: SocketAddr) {
         let mut state = self.state();
         if state.address != address {
             state.address = address;
-            let old = state.watch.take();
-            state.old.extend(old);
-            state.heard_at = Time::default();
+            let previous = state.watch.take();
+            state.previous.extend(previous);
+            state.last_active_at = Time::default();
         }
     }
 
-    /// Takes over the list as it was last held, maybe old.
+    /// Applies the last known list, which may be stale.
     pub fn restore(&self, list: &ListMessage) {
         self.apply(list, true);
     }
@@ -139,30 +142,30 @@
         }
     }
 
-    /// Opens the watch where there is none, and ends one that is silent.
+    /// Opens a watch if there is none, and replaces one that has timed out.
     pub fn tick(self: &Arc<Self>, now: Time) {
         let mut state = self.state();
-        let silence = now - state.heard_at;
+        let inactive = now - state.last_active_at;
         match &state.watch {
-            Some(watch) if silence > if state.is_heard { SILENCE_TIMEOUT } else { OPEN_TIMEOUT } => {
-                log_limited!("the watch on the list is silent; opening another");
+            Some(watch) if inactive > if state.has_received { DATA_TIMEOUT } else { OPEN_TIMEOUT } => {
+                log_limited!("no data from discovery in time; opening a new watch");
                 watch.close();
                 state.watch = None;
             }
-            None if silence > REOPEN_DELAY => {}
+            None if inactive > REOPEN_DELAY => {}
             _ => return,
         }
-        state.heard_at = now;
-        state.is_heard = false;
-        let watch = match Connection::open(state.address, MAX_LINE) {
+        state.last_active_at = now;
+        state.has_received = false;
+        let watch = match Connection::open(state.address, MAX_LINE_BYTES) {
             Ok(connection) => Arc::new(connection),
-            Err(e) => return log_limited!("no connection to discovery: {e}"),
+            Err(e) => return log_limited!("cannot connect to discovery: {e}"),
         };
         state.watch = Some(watch.clone());
         drop(state);
         let client = self.clone();
         spawn("discovery", move || {
-            let end = client.follow(&watch);
+            let end = client.run_watch(&watch);
             watch.close();
             client.on_watch_ended(&watch, &end);
         });
@@ -170,23 +173,23 @@
 
     fn on_watch_ended(&self, watch: &Arc<Connection>, end: &WatchEnd) {
         let mut state = self.state();
-        // One that was closed for its silence has been replaced already.
-        state.old.retain(|old| !Arc::ptr_eq(old, watch));
+        // A watch that timed out has been replaced already.
+        state.previous.retain(|previous| !Arc::ptr_eq(previous, watch));
         if state.is_current(watch) {
-            log_limited!("the watch on the list ended: {end}");
+            log_limited!("watch of the worker list ended: {end}");
             state.watch = None;
         }
     }
 
-    /// Reads a watch to its end; why it ended.
-    fn follow(&self, watch: &Arc<Connection>) -> WatchEnd {
-        match self.try_follow(watch) {
+    /// Runs a watch and returns the reason for its end.
+    fn run_watch(&self, watch: &Arc<Connection>) -> WatchEnd {
+        match self.try_run_watch(watch) {
             Ok(never) => match never {},
             Err(end) => end,
         }
     }
 
-    fn try_follow(&self, watch: &Arc<Connection>) -> Result<std::convert::Infallible, WatchEnd> {
+    fn try_run_watch(&self, watch: &Arc<Connection>) -> Result<std::convert::Infallible, WatchEnd> {
         watch.wait_connected().map_err(WatchEnd::Io)?;
         let from = self.state().list.revision();
         let request = format!("GET /discovery/hosts?watch=1&from={from} HTTP/1.1\r\nHost: discovery\r\n\r\n");
@@ -205,25 +208,25 @@
             }
             take_chunks(watch, &mut text)?;
             self.apply_lines(&mut text)?;
-            self.state().on_heard(watch, self.clock.now());
+            self.state().on_received(watch, self.clock.now());
         }
     }
 
-    /// Takes over the lines that are complete.
+    /// Removes and applies the complete lines of `text`.
     fn apply_lines(&self, text: &mut Vec<u8>) -> Result<(), WatchEnd> {
         while let Some(end) = text.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = text.drain(..=end).collect();
             let line = line.trim_ascii();
             if !line.is_empty() {
-                let message = serde_json::from_slice(line).map_err(WatchEnd::Unreadable)?;
+                let message = serde_json::from_slice(line).map_err(WatchEnd::InvalidLine)?;
                 self.apply(&message, false);
             }
         }
-        if text.len() > MAX_LINE { Err(WatchEnd::LineTooLong) } else { Ok(()) }
+        if text.len() > MAX_LINE_BYTES { Err(WatchEnd::LineTooLong) } else { Ok(()) }
     }
 }
 
-/// Removes the head of the answer, once it is complete; false until then.
+/// Removes the head of the answer; returns `false` if it is incomplete.
 fn take_head(watch: &Connection) -> Result<bool, WatchEnd> {
     let mut inbound = watch.inbound();
     let length = match http::parse_response_head(inbound.bytes()) {
@@ -236,14 +239,14 @@
     Ok(true)
 }
 
-/// Moves the bytes of the chunks that are complete.
+/// Moves the data of complete chunks from the connection's buffer to `text`.
 fn take_chunks(watch: &Connection, text: &mut Vec<u8>) -> Result<(), WatchEnd> {
     let mut inbound = watch.inbound();
     loop {
         let bytes = inbound.bytes();
         let Some((start, size)) = http::chunk_at(bytes, 0).map_err(WatchEnd::Http)? else { return Ok(()) };
         if size == 0 {
-            return Err(WatchEnd::Over);
+            return Err(WatchEnd::StreamEnded);
         }
         let end = start + size + 2;
         if bytes.len() < end {
--- a/crates/gatekeeper/src/discovery/list.rs
+++ b/crates/gatekeeper/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The list of workers as discovery tells it: numbers for names, and what a message changes.
+//! List of workers from discovery: assigns identifiers to workers and translates messages into updates.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,21 +9,21 @@
 use lynxstair_settings::Names;
 use serde::Deserialize;
 
-/// A message of discovery: all workers, or those that changed. Keys that are not known are ignored.
+/// Message from discovery: all workers or the changed ones. Unknown keys are ignored.
 #[derive(Deserialize, Default, Clone)]
 #[serde(default)]
 pub struct ListMessage {
-    /// Rises with each change.
+    /// Revision of the list; increases with each change.
     pub revision: u64,
-    /// Whether it names all workers.
+    /// `true` if the message contains all workers.
     pub complete: bool,
-    members: Vec<Member>,
+    members: Vec<ListEntry>,
 }
 
-/// A worker as discovery tells it.
+/// A worker in a message.
 #[derive(Deserialize, Default, Clone)]
 #[serde(default)]
-struct Member {
+struct ListEntry {
     id: String,
     host_port: Option<String>,
     locality: String,
@@ -34,71 +34,71 @@
     up_since_ms: u64,
 }
 
-/// Why an entry of the list is ignored.
-enum MemberError {
+/// Reason for ignoring an entry.
+enum EntryError {
     UnknownPhase(String),
     NoAddress,
     BadAddress(String, AddrParseError),
 }
 
-impl fmt::Display for MemberError {
+impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            MemberError::UnknownPhase(phase) => write!(f, "unknown phase {phase:?}"),
-            MemberError::NoAddress => f.write_str("no address"),
-            MemberError::BadAddress(address, source) => write!(f, "{address:?}: {source}"),
+            EntryError::UnknownPhase(phase) => write!(f, "unknown phase {phase:?}"),
+            EntryError::NoAddress => f.write_str("no address"),
+            EntryError::BadAddress(address, source) => write!(f, "{address:?}: {source}"),
         }
     }
 }
 
-/// What becomes of a worker's address.
+/// Change of a worker's endpoint.
 pub enum EndpointChange {
-    /// The worker is there.
+    /// The worker was added or updated.
     Update {
-        /// Which worker.
+        /// Identifier of the worker.
         worker: WorkerId,
-        /// Where it takes requests.
+        /// Address for requests.
         address: SocketAddr,
-        /// It takes nothing new.
+        /// `true` if the worker accepts no new requests.
         is_draining: bool,
     },
-    /// The worker is gone.
+    /// The worker was removed.
     Remove(WorkerId),
 }
 
-/// What a message of discovery changes.
+/// Update of the list of workers.
 pub struct WorkerListUpdate {
-    /// What the entries replace.
+    /// Scope of the update.
     pub kind: ListUpdate,
-    /// The entries, for the decisions.
+    /// Entries for the decision module.
     pub entries: Vec<WorkerInfo>,
-    /// The addresses, for the connections, in the order of the message.
+    /// Changes for the connection pool: removals by a complete message, then the entries in order.
     pub endpoints: Vec<EndpointChange>,
 }
 
-/// The workers that discovery has told of.
+/// Workers known from discovery.
 pub struct WorkerList {
     names: Names,
     revision: u64,
-    /// Workers by the names that discovery gives them; numbers are never used twice.
+    /// Identifiers of workers by their ids in messages. An identifier is never reused.
     ids: HashMap<String, WorkerId>,
     last_id: u64,
 }
 
 impl WorkerList {
-    /// An empty list. `names`: of the settings.
+    /// Creates an empty list. `names` are those of the settings.
     pub fn new(names: Names) -> Self {
         WorkerList { names, revision: 0, ids: HashMap::new(), last_id: 0 }
     }
 
-    /// The revision of the last message.
+    /// Revision of the last message applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes over a message; None where it tells nothing new. `is_cached`: it may be old.
+    /// Applies a message; returns `None` if it is outdated. `is_cached` marks a list that may be stale.
     pub fn apply(&mut self, message: &ListMessage, is_cached: bool) -> Option<WorkerListUpdate> {
-        // Two watches tell the same changes, the old one late: what is known is not taken back.
+        // While there are two watches, the previous one may send changes late. They must not undo newer ones.
         if !message.complete && message.revision > 0 && message.revision <= self.revision {
             return None;
         }
@@ -111,42 +111,42 @@
         let entries = Vec::with_capacity(message.members.len());
         let mut update = WorkerListUpdate { kind, entries, endpoints: Vec::new() };
         if message.complete {
-            let is_gone = |id: &String| !message.members.iter().any(|member| member.id == *id);
-            let gone = self.ids.extract_if(|id, _| is_gone(id));
-            update.endpoints.extend(gone.map(|(_, worker)| EndpointChange::Remove(worker)));
+            let is_removed = |id: &String| !message.members.iter().any(|entry| entry.id == *id);
+            let removed = self.ids.extract_if(|id, _| is_removed(id));
+            update.endpoints.extend(removed.map(|(_, worker)| EndpointChange::Remove(worker)));
         }
-        for member in &message.members {
-            if let Err(error) = self.apply_member(member, &mut update) {
-                log_limited!("list: {}: {error}", member.id);
+        for entry in &message.members {
+            if let Err(error) = self.apply_entry(entry, &mut update) {
+                log_limited!("worker list entry {} ignored: {error}", entry.id);
             }
         }
         Some(update)
     }
 
-    fn apply_member(&mut self, member: &Member, update: &mut WorkerListUpdate) -> Result<(), MemberError> {
-        let phase = match member.phase.as_str() {
+    fn apply_entry(&mut self, entry: &ListEntry, update: &mut WorkerListUpdate) -> Result<(), EntryError> {
+        let phase = match entry.phase.as_str() {
             "SERVING" => WorkerPhase::Ready,
             "DRAINING" => WorkerPhase::Draining,
             "DELETED" => WorkerPhase::Removed,
-            other => return Err(MemberError::UnknownPhase(other.to_string())),
+            other => return Err(EntryError::UnknownPhase(other.to_string())),
         };
         if phase == WorkerPhase::Removed {
-            if let Some(worker) = self.ids.remove(&member.id) {
+            if let Some(worker) = self.ids.remove(&entry.id) {
                 update.endpoints.push(EndpointChange::Remove(worker));
-                update.entries.push(self.entry(member, worker, phase));
+                update.entries.push(self.worker_info(entry, worker, phase));
             }
             return Ok(());
         }
-        let address = member.host_port.as_deref().ok_or(MemberError::NoAddress)?;
-        let address = address.parse().map_err(|e| MemberError::BadAddress(address.to_string(), e))?;
-        let worker = self.number(&member.id);
+        let address = entry.host_port.as_deref().ok_or(EntryError::NoAddress)?;
+        let address = address.parse().map_err(|e| EntryError::BadAddress(address.to_string(), e))?;
+        let worker = self.worker_id(&entry.id);
         let is_draining = phase == WorkerPhase::Draining;
         update.endpoints.push(EndpointChange::Update { worker, address, is_draining });
-        update.entries.push(self.entry(member, worker, phase));
+        update.entries.push(self.worker_info(entry, worker, phase));
         Ok(())
     }
 
-    fn number(&mut self, id: &str) -> WorkerId {
+    fn worker_id(&mut self, id: &str) -> WorkerId {
         if let Some(known) = self.ids.get(id) {
             return *known;
         }
@@ -156,19 +156,19 @@
         worker
     }
 
-    fn entry(&self, member: &Member, worker: WorkerId, phase: WorkerPhase) -> WorkerInfo {
-        // A name that the settings do not have stands for a place of its own.
-        let number = |names: &[String], name: &str| {
+    fn worker_info(&self, entry: &ListEntry, worker: WorkerId, phase: WorkerPhase) -> WorkerInfo {
+        // All names that are missing in the settings share an index that no other name has.
+        let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u16::MAX, |n| n as u16)
         };
-        let started = Some(Span::from_millis(member.up_since_ms)).filter(|since| *since > Span::ZERO);
+        let started = Some(Span::from_millis(entry.up_since_ms)).filter(|since| *since > Span::ZERO);
         WorkerInfo {
             worker,
-            zone: ZoneId(number(&self.names.zones, &member.locality)),
-            kind: KindId(number(&self.names.kinds, &member.flavor)),
-            cell: CellId(member.cell),
+            zone: ZoneId(index(&self.names.zones, &entry.locality)),
+            kind: KindId(index(&self.names.kinds, &entry.flavor)),
+            cell: CellId(entry.cell),
             phase,
-            weight: member.size.unwrap_or(1.0),
+            weight: entry.size.unwrap_or(1.0),
             started_at: started.map(|since| Time::from_nanos(since.nanos())),
         }
     }
--- a/crates/gatekeeper/src/error.rs
+++ b/crates/gatekeeper/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the gatekeeper can't serve, or ended otherwise than it should.
+//! Errors that end the gatekeeper.
 
 use std::fmt;
 use std::io;
@@ -8,22 +8,22 @@
 
 use crate::config::ConfigError;
 
-/// Why the gatekeeper can't serve. It ends with it; whoever runs it may start it again.
+/// Error that ends the process.
 #[derive(Debug)]
 pub enum GatekeeperError {
-    /// The configuration can't be used.
+    /// The configuration is missing or invalid.
     Config(ConfigError),
-    /// The file of the cluster can't be used.
+    /// The cluster configuration is missing or invalid.
     ClusterFile(lynxstair_cluster::ConfigError),
-    /// The control side can't be started.
+    /// The cluster node cannot be started.
     Cluster(StartError),
-    /// The address for clients can't be listened on.
+    /// The listener for clients cannot be bound.
     Listen(ListenError),
-    /// The system refuses signals.
+    /// Signal handlers cannot be registered.
     Signals(io::Error),
-    /// The system refuses a timer.
+    /// The timer cannot be created.
     Timer(io::Error),
-    /// The timer coroutine ended while it was still needed.
+    /// The timer coroutine ended unexpectedly.
     TimerEnded,
 }
 
@@ -34,9 +34,9 @@
             GatekeeperError::ClusterFile(source) => source.fmt(f),
             GatekeeperError::Cluster(source) => source.fmt(f),
             GatekeeperError::Listen(source) => source.fmt(f),
-            GatekeeperError::Signals(source) => write!(f, "signals: {source}"),
-            GatekeeperError::Timer(source) => write!(f, "timer: {source}"),
-            GatekeeperError::TimerEnded => f.write_str("the coroutine for time ended"),
+            GatekeeperError::Signals(source) => write!(f, "cannot register signal handlers: {source}"),
+            GatekeeperError::Timer(source) => write!(f, "cannot create the timer: {source}"),
+            GatekeeperError::TimerEnded => f.write_str("the timer coroutine ended unexpectedly"),
         }
     }
 }
--- a/crates/gatekeeper/src/forwarder.rs
+++ b/crates/gatekeeper/src/forwarder.rs
@@ -1,8 +1,8 @@
-//! Forwards requests to workers: sends the attempts that the dispatcher returns, reports their outcomes and executes the
-//! next steps.
+//! Forwards requests to workers: sends the attempts that the dispatcher returns, reports their outcomes and
+//! executes the next steps.
 //!
-//! An attempt is reported as never run only if no connection was established, if the connection ended before the kernel
-//! had taken the whole message, or if the worker's reply says so.
+//! An attempt is reported as never run only if no connection was established, if the connection ended before
+//! the kernel had taken the whole message, or if the worker's reply says so.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -136,7 +136,8 @@
         self.end_job(&worker_connection, if is_unsent { Outcome::ConnectFailed } else { outcome });
     }
 
-    /// Reports the end of an attempt and executes the next step. A further attempt is returned for the caller to send.
+    /// Reports the end of an attempt and executes the next step. A further attempt is returned for the caller
+    /// to send.
     fn end_attempt(
         self: &Arc<Self>,
         ended: &ClientAssignment,
@@ -168,7 +169,8 @@
         let Ok(Some((head, _))) = http::parse_response_head(&bytes[..reply.extent.head]) else { return };
         let body = &bytes[reply.extent.body.clone()];
         client.finish(assignment.request_id, |out, keep_alive| {
-            // Recorded before the reply is written, so that no delivered reply lacks its record if the process ends.
+            // Recorded before the reply is written, so that no delivered reply lacks its record if the
+            // process ends.
             if let Some(usage_log) = self.usage_log.get() {
                 let usage = &assignment.usage;
                 usage_log.record(self.clock.now(), usage.tenant.0, usage.operation.0, usage.units);
--- a/crates/gatekeeper/src/gatekeeper.rs
+++ b/crates/gatekeeper/src/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! The running gatekeeper: has all parts do what is due, and takes them through the phases of a shutdown.
+//! The running gatekeeper: executes due work and the phases of a graceful shutdown.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
@@ -16,65 +16,71 @@
 use crate::forwarder::{ClientDispatcher, Forwarder};
 use crate::lifecycle::{Lifecycle, Phase};
 
-/// After SIGTERM clients still connect for this long, as they learn of it late.
-const GRACE: Span = Span::from_millis(600);
-/// What is unanswered by its deadline has this long to be written.
-const LAST_WRITES: Span = Span::from_millis(200);
-/// How often the slow upkeep is done, and how often it is checked whether the process may end.
-const UPKEEP_INTERVAL: Span = Span::from_millis(250);
-const SHUTDOWN_INTERVAL: Span = Span::from_millis(20);
+/// Time after the request to shut down in which new connections are still accepted, as clients learn of it
+/// late.
+const GRACE_PERIOD: Span = Span::from_millis(600);
+/// Time limit for writing the final replies of a shutdown.
+const FINAL_WRITE_TIMEOUT: Span = Span::from_millis(200);
+/// Interval of the maintenance of connections, and of the checks during a shutdown.
+const MAINTENANCE_INTERVAL: Span = Span::from_millis(250);
+const SHUTDOWN_CHECK_INTERVAL: Span = Span::from_millis(20);
 
-/// All parts of a gatekeeper.
+/// Components of a gatekeeper.
 pub struct Gatekeeper {
-    /// The clock.
+    /// Clock.
     pub clock: Clock,
-    /// The timer.
+    /// Timer that runs due work.
     pub wake_timer: Arc<WakeTimer>,
-    /// The phase of the process.
+    /// Phase of the process.
     pub lifecycle: Arc<Lifecycle>,
-    /// Decides on requests.
+    /// Dispatcher of requests.
     pub dispatcher: Arc<ClientDispatcher>,
-    /// Forwards them.
+    /// Forwarder of attempts to workers.
     pub forwarder: Arc<Forwarder>,
-    /// Reads them.
+    /// Handler of client connections.
     pub clients: Arc<ClientHandler>,
-    /// Watches the list of workers.
+    /// Client of discovery.
     pub discovery: Arc<DiscoveryClient>,
-    /// Calls the shared counter.
+    /// Client of the shared counter.
     pub counter: Arc<CounterClient>,
-    /// How long after SIGTERM what is unanswered is errored.
-    pub last_replies: Span,
+    /// Time after the request to shut down at which open requests are answered with an error.
+    pub final_reply_after: Span,
 }
 
 impl Gatekeeper {
-    /// Takes over the addresses of a new configuration; nothing that is open or counted is lost for it. Of one that can't be
-    /// used nothing is taken over.
+    /// Reads the configuration again and applies its addresses of discovery and the counter. Open requests
+    /// and counts are kept. An invalid configuration changes nothing.
     pub fn reload(&self) {
         match config::read() {
             Ok(config) => {
-                log_limited!("read anew: discovery {}, counter {:?}", config.discovery, config.counter);
-                self.discovery.move_to(config.discovery);
-                self.counter.move_to(config.counter);
+                log_limited!(
+                    "configuration reloaded: discovery {}, counter {:?}",
+                    config.discovery,
+                    config.counter
+                );
+                self.discovery.set_address(config.discovery);
+                self.counter.set_address(config.counter);
                 self.wake_timer.wake_now();
             }
-            Err(error) => log_limited!("the configuration stays as it was: {error}"),
+            Err(error) => log_limited!("configuration not reloaded: {error}"),
         }
     }
 
-    /// Does all that is due, until the process ends; for a coroutine of its own.
-    pub fn run_timer(&self, ended: &Sender<()>) {
+    /// Executes due work until the process ends, then notifies `end_sender`. Must run in a coroutine of its
+    /// own.
+    pub fn run_timer(&self, end_sender: &Sender<()>) {
         let mut now = self.clock.now();
-        let mut upkeep_at = now;
+        let mut maintenance_at = now;
         let mut shutdown_since = None;
         loop {
-            let is_upkeep_due = now >= upkeep_at;
-            if is_upkeep_due {
-                upkeep_at = now + UPKEEP_INTERVAL;
+            let is_maintenance_due = now >= maintenance_at;
+            if is_maintenance_due {
+                maintenance_at = now + MAINTENANCE_INTERVAL;
             }
             let since = self.lifecycle.is_shutting_down().then(|| *shutdown_since.get_or_insert(now));
-            // A panic here must not stop time for all.
-            if catch_unwind(AssertUnwindSafe(|| self.tick(now, is_upkeep_due, since))).is_err() {
-                log_limited!("what was due is given up");
+            // A panic must not end the timer coroutine.
+            if catch_unwind(AssertUnwindSafe(|| self.tick(now, is_maintenance_due, since))).is_err() {
+                log_limited!("panic in the timer coroutine; the remaining due work is skipped");
             }
             self.wake_timer.wake_by(self.dispatcher.next_due());
             self.wake_timer.wake_by(self.forwarder.pool.next_due());
@@ -83,15 +89,15 @@
             }
             now = self.wake_timer.wait();
         }
-        let _ = ended.send(());
+        let _ = end_sender.send(());
     }
 
-    fn tick(&self, now: Time, is_upkeep_due: bool, shutdown_since: Option<Time>) {
-        self.do_due_work(now);
+    fn tick(&self, now: Time, is_maintenance_due: bool, shutdown_since: Option<Time>) {
+        self.execute_due_work(now);
         self.forwarder.tick(now);
         self.counter.tick(now);
         self.discovery.tick(now);
-        if is_upkeep_due {
+        if is_maintenance_due {
             self.clients.expire();
             self.forwarder.pool.close_idle(now);
         }
@@ -100,8 +106,8 @@
         }
     }
 
-    /// What the decisions ask for now.
-    fn do_due_work(&self, now: Time) {
+    /// Executes the actions that the dispatcher returns as due.
+    fn execute_due_work(&self, now: Time) {
         let due = self.dispatcher.tick(now);
         self.counter.add(&due.counter_adds);
         due.attempts.into_iter().for_each(|attempt| self.forwarder.forward(attempt));
@@ -111,23 +117,23 @@
         due.health_checks.into_iter().for_each(|worker| self.forwarder.check_health(worker));
     }
 
-    /// The graceful shutdown, from the grace to the last reply.
+    /// Advances the graceful shutdown that was requested at `since`.
     fn shut_down(&self, now: Time, since: Time) {
         let elapsed = now - since;
-        if self.lifecycle.phase() == Phase::Draining && elapsed >= GRACE {
+        if self.lifecycle.phase() == Phase::Draining && elapsed >= GRACE_PERIOD {
             self.lifecycle.enter(Phase::Closing);
             self.clients.stop_listening();
         }
         if self.lifecycle.phase() == Phase::Closing {
-            if elapsed >= self.last_replies {
+            if elapsed >= self.final_reply_after {
                 self.clients.fail_all_requests();
             }
             let registry = &self.clients.registry;
-            if registry.count() == 0 || elapsed >= self.last_replies + LAST_WRITES {
-                log_limited!("{} unanswered at the end", registry.busy_count());
+            if registry.count() == 0 || elapsed >= self.final_reply_after + FINAL_WRITE_TIMEOUT {
+                log_limited!("shutdown complete; {} connections still busy", registry.busy_count());
                 return self.lifecycle.enter(Phase::Ended);
             }
         }
-        self.wake_timer.wake_by(now + SHUTDOWN_INTERVAL);
+        self.wake_timer.wake_by(now + SHUTDOWN_CHECK_INTERVAL);
     }
 }
--- a/crates/gatekeeper/src/lifecycle.rs
+++ b/crates/gatekeeper/src/lifecycle.rs
@@ -1,52 +1,53 @@
-//! The phases of the process.
+//! Phases of the process.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
 use lynxstair_net::log_limited;
 
-/// A phase; each follows the one before it.
+/// Phase of the process. Phases follow each other in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Phase {
-    /// It does not serve yet.
+    /// Not serving yet.
     Starting,
-    /// It serves.
+    /// Serving clients.
     Serving,
-    /// Told to end: it serves on for a grace, as clients learn of it late.
+    /// A shutdown was requested. Clients are still served for a grace period, as they learn of the shutdown
+    /// late.
     Draining,
-    /// It accepts nothing more, and answers what it has.
+    /// No new connections are accepted; open requests are completed.
     Closing,
-    /// The process ends.
+    /// The process exits.
     Ended,
 }
 
 const PHASES: [Phase; 5] = [Phase::Starting, Phase::Serving, Phase::Draining, Phase::Closing, Phase::Ended];
 
-/// The phase that the process is in.
+/// Current phase of the process.
 pub struct Lifecycle(AtomicU8);
 
 impl Lifecycle {
-    /// A process that starts.
+    /// Creates a lifecycle in phase `Starting`.
     pub fn new() -> Self {
         Lifecycle(AtomicU8::new(Phase::Starting as u8))
     }
 
-    /// The phase.
+    /// Current phase.
     pub fn phase(&self) -> Phase {
         PHASES[usize::from(self.0.load(Ordering::Acquire))]
     }
 
-    /// Whether it was told to end.
+    /// Returns `true` once a shutdown was requested.
     pub fn is_shutting_down(&self) -> bool {
         self.phase() >= Phase::Draining
     }
 
-    /// Whether connections end with the next reply.
+    /// Returns `true` if connections must be closed after the next reply.
     pub fn is_closing(&self) -> bool {
         self.phase() >= Phase::Closing
     }
 
-    /// Enters a phase. Every change of phase is made here.
+    /// Enters a phase and logs it.
     pub fn enter(&self, phase: Phase) {
         log_limited!("{phase:?}");
         self.0.store(phase as u8, Ordering::Release);
--- a/crates/gatekeeper/src/main.rs
+++ b/crates/gatekeeper/src/main.rs
@@ -1,18 +1,18 @@
-//! `lynxstair-gatekeeper`: the gatekeeper on sockets.
+//! `lynxstair-gatekeeper`: the gatekeeper program.
 //!
-//! Modules name each other downward only:
+//! Decisions on requests are made by `lynxstair::policy`, called through `lynxstair-dispatch`. This package
+//! does the I/O.
 //!
-//! | layer | modules | what they know |
+//! | layer | modules | responsibility |
 //! | --- | --- | --- |
-//! | start and end | `startup` | ties everything below together |
-//! | time | `gatekeeper` | all parts; has them do what is due |
-//! | requests | `client_handler`, `forwarder` | decisions, clients, workers |
-//! | clients | `client_listener`, `client_registry`, `client_connection`, `request_parser`, `open_ids` | their own state |
-//! | workers | `worker_pool`, `worker_connection` | connections; whose attempt each carries |
-//! | peers | `discovery`, `counter` | their own connections; whom they report to is handed in |
-//! | ground | `config`, `error`, `lifecycle` | nothing of the others |
-//!
-//! Decisions are made in `lynxstair::policy`, behind `lynxstair-dispatch`; this package does the I/O.
+//! | process | `startup` | builds the components, handles signals |
+//! | timer | `gatekeeper` | executes due work, shuts down |
+//! | requests | `client_handler`, `forwarder` | serve clients, send attempts to workers |
+//! | clients | `client_listener`, `client_registry` | accept and track connections |
+//! | | `client_connection`, `request_parser`, `open_ids` | read requests, write replies |
+//! | workers | `worker_pool`, `worker_connection` | connections to workers |
+//! | peers | `discovery`, `counter` | clients of discovery and of the shared counter |
+//! | base | `config`, `error`, `lifecycle` | configuration, errors, phases of the process |
 #![deny(unsafe_code)]
 
 mod client_connection;
@@ -37,11 +37,11 @@
 
 use clap::Parser;
 
-/// An admission gateway for services sold by plan. Its configuration is the file that RELAY_CONFIG names.
+/// Admission gateway for services sold by plan. Reads its configuration from the file named by RELAY_CONFIG.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// Take part in a fleet, as this file says. Without it nothing of that runs.
+    /// Join the fleet described in this file. Without it, no fleet node is started.
     #[arg(long, value_name = "FILE")]
     fleet: Option<PathBuf>,
 }
--- a/crates/gatekeeper/src/open_ids.rs
+++ b/crates/gatekeeper/src/open_ids.rs
@@ -1,10 +1,10 @@
-//! The ids of open requests, hashed: a second request under the id of an open one is rejected.
+//! Ids of open requests, stored as hashes. A request with the id of an open one is rejected.
 
 use std::collections::HashSet;
 use std::hash::{BuildHasher, RandomState};
 use std::sync::{Mutex, MutexGuard};
 
-/// The ids that are open, on any connection.
+/// Set of ids of open requests on all connections.
 #[derive(Default)]
 pub struct OpenIds {
     hashes: Mutex<HashSet<u64>>,
@@ -16,13 +16,13 @@
         self.hashes.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Opens an id; returns its hash, or None where it is open already.
+    /// Adds an id and returns its hash; `None` if the id is open already.
     pub fn open(&self, id: &str) -> Option<u64> {
         let hash = self.hasher.hash_one(id);
         self.hashes().insert(hash).then_some(hash)
     }
 
-    /// Closes an id, by its hash.
+    /// Removes an id by its hash.
     pub fn close(&self, hash: u64) {
         self.hashes().remove(&hash);
     }
--- a/crates/gatekeeper/src/request_parser.rs
+++ b/crates/gatekeeper/src/request_parser.rs
@@ -1,5 +1,5 @@
-//! Parses client requests. Requests that the settings do not allow are rejected here, so that they are not charged to a
-//! tenant.
+//! Parses client requests. Requests that the settings do not allow are rejected here, so that they are not
+//! charged to a tenant.
 
 use lynxstair::types::{OperationId, PlanId, Request, RequestId, Span, TenantId, Time};
 use lynxstair_net::http::{HttpError, RequestHead};
--- a/crates/gatekeeper/src/startup.rs
+++ b/crates/gatekeeper/src/startup.rs
@@ -1,4 +1,4 @@
-//! From the configuration to a running gatekeeper, and to its end.
+//! Builds the gatekeeper from its configuration and runs it until the process is told to end.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -30,19 +30,22 @@
 use crate::request_parser::RequestParser;
 use crate::worker_pool::WorkerPool;
 
-/// The platform kills no sooner than 0.7 s after the longest integration timeout, counted as this where it is longer. What is
-/// unanswered by then is errored a little before.
-const MAX_COUNTED_TIMEOUT: Span = Span::from_millis(3_000);
-const LAST_REPLIES: Span = Span::from_millis(250);
-/// Descriptors that are kept back for all that is neither a client nor a worker, and the fraction of the others for clients.
+/// During a shutdown, open requests get an error reply after the longest integration time-out, limited to the
+/// first value, plus the second. The platform kills the process 0.7 s after that time-out at the earliest.
+const MAX_INTEGRATION_TIMEOUT: Span = Span::from_millis(3_000);
+const FINAL_REPLY_MARGIN: Span = Span::from_millis(250);
+/// Descriptors for other uses than connections to clients and workers, the minimum for these connections, and
+/// the fraction of them that clients get.
 const RESERVED_DESCRIPTORS: usize = 32;
-const MIN_DESCRIPTORS: usize = 16;
-const CLIENTS_PART: f64 = 0.65;
-/// The buffers of all connections may take half of the memory.
-const BUFFER_DIVISOR: usize = 2;
+const MIN_USABLE_DESCRIPTORS: usize = 16;
+const CLIENT_FRACTION: f64 = 0.65;
+/// The buffers of all connections may use the memory limit divided by this.
+const BUFFER_MEMORY_DIVISOR: usize = 2;
 
-/// Serves until the process is told to end. The main thread only waits: first for signals, then for the last reply.
-/// `cluster_file`: the file of the cluster that it takes part in, if it does.
+/// Runs the gatekeeper until SIGTERM or SIGINT and the end of the graceful shutdown.
+///
+/// `cluster_file` is the configuration file of the cluster to join, if any. The main thread only waits for
+/// signals and then for the end of the shutdown.
 pub fn run(cluster_file: Option<&Path>) -> Result<(), GatekeeperError> {
     configure_runtime();
     let config = config::read()?;
@@ -55,11 +58,11 @@
     if let Some(usage_log) = cluster_node.as_ref().and_then(|cluster_node| cluster_node.usage_log()) {
         let _ = gatekeeper.forwarder.usage_log.set(usage_log);
     }
-    let (end, ended) = channel();
+    let (end_sender, end_receiver) = channel();
     let clients = gatekeeper.clients.clone();
-    spawn("accepting", move || clients.accept());
-    let timing = gatekeeper.clone();
-    spawn("time", move || timing.run_timer(&end));
+    spawn("the client listener", move || clients.accept());
+    let timer = gatekeeper.clone();
+    spawn("the timer", move || timer.run_timer(&end_sender));
     log_limited!("{} serves on {}", config.name, config.listen);
     gatekeeper.lifecycle.enter(Phase::Serving);
 
@@ -71,15 +74,15 @@
     if let Some(cluster_node) = &cluster_node {
         cluster_node.leave();
     }
-    ended.recv().map_err(|_| GatekeeperError::TimerEnded)
+    end_receiver.recv().map_err(|_| GatekeeperError::TimerEnded)
 }
 
-/// Ties the parts together.
+/// Builds and connects the components.
 fn build(config: &Config) -> Result<Gatekeeper, GatekeeperError> {
     let clock = Clock::start();
     let settings = &config.settings;
     let (max_clients, max_workers) = split_descriptors(config.limits.sockets);
-    limit_buffer_memory((config.limits.memory_mb << 20) as usize / BUFFER_DIVISOR);
+    limit_buffer_memory((config.limits.memory_mb << 20) as usize / BUFFER_MEMORY_DIVISOR);
     let wake_timer =
         WakeTimer::new(clock, settings.policy.time_resolution).map_err(GatekeeperError::Timer)?;
     let wake_timer = Arc::new(wake_timer);
@@ -106,8 +109,8 @@
     let discovery = Arc::new(new_discovery(config, clock, &dispatcher, &forwarder));
     let counter = Arc::new(new_counter(config, clock, &dispatcher));
     let timeouts = settings.policy.operations.iter().map(|operation| operation.integration_timeout);
-    let longest = timeouts.max().unwrap_or(MAX_COUNTED_TIMEOUT);
-    let last_replies = longest.min(MAX_COUNTED_TIMEOUT) + LAST_REPLIES;
+    let longest = timeouts.max().unwrap_or(MAX_INTEGRATION_TIMEOUT);
+    let final_reply_after = longest.min(MAX_INTEGRATION_TIMEOUT) + FINAL_REPLY_MARGIN;
     Ok(Gatekeeper {
         clock,
         wake_timer,
@@ -117,14 +120,14 @@
         clients,
         discovery,
         counter,
-        last_replies,
+        final_reply_after,
     })
 }
 
-/// How many connections there may be to clients, and to workers.
+/// Returns the maximum numbers of connections to clients and to workers.
 fn split_descriptors(descriptors: usize) -> (usize, usize) {
-    let usable = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS);
-    let clients = (usable as f64 * CLIENTS_PART) as usize;
+    let usable = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_USABLE_DESCRIPTORS);
+    let clients = (usable as f64 * CLIENT_FRACTION) as usize;
     (clients, usable - clients)
 }
 
--- a/crates/gatekeeper/src/worker_connection.rs
+++ b/crates/gatekeeper/src/worker_connection.rs
@@ -117,12 +117,14 @@
         }
     }
 
-    /// Returns `true` if the kernel has taken the whole message of the job. Otherwise the worker cannot have received it.
+    /// Returns `true` if the kernel has taken the whole message of the job. Otherwise the worker cannot have
+    /// received it.
     pub fn is_sent(&self) -> bool {
         self.state().is_written && self.connection.unsent() == 0
     }
 
-    /// Writes the whole message of the job. Fails if the connection fails or the client's request is no longer open.
+    /// Writes the whole message of the job. Fails if the connection fails or the client's request is no
+    /// longer open.
     pub fn send(&self, now: Time) -> io::Result<()> {
         let mut state = self.state();
         state.is_written = true;
--- a/crates/gatekeeper/src/worker_pool.rs
+++ b/crates/gatekeeper/src/worker_pool.rs
@@ -87,7 +87,8 @@
 
     // ---- connections ----
 
-    /// Assigns a job to the most recently used idle connection to a worker, or to a new connection if none can be used.
+    /// Assigns a job to the most recently used idle connection to a worker, or to a new connection if none
+    /// can be used.
     pub fn assign(&self, now: Time, worker: WorkerId, job: Job) -> PoolConnection {
         let mut connections = self.connections();
         let Some(endpoint) = connections.endpoints.get_mut(&worker) else { return PoolConnection::None };
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Closes idle connections before the worker does. A job sent while the worker closes the connection would be lost.
+    /// Closes idle connections before the worker does. A job sent while the worker closes the connection
+    /// would be lost.
     pub fn close_idle(&self, now: Time) {
         let max_idle = self.timeouts.idle.times(MAX_IDLE_FRACTION);
         for endpoint in self.connections().endpoints.values_mut() {
@@ -149,7 +151,8 @@
 
     // ---- time-outs ----
 
-    /// Starts the time-out of a connection that is being established or carries a health check. Returns its end.
+    /// Starts the time-out of a connection that is being established or carries a health check. Returns its
+    /// end.
     pub fn start_timeout(&self, now: Time, connection: &Arc<WorkerConnection>) -> Time {
         let until = now + self.timeouts.connect;
         self.connections().pending_timeouts.push_back((until, connection.clone()));
