--- a/crates/gatekeeper/tests/sockets.rs
+++ b/crates/gatekeeper/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program on sockets: tables of cases against stand-ins.
+//! Tests of the gatekeeper program with fake workers, counter and discovery on loopback sockets.
 
 mod support;
 
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 
 use support::{
-    HttpMessage, WorkerAction, World, config, counter, discovery, exchange, program, request_text,
+    HttpMessage, TestEnv, WorkerAction, config, counter, discovery, exchange, program, request_text,
     worker_entry,
 };
 
-/// What the client gets, and how many attempts were made, by what becomes of each of them.
+/// Reply to the client and number of attempts, by the worker's action on each attempt.
 #[test]
-fn what_becomes_of_deliveries() {
+fn attempts_and_reply_by_worker_action() {
     use WorkerAction::*;
     let cases: [(&str, &[WorkerAction], u16, usize); 19] = [
         ("get", &[Succeed], 200, 1),
@@ -26,14 +26,14 @@
         ("get", &[RejectBusy, Succeed], 200, 2),
         ("get", &[Reset, Succeed], 200, 2),
         ("get", &[Truncate, Succeed], 200, 2),
-        // At most three, then harmless to try again.
+        // Throttled after three attempts, as an idempotent request can safely be repeated.
         ("get", &[Fail, Fail, Fail, Succeed], 429, 3),
         ("put", &[Succeed], 200, 1),
         ("put", &[SucceedChunked], 200, 1),
-        // Proved never to have run: another one, and a throttle at the end.
+        // Never ran: retried, and throttled after three attempts.
         ("put", &[RejectUnstarted, Succeed], 200, 2),
         ("put", &[RejectUnstarted, RejectUnstarted, RejectUnstarted], 429, 3),
-        // It may have run: never again, and no promise.
+        // May have run: not retried, and answered with an error.
         ("put", &[Fail, Succeed], 502, 1),
         ("put", &[RejectBusy, Succeed], 502, 1),
         ("put", &[Reset, Succeed], 502, 1),
@@ -41,15 +41,15 @@
         ("put", &[RejectUnstarted, Fail, Succeed], 502, 2),
         ("put", &[Hang, Succeed], 502, 1),
     ];
-    for (operation, does, wanted, attempts) in cases {
-        // Each in a world of its own: what one leads to must not bear on the next.
-        let world = World::new(4, 0, Some(1.0));
-        let id = world.script(does);
+    for (operation, actions, wanted, attempts) in cases {
+        // A new environment for each case, so that worker health and quotas start afresh.
+        let env = TestEnv::new(4, 0, Some(1.0));
+        let id = env.script(actions);
         let started = Instant::now();
-        let answer = world.invoke(&request_text(operation, "wide", &id, 800)).expect("an answer");
-        let case = format!("{operation} {does:?}");
+        let answer = env.send(&request_text(operation, "wide", &id, 800)).expect("an answer");
+        let case = format!("{operation} {actions:?}");
         assert!(started.elapsed() < Duration::from_millis(1_000), "{case}: {:?}", started.elapsed());
-        let seen = world.seen.attempts_of(&id);
+        let seen = env.worker_log.attempts_of(&id);
         assert_eq!((answer.status(), seen.len()), (wanted, attempts), "{case}");
         if wanted == 200 {
             assert_eq!(answer.body, format!("answer to {id}").into_bytes(), "{case}");
@@ -66,21 +66,21 @@
     }
 }
 
-/// Workers that take no connection cost a delivery that never ran.
+/// A refused connection is an attempt that never ran, so that even a non-idempotent request is retried.
 #[test]
-fn workers_that_refuse_connections() {
-    let world = World::new(2, 2, Some(1.0));
+fn refused_connection_is_retried_at_another_worker() {
+    let env = TestEnv::new(2, 2, Some(1.0));
     for _ in 0..8 {
-        let id = world.script(&[]);
-        let answer = world.invoke(&request_text("put", "wide", &id, 800)).expect("an answer");
-        assert_eq!((answer.status(), world.seen.attempts_of(&id).len()), (200, 1));
+        let id = env.script(&[]);
+        let answer = env.send(&request_text("put", "wide", &id, 800)).expect("an answer");
+        assert_eq!((answer.status(), env.worker_log.attempts_of(&id).len()), (200, 1));
     }
 }
 
-/// Bad input gets an answer that says so, and never reaches a worker.
+/// Invalid requests get an error status and never reach a worker.
 #[test]
-fn bad_input() {
-    let world = World::new(2, 0, Some(1.0));
+fn invalid_requests_are_rejected() {
+    let env = TestEnv::new(2, 0, Some(1.0));
     let good = request_text("get", "wide", "00000000000000ff", 800);
     let put = request_text("put", "wide", "00000000000000ff", 800);
     let long = |n| put.replace("Content-Length: 4", &format!("Content-Length: {n}"));
@@ -124,96 +124,99 @@
         ("a head too large", good.replace("kept", &"k".repeat(20_000)), 431),
     ];
     for (case, text, wanted) in cases {
-        let answer = world.invoke(&text).unwrap_or_default();
+        let answer = env.send(&text).unwrap_or_default();
         assert_eq!(answer.status(), wanted, "{case}");
     }
-    assert_eq!(world.seen.attempts_of("00000000000000ff").len(), 0);
-    // Fields and parts that are not known are passed over.
-    let id = world.script(&[]);
+    assert_eq!(env.worker_log.attempts_of("00000000000000ff").len(), 0);
+    // Unknown headers and unknown parts of a header are ignored.
+    let id = env.script(&[]);
     let odd = request_text("get", "wide", &id, 800).replace("first=0", "first=0,more=x,,=");
     let odd = odd.replace("X-More", "Connection: keep-alive, X-Mine\r\nX-Mine: 1\r\nX-More");
-    assert_eq!(world.invoke(&odd).expect("an answer").status(), 200);
-    // What belongs to the client's connection stays there.
-    let seen = &world.seen.attempts_of(&id)[0].1;
+    assert_eq!(env.send(&odd).expect("an answer").status(), 200);
+    // Hop-by-hop headers are not forwarded.
+    let seen = &env.worker_log.attempts_of(&id)[0].1;
     assert_eq!((seen.header("x-mine"), seen.header("connection"), seen.header("x-more")), ("", "", "kept"));
 }
 
-/// A second invocation under the id of an open one is turned away, on any connection; once that is answered, or
-/// its client is gone, the id is free.
+/// An id can be used again once its request is answered or its client has disconnected.
 #[test]
-fn ids_that_are_open() {
-    let world = World::new(2, 0, Some(1.0));
-    let id = world.script(&[WorkerAction::SucceedAfterMs(300), WorkerAction::Hang]);
+fn id_of_open_request_is_rejected() {
+    let env = TestEnv::new(2, 0, Some(1.0));
+    let id = env.script(&[WorkerAction::SucceedAfterMs(300), WorkerAction::Hang]);
     let put = request_text("put", "wide", &id, 3000);
-    let client = world.client();
+    let client = env.client();
     (&client).write_all(put.as_bytes()).expect("written");
-    world.until("the delivery has come", || world.seen.attempts_of(&id).len() == 1);
-    assert_eq!(world.invoke(&put).expect("an answer").status(), 409);
+    env.wait_until("the attempt arrives", || env.worker_log.attempts_of(&id).len() == 1);
+    assert_eq!(env.send(&put).expect("an answer").status(), 409);
     assert_eq!(HttpMessage::read(&mut BufReader::new(&client)).expect("an answer").status(), 200);
     (&client).write_all(put.as_bytes()).expect("written");
-    world.until("the next has come", || world.seen.attempts_of(&id).len() == 2);
+    env.wait_until("the next attempt arrives", || env.worker_log.attempts_of(&id).len() == 2);
     drop(client);
-    world.until("the client is gone", || world.seen.closed.load(Ordering::SeqCst) == 1);
-    assert_eq!(world.invoke(&put).expect("an answer").status(), 200);
-    assert_eq!(world.seen.attempts_of(&id).len(), 3);
+    env.wait_until("the worker connection is closed", || env.worker_log.closed.load(Ordering::SeqCst) == 1);
+    assert_eq!(env.send(&put).expect("an answer").status(), 200);
+    assert_eq!(env.worker_log.attempts_of(&id).len(), 3);
 }
 
-/// Who says nothing, half a message or only what can't be used is let go of in time, and the others go on: with
-/// more connections than there is room for, the one that has done nothing for the longest goes first.
+/// Clients that send nothing, an incomplete message or only invalid messages are closed in time. Clients
+/// beyond the limit replace idle ones.
 #[test]
-fn clients_that_take_up_room() {
-    let world = World::new(2, 0, Some(1.0));
-    let kept = world.client();
-    let invoke = || {
-        exchange(&kept, &request_text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status()
+fn idle_and_misbehaving_clients_are_closed() {
+    let env = TestEnv::new(2, 0, Some(1.0));
+    let kept_client = env.client();
+    let send_request = || {
+        exchange(&kept_client, &request_text("put", "wide", &env.script(&[]), 3000))
+            .expect("an answer")
+            .status()
     };
-    assert_eq!(invoke(), 200);
+    assert_eq!(send_request(), 200);
     let started = Instant::now();
-    let (silent, half, hasty) = (world.client(), world.client(), world.client());
-    (&half).write_all(b"POST /put/a HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf").expect("written");
-    (&hasty).write_all("GET /nothing HTTP/1.1\r\n\r\n".repeat(100).as_bytes()).expect("written");
-    let mut said = String::new();
-    let _ = (&hasty).read_to_string(&mut said);
-    assert_eq!(said.matches("HTTP/1.1 404").count(), 16);
+    let (silent, incomplete, invalid) = (env.client(), env.client(), env.client());
+    (&incomplete).write_all(b"POST /put/a HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf").expect("written");
+    (&invalid).write_all("GET /nothing HTTP/1.1\r\n\r\n".repeat(100).as_bytes()).expect("written");
+    let mut output = String::new();
+    let _ = (&invalid).read_to_string(&mut output);
+    assert_eq!(output.matches("HTTP/1.1 404").count(), 16);
     let end = loop {
         match (&silent).read(&mut [0]) {
-            // A machine that stands still interrupts a read that has a time limit.
+            // A pause of the machine can interrupt a read with a time-out.
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             end => break end.expect("an end"),
         }
     };
     assert_eq!(end, 0);
-    assert_eq!(HttpMessage::read(&mut BufReader::new(&half)).expect("an answer").status(), 408);
+    assert_eq!(HttpMessage::read(&mut BufReader::new(&incomplete)).expect("an answer").status(), 408);
     assert!(started.elapsed() < Duration::from_millis(3_000), "{:?}", started.elapsed());
     // Of 256 descriptors 145 are for clients.
-    let crowd: Vec<_> = (0..300).map(|_| world.client()).collect();
+    let clients: Vec<_> = (0..300).map(|_| env.client()).collect();
     let again =
-        || world.invoke(&request_text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status();
+        || env.send(&request_text("put", "wide", &env.script(&[]), 3000)).expect("an answer").status();
     assert_eq!(again(), 200);
-    assert_eq!(crowd.len(), 300);
+    assert_eq!(clients.len(), 300);
 }
 
-/// One that asked and stays goes before one that has just come and says something in a while.
+/// Guards against closing a new connection, whose first request is on its way, before one that has been idle
+/// for longer.
 #[test]
-fn the_longest_idle_makes_room() {
-    let world = World::new(2, 0, Some(1.0));
-    let ask = |client: &std::net::TcpStream| {
-        exchange(client, &request_text("put", "wide", &world.script(&[]), 3000)).expect("an answer").status()
+fn longest_idle_client_is_closed_first() {
+    let env = TestEnv::new(2, 0, Some(1.0));
+    let request_status = |client: &std::net::TcpStream| {
+        exchange(client, &request_text("put", "wide", &env.script(&[]), 3000)).expect("an answer").status()
     };
-    let crowd = |n| (0..n).map(|_| world.client()).inspect(|c| assert_eq!(ask(c), 200)).collect::<Vec<_>>();
+    let clients =
+        |n| (0..n).map(|_| env.client()).inspect(|c| assert_eq!(request_status(c), 200)).collect::<Vec<_>>();
     // Of 256 descriptors 145 are for clients.
-    let first = crowd(130);
-    let new = world.client();
-    let more = crowd(100);
-    assert_eq!((ask(&new), first.len(), more.len()), (200, 130, 100));
+    let first = clients(130);
+    let new = env.client();
+    let more = clients(100);
+    assert_eq!((request_status(&new), first.len(), more.len()), (200, 130, 100));
 }
 
-/// Bodies pass unchanged both ways, up to the largest, also in chunks, and two messages in one piece.
+/// Bodies up to the maximum length, with a length and in chunks, and two requests in one write.
 #[test]
-fn bodies_and_pieces() {
-    let world = World::new(2, 0, Some(1.0));
+fn bodies_and_pipelined_requests_are_forwarded_unchanged() {
+    let env = TestEnv::new(2, 0, Some(1.0));
     for (size, in_chunks) in [(0, false), (1, true), (5_000, false), (65_536, false), (65_536, true)] {
-        let id = world.script(&[]);
+        let id = env.script(&[]);
         let body: String = (0..size).map(|n| char::from(b'a' + (n % 26) as u8)).collect();
         let (head, _) = request_text("put", "wide", &id, 3000)
             .split_once("Content-Length")
@@ -231,13 +234,13 @@
         } else {
             format!("{head}Content-Length: {size}\r\n\r\n{body}")
         };
-        let client = world.client();
+        let client = env.client();
         assert_eq!(exchange(&client, &sent).expect("an answer").status(), 200, "{size}, {in_chunks}");
-        let seen = world.seen.attempts_of(&id);
+        let seen = env.worker_log.attempts_of(&id);
         assert_eq!((seen.len(), seen[0].1.body == body.as_bytes()), (1, true), "{size}, {in_chunks}");
     }
-    let (one, two) = (world.script(&[WorkerAction::SucceedAfterMs(50)]), world.script(&[]));
-    let client = world.client();
+    let (one, two) = (env.script(&[WorkerAction::SucceedAfterMs(50)]), env.script(&[]));
+    let client = env.client();
     let both = request_text("put", "wide", &one, 3000) + &request_text("get", "wide", &two, 3000);
     (&client).write_all(both.as_bytes()).expect("written");
     let mut reader = BufReader::new(&client);
@@ -247,233 +250,236 @@
     }
 }
 
-/// Connections to workers are used again, closed before the worker's idle time, and replaced where they broke.
+/// Worker connections are reused, replaced after the worker closed them, and closed before the worker's idle
+/// time-out.
 #[test]
-fn connections_to_workers() {
-    let world = World::new(1, 0, Some(1.0));
-    let client = world.client();
-    let invoke = |does: &[WorkerAction]| {
-        let id = world.script(does);
+fn worker_connections_are_reused_and_closed_when_idle() {
+    let env = TestEnv::new(1, 0, Some(1.0));
+    let client = env.client();
+    let send_request = |actions: &[WorkerAction]| {
+        let id = env.script(actions);
         let answer = exchange(&client, &request_text("put", "wide", &id, 3000)).expect("an answer");
-        assert_eq!((answer.status(), world.seen.attempts_of(&id).len()), (200, 1));
+        assert_eq!((answer.status(), env.worker_log.attempts_of(&id).len()), (200, 1));
     };
-    (0..20).for_each(|_| invoke(&[]));
-    assert_eq!(world.seen.connections.load(Ordering::SeqCst), 1);
-    // Closed by the worker while it was idle: noticed before the next delivery.
-    invoke(&[WorkerAction::SucceedAndClose]);
+    (0..20).for_each(|_| send_request(&[]));
+    assert_eq!(env.worker_log.connections.load(Ordering::SeqCst), 1);
+    // A connection that the worker closed while it was idle is not used for the next attempt.
+    send_request(&[WorkerAction::SucceedAndClose]);
     thread::sleep(Duration::from_millis(50));
-    invoke(&[]);
-    assert_eq!(world.seen.connections.load(Ordering::SeqCst), 2);
-    // The settings' idle time is 1.5 s.
+    send_request(&[]);
+    assert_eq!(env.worker_log.connections.load(Ordering::SeqCst), 2);
+    // The settings' idle time-out is 1.5 s.
     let started = Instant::now();
-    world.until("the idle connection is closed", || world.seen.closed.load(Ordering::SeqCst) == 2);
+    env.wait_until("the idle connection is closed", || env.worker_log.closed.load(Ordering::SeqCst) == 2);
     let took = started.elapsed();
     assert!(took > Duration::from_millis(700) && took < Duration::from_millis(1_500), "{took:?}");
 }
 
-/// Whatever ends the wait closes the worker's connection at once.
+/// The connection of an attempt is closed at once if the client disconnects or the deadline passes.
 #[test]
-fn giving_up_closes_the_connection() {
+fn aborted_attempt_closes_worker_connection() {
     for client_leaves in [true, false] {
-        let world = World::new(1, 0, Some(1.0));
-        let id = world.script(&[WorkerAction::Hang]);
-        let client = world.client();
+        let env = TestEnv::new(1, 0, Some(1.0));
+        let id = env.script(&[WorkerAction::Hang]);
+        let client = env.client();
         (&client).write_all(request_text("put", "wide", &id, 600).as_bytes()).expect("written");
-        world.until("the delivery has come", || world.seen.attempts_of(&id).len() == 1);
-        assert_eq!(world.seen.closed.load(Ordering::SeqCst), 0);
+        env.wait_until("the attempt arrives", || env.worker_log.attempts_of(&id).len() == 1);
+        assert_eq!(env.worker_log.closed.load(Ordering::SeqCst), 0);
         if client_leaves {
             drop(client);
         } else {
             let answer = HttpMessage::read(&mut BufReader::new(&client)).expect("an answer");
             assert_eq!(answer.status(), 502);
         }
-        world.until("the connection is closed", || world.seen.closed.load(Ordering::SeqCst) == 1);
-        assert_eq!(world.seen.attempts_of(&id).len(), 1);
+        env.wait_until("the connection is closed", || env.worker_log.closed.load(Ordering::SeqCst) == 1);
+        assert_eq!(env.worker_log.attempts_of(&id).len(), 1);
     }
 }
 
-/// The bucket throttles at once, with the time to come back; a total past the allowance does so too; a counter
-/// that says nothing delays nothing.
+/// Requests are throttled with `Retry-After` if the token bucket is empty or the counter's total exceeds the
+/// quota. A counter that does not reply delays no request.
 #[test]
-fn quotas_and_the_counter() {
-    // What the counter says to all adds, and whether a customer with tokens left goes on two seconds later.
-    for (total, goes_on) in [(Some(1.0), true), (Some(1000.0), false), (None, true)] {
-        let world = World::new(2, 0, total);
-        let client = world.client();
-        let invoke = |operation| {
+fn quota_and_counter_throttle_requests() {
+    // Total that the counter always replies, and whether a tenant with tokens left is admitted two seconds
+    // later.
+    for (total, is_admitted) in [(Some(1.0), true), (Some(1000.0), false), (None, true)] {
+        let env = TestEnv::new(2, 0, total);
+        let client = env.client();
+        let send_request = |operation| {
             let started = Instant::now();
-            let id = world.script(&[]);
+            let id = env.script(&[]);
             let answer = exchange(&client, &request_text(operation, "narrow", &id, 3000)).expect("an answer");
             assert!(started.elapsed() < Duration::from_millis(500), "{total:?}: {:?}", started.elapsed());
             (
                 answer.status(),
                 answer.header("retry-after").parse::<f64>().unwrap_or(0.0),
-                world.seen.attempts_of(&id).len(),
+                env.worker_log.attempts_of(&id).len(),
             )
         };
-        assert_eq!(invoke("get"), (200, 0.0, 1));
+        assert_eq!(send_request("get"), (200, 0.0, 1));
         thread::sleep(Duration::from_millis(2_000));
-        let (status, wait, attempts) = invoke("put");
-        assert_eq!((status, attempts), if goes_on { (200, 1) } else { (429, 0) }, "{total:?}");
-        assert_eq!(wait > 0.0, !goes_on);
-        let calls = world.counter.calls.lock().expect("not poisoned").clone();
+        let (status, wait, attempts) = send_request("put");
+        assert_eq!((status, attempts), if is_admitted { (200, 1) } else { (429, 0) }, "{total:?}");
+        assert_eq!(wait > 0.0, !is_admitted);
+        let calls = env.counter.calls.lock().expect("not poisoned").clone();
         let first = calls.first().expect("a call");
         assert!(first.starts_with("POST /counters/") && first.contains("?by=1&expire_ms="), "{first}");
-        // A flood empties the bucket, and is told when to come back.
-        (0..5).for_each(|_| _ = invoke("get"));
-        let last = invoke("get");
+        // A burst empties the token bucket.
+        (0..5).for_each(|_| _ = send_request("get"));
+        let last = send_request("get");
         assert!(last.0 == 429 && last.1 > 0.0 && last.1 <= 1.0, "{last:?}");
     }
 }
 
-/// A counter's answer that holds no total ends its connection at once, and the calls after it go on elsewhere.
+/// After a reply without a readable total, the connection to the counter is closed and later calls use a new
+/// one.
 #[test]
-fn totals_that_cannot_be_read() {
+fn unreadable_total_closes_counter_connection() {
     let cases = ["Content-Length: 2\r\n\r\n0x", "Content-Length: 90\r\n\r\n", "no header\r\n\r\n"];
     for case in cases {
-        let world = World::new(2, 0, Some(1.0));
+        let env = TestEnv::new(2, 0, Some(1.0));
         let bad = support::counter_with_response(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
-        world.reload(&config(world.addr, "{}", bad.addr, world.discovery.addr));
+        env.reload(&config(env.addr, "{}", bad.addr, env.discovery.addr));
         let calls = || bad.calls.lock().expect("not poisoned").len();
         for n in 1..3 {
-            let id = world.script(&[]);
-            assert_eq!(
-                world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer").status(),
-                200
-            );
-            world.until("it calls", || calls() >= n);
+            let id = env.script(&[]);
+            assert_eq!(env.send(&request_text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
+            env.wait_until("the counter is called", || calls() >= n);
             thread::sleep(Duration::from_millis(200));
             assert_eq!((calls(), bad.closed.load(Ordering::SeqCst)), (n, n as u32), "{case:?}");
         }
     }
 }
 
-/// Drains and newcomers are followed; a watch that falls silent is opened anew, from what was heard last.
+/// Drained, restored and deleted workers are applied. A watch that times out is reopened from the last
+/// revision received.
 #[test]
-fn the_list() {
-    let world = World::new(2, 0, Some(1.0));
-    // Three at a time: with one after another, each would go where a connection is at hand.
-    let went_to = || {
-        let ids: Vec<String> = (0..18).map(|_| world.script(&[WorkerAction::SucceedAfterMs(100)])).collect();
+fn worker_list_updates_are_applied() {
+    let env = TestEnv::new(2, 0, Some(1.0));
+    // Three concurrent requests, as sequential ones would all use the worker with an idle connection.
+    let used_workers = || {
+        let ids: Vec<String> = (0..18).map(|_| env.script(&[WorkerAction::SucceedAfterMs(100)])).collect();
         for three in ids.chunks(3) {
             thread::scope(|s| {
                 for id in three {
                     s.spawn(|| {
-                        let answer = world.invoke(&request_text("put", "wide", id, 3000)).expect("an answer");
+                        let answer = env.send(&request_text("put", "wide", id, 3000)).expect("an answer");
                         assert_eq!(answer.status(), 200);
                     });
                 }
             });
         }
         let mut to: Vec<usize> =
-            ids.iter().flat_map(|id| world.seen.attempts_of(id)).map(|(n, _)| n).collect();
+            ids.iter().flat_map(|id| env.worker_log.attempts_of(id)).map(|(n, _)| n).collect();
         to.sort_unstable();
         to.dedup();
         to
     };
-    world.until("it watches", || !world.discovery.calls.lock().expect("not poisoned").is_empty());
-    assert_eq!(went_to(), [0, 1]);
-    let news = |revision, line: String| {
-        let news = format!(r#"{{"revision":{revision},"complete":false,"members":[{line}],"more":1}}"#);
-        world.discovery.send_to_watchers(&news);
+    env.wait_until("discovery is watched", || !env.discovery.calls.lock().expect("not poisoned").is_empty());
+    assert_eq!(used_workers(), [0, 1]);
+    let send_update = |revision, line: String| {
+        let update = format!(r#"{{"revision":{revision},"complete":false,"members":[{line}],"more":1}}"#);
+        env.discovery.send_to_watchers(&update);
         thread::sleep(Duration::from_millis(100));
     };
-    news(8, worker_entry(0, world.workers[0], "DRAINING"));
-    assert_eq!(went_to(), [1]);
-    news(9, worker_entry(0, world.workers[0], "SERVING"));
-    assert_eq!(went_to(), [0, 1]);
-    news(10, r#"{"id":"s-1","phase":"DELETED"}"#.to_string());
-    assert_eq!(went_to(), [0]);
-    world.discovery.send_to_watchers("");
-    // No line for four seconds.
-    let asked = || world.discovery.calls.lock().expect("not poisoned").clone();
-    world.until("it watches anew", || asked().len() == 2);
+    send_update(8, worker_entry(0, env.workers[0], "DRAINING"));
+    assert_eq!(used_workers(), [1]);
+    send_update(9, worker_entry(0, env.workers[0], "SERVING"));
+    assert_eq!(used_workers(), [0, 1]);
+    send_update(10, r#"{"id":"s-1","phase":"DELETED"}"#.to_string());
+    assert_eq!(used_workers(), [0]);
+    env.discovery.send_to_watchers("");
+    // The watch receives no further data, so that it times out.
+    let watch_requests = || env.discovery.calls.lock().expect("not poisoned").clone();
+    env.wait_until("discovery is watched again", || watch_requests().len() == 2);
     assert!(
-        asked()[0].contains("watch=1&from=7 ") && asked()[1].contains("watch=1&from=10 "),
+        watch_requests()[0].contains("watch=1&from=7 ") && watch_requests()[1].contains("watch=1&from=10 "),
         "{:?}",
-        asked()
+        watch_requests()
     );
-    assert_eq!(went_to(), [0]);
+    assert_eq!(used_workers(), [0]);
 }
 
-/// SIGHUP: discovery and the counter at their new addresses take over from what was heard and counted last, the
-/// old ones are let go, and a file that can't be used changes nothing.
+/// After SIGHUP, discovery and the counter are used at their new addresses without losing the list or the
+/// counts. An invalid file changes nothing.
 #[test]
-fn new_configurations() {
-    let world = World::new(2, 0, Some(1.0));
-    let invoke = || {
-        let id = world.script(&[]);
-        let answer = world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer");
-        (answer.status(), world.seen.attempts_of(&id).first().map(|(n, _)| *n))
+fn reload_switches_discovery_and_counter() {
+    let env = TestEnv::new(2, 0, Some(1.0));
+    let send_request = || {
+        let id = env.script(&[]);
+        let answer = env.send(&request_text("put", "wide", &id, 3000)).expect("an answer");
+        (answer.status(), env.worker_log.attempts_of(&id).first().map(|(n, _)| *n))
     };
-    let asked = |of: &support::Discovery| of.calls.lock().expect("not poisoned").clone();
+    let watch_requests = |of: &support::Discovery| of.calls.lock().expect("not poisoned").clone();
     let calls = |of: &support::Counter| of.calls.lock().expect("not poisoned").len();
-    let news = |revision, n: usize, phase| {
-        let line = worker_entry(n, world.workers[n], phase);
+    let list_update = |revision, n: usize, phase| {
+        let line = worker_entry(n, env.workers[n], phase);
         format!(r#"{{"revision":{revision},"complete":false,"members":[{line}]}}"#)
     };
-    world.until("it watches", || !asked(&world.discovery).is_empty());
-    world.discovery.send_to_watchers(&news(8, 0, "DRAINING"));
-    assert_eq!(invoke().0, 200);
-    world.until("it counts", || calls(&world.counter) > 0);
+    env.wait_until("discovery is watched", || !watch_requests(&env.discovery).is_empty());
+    env.discovery.send_to_watchers(&list_update(8, 0, "DRAINING"));
+    assert_eq!(send_request().0, 200);
+    env.wait_until("the counter is called", || calls(&env.counter) > 0);
     let (new, total) = (discovery(), counter(Some(1e6)));
     let known = r#"{"revision":1,"complete":true,"members":[]}"#;
-    world.reload(&config(world.addr, known, total.addr, new.addr));
-    world.until("it watches anew", || asked(&new).len() == 1);
-    assert!(asked(&new)[0].contains("watch=1&from=8 "), "{:?}", asked(&new));
-    // The old watch is late, the new one is not.
-    world.discovery.send_to_watchers(&news(7, 0, "SERVING"));
-    new.send_to_watchers(&news(9, 1, "SERVING"));
+    env.reload(&config(env.addr, known, total.addr, new.addr));
+    env.wait_until("discovery is watched again", || watch_requests(&new).len() == 1);
+    assert!(watch_requests(&new)[0].contains("watch=1&from=8 "), "{:?}", watch_requests(&new));
+    // An outdated update from the previous watch is ignored, an update from the new one is applied.
+    env.discovery.send_to_watchers(&list_update(7, 0, "SERVING"));
+    new.send_to_watchers(&list_update(9, 1, "SERVING"));
     thread::sleep(Duration::from_millis(100));
-    (0..8).for_each(|_| assert_eq!(invoke(), (200, Some(1))));
-    let old_calls = calls(&world.counter);
-    world.until("it counts at the new address", || calls(&total) > 0);
-    assert_eq!(calls(&world.counter), old_calls);
-    // What the new counter says holds.
+    (0..8).for_each(|_| assert_eq!(send_request(), (200, Some(1))));
+    let old_calls = calls(&env.counter);
+    env.wait_until("the new counter is called", || calls(&total) > 0);
+    assert_eq!(calls(&env.counter), old_calls);
+    // The total of the new counter applies.
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(invoke(), (429, None));
-    for unusable in
-        ["", "{\"name\":", &config(world.addr, known, total.addr, new.addr).replace("8c1f", "none")]
+    assert_eq!(send_request(), (429, None));
+    for unusable in ["", "{\"name\":", &config(env.addr, known, total.addr, new.addr).replace("8c1f", "none")]
     {
-        world.reload(unusable);
+        env.reload(unusable);
         thread::sleep(Duration::from_millis(50));
-        assert_eq!(invoke(), (429, None));
+        assert_eq!(send_request(), (429, None));
     }
-    assert_eq!((asked(&new).len(), asked(&world.discovery).len()), (1, 1));
+    assert_eq!((watch_requests(&new).len(), watch_requests(&env.discovery).len()), (1, 1));
 }
 
-/// SIGTERM: serves on for a grace, then takes no more, answers all it has, and ends well in time.
+/// After SIGTERM, the gatekeeper serves new clients for a grace period, answers all open requests and exits
+/// in time.
 #[test]
-fn the_end() {
-    // How long the worker takes, what the client gets, the integration timeout, and when the kill may come.
+fn graceful_shutdown_answers_open_requests() {
+    // Latency of the worker, expected status, integration time-out, and time limit for the exit, in
+    // milliseconds.
     let cases = [(1_500, 200, 4_000, 3_700), (20_000, 502, 4_000, 3_700), (20_000, 502, 1_000, 1_700)];
-    for (takes, wanted, timeout, killed) in cases {
-        let mut world = World::with_timeout(2, 0, Some(1.0), timeout);
-        let slow = world.script(&[WorkerAction::SucceedAfterMs(takes)]);
-        let (waiting, idle) = (world.client(), world.client());
+    for (latency_ms, wanted, timeout, exit_limit_ms) in cases {
+        let mut env = TestEnv::with_timeout(2, 0, Some(1.0), timeout);
+        let slow = env.script(&[WorkerAction::SucceedAfterMs(latency_ms)]);
+        let (waiting, idle) = (env.client(), env.client());
         (&waiting).write_all(request_text("put", "wide", &slow, 20_000).as_bytes()).expect("written");
-        world.until("the delivery has come", || world.seen.attempts_of(&slow).len() == 1);
-        world.signal("TERM");
+        env.wait_until("the attempt arrives", || env.worker_log.attempts_of(&slow).len() == 1);
+        env.signal("TERM");
         let started = Instant::now();
         thread::sleep(Duration::from_millis(100));
-        let id = world.script(&[]);
-        assert_eq!(world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
+        let id = env.script(&[]);
+        assert_eq!(env.send(&request_text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
         assert_eq!((&idle).read(&mut [0]).expect("an end"), 0);
         assert!(started.elapsed() > Duration::from_millis(400), "closed before the grace was over");
         let refused =
-            std::net::TcpStream::connect(world.addr).map(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n"));
+            std::net::TcpStream::connect(env.addr).map(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n"));
         assert!(matches!(refused, Err(_) | Ok(None)), "{refused:?}");
         let answer = HttpMessage::read(&mut BufReader::new(&waiting)).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (wanted, "close"));
         drop((waiting, idle));
-        let status = world.ended(Duration::from_millis(killed).saturating_sub(started.elapsed()));
+        let status =
+            env.wait_for_exit(Duration::from_millis(exit_limit_ms).saturating_sub(started.elapsed()));
         assert!(status.is_some_and(|s| s.success()), "{status:?}");
     }
 }
 
-/// A configuration that can't be used: one line that says why, and no success.
+/// An invalid configuration is reported in one line with its cause, and the exit status is a failure.
 #[test]
-fn bad_configurations() {
+fn invalid_configuration_is_reported_in_one_line() {
     let none: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let free = "127.0.0.1:0".parse().expect("an address");
     let good = config(free, r#"{"revision":1,"complete":true,"members":[]}"#, none, none);
@@ -487,9 +493,9 @@
     ];
     for (wanted, text) in cases {
         let out = program(&text).0.output().expect("runs");
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
+        let output = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(!out.status.success(), "{wanted}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.starts_with(&format!("lynxstair-gatekeeper: {wanted}")), "{wanted}: {said}");
+        assert_eq!(output.lines().count(), 1, "{output}");
+        assert!(output.starts_with(&format!("lynxstair-gatekeeper: {wanted}")), "{wanted}: {output}");
     }
 }
--- a/crates/gatekeeper/tests/support/mod.rs
+++ b/crates/gatekeeper/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gatekeeper started as a program among stand-ins, all on free loopback ports.
+//! Test environment: a gatekeeper process with fake workers, counter and discovery on free loopback ports.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -16,10 +16,10 @@
 };
 use lynxstair_fakes::{free_port, worker};
 
-pub struct World {
+pub struct TestEnv {
     pub addr: SocketAddr,
     child: Child,
-    pub seen: Arc<WorkerLog>,
+    pub worker_log: Arc<WorkerLog>,
     pub workers: Vec<SocketAddr>,
     pub counter: Counter,
     pub discovery: Discovery,
@@ -28,46 +28,48 @@
     file: PathBuf,
 }
 
-impl World {
-    /// A gatekeeper that knows so many workers, and as many again that take no connections.
-    pub fn new(alive: usize, dead: usize, total: Option<f64>) -> World {
-        World::with_timeout(alive, dead, total, 4_000)
+impl TestEnv {
+    /// Starts a gatekeeper with `live` workers and `refusing` workers that refuse connections. `total` is the
+    /// reply of the counter; it never replies if `None`.
+    pub fn new(live: usize, refusing: usize, total: Option<f64>) -> TestEnv {
+        TestEnv::with_timeout(live, refusing, total, 4_000)
     }
 
-    /// The same, where the integration timeout of all operations is so many milliseconds.
-    pub fn with_timeout(alive: usize, dead: usize, total: Option<f64>, timeout_ms: u32) -> World {
-        let (seen, script) = (Arc::new(WorkerLog::default()), Arc::default());
+    /// Like `new`, with an integration time-out for all operations.
+    pub fn with_timeout(live: usize, refusing: usize, total: Option<f64>, timeout_ms: u32) -> TestEnv {
+        let (worker_log, script) = (Arc::new(WorkerLog::default()), Arc::default());
         let mut workers: Vec<SocketAddr> =
-            (0..alive).map(|n| worker(n, Arc::clone(&seen), Arc::clone(&script))).collect();
-        // The port of a listener that is gone refuses.
-        workers.extend((0..dead).map(|_| free_port()));
+            (0..live).map(|n| worker(n, Arc::clone(&worker_log), Arc::clone(&script))).collect();
+        // Connections to a port without a listener are refused.
+        workers.extend((0..refusing).map(|_| free_port()));
         let members: Vec<String> =
             workers.iter().enumerate().map(|(n, addr)| worker_entry(n, *addr, "SERVING")).collect();
         let known = format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, members.join(","));
         let (counter, discovery) = (counter(total), discovery());
         let (addr, child, file) = start(&known, counter.addr, discovery.addr, timeout_ms);
         let ids = AtomicU32::new(1);
-        let world = World { addr, child, seen, workers, counter, discovery, script, ids, file };
-        world.until("the gatekeeper is up", || {
+        let env = TestEnv { addr, child, worker_log, workers, counter, discovery, script, ids, file };
+        env.wait_until("the gatekeeper is up", || {
             TcpStream::connect(addr)
                 .is_ok_and(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
         });
-        world
+        env
     }
 
-    /// Waits, for ten seconds at most.
-    pub fn until(&self, what: &str, is_so: impl Fn() -> bool) {
+    /// Waits until `condition` returns `true`; panics after ten seconds.
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let started = Instant::now();
-        while !is_so() {
-            assert!(started.elapsed() < Duration::from_secs(10), "not in time: {what}");
+        while !condition() {
+            assert!(started.elapsed() < Duration::from_secs(10), "timed out: {what}");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// An id no invocation has yet, and what becomes of its attempts.
-    pub fn script(&self, does: &[WorkerAction]) -> String {
+    /// Returns a new request id, and sets what the workers do on its attempts; after the last action they
+    /// succeed.
+    pub fn script(&self, actions: &[WorkerAction]) -> String {
         let id = format!("{:016x}", self.ids.fetch_add(1, Ordering::SeqCst));
-        self.script.lock().expect("not poisoned").insert(id.clone(), does.to_vec());
+        self.script.lock().expect("not poisoned").insert(id.clone(), actions.to_vec());
         id
     }
 
@@ -77,8 +79,8 @@
         stream
     }
 
-    /// Sends one invocation on a connection of its own.
-    pub fn invoke(&self, text: &str) -> Option<HttpMessage> {
+    /// Sends a request on a new connection.
+    pub fn send(&self, text: &str) -> Option<HttpMessage> {
         exchange(&self.client(), text)
     }
 
@@ -87,15 +89,15 @@
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("sh").success());
     }
 
-    /// Puts a configuration in the place of the one at hand, and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.file, config).expect("written");
         self.signal("HUP");
     }
 
-    pub fn ended(&mut self, within: Duration) -> Option<ExitStatus> {
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let started = Instant::now();
-        while started.elapsed() < within {
+        while started.elapsed() < timeout {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return Some(status);
             }
@@ -105,14 +107,14 @@
     }
 }
 
-impl Drop for World {
+impl Drop for TestEnv {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The program with a configuration, and the file that this is in.
+/// Returns the command that runs the program with a configuration, and the configuration file.
 pub fn program(config: &str) -> (Command, PathBuf) {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let number = FILES.fetch_add(1, Ordering::SeqCst);
@@ -124,7 +126,7 @@
     (command, path)
 }
 
-/// On a port that is free; another one where it was taken meanwhile.
+/// Starts the program on a free port. Tries again with another one if the port was taken meanwhile.
 fn start(
     known: &str,
     counter: SocketAddr,
