--- a/crates/config/src/bounds.rs
+++ b/crates/config/src/bounds.rs
@@ -32,9 +32,9 @@
     /// Requests by which it may be exceeded on top of that.
     pub quota_slack: f64,
     /// The factor by which the rate of a worker that is warming up may be exceeded.
-    pub cold_overshoot: f64,
+    pub warm_up_overshoot: f64,
     /// Requests a second by which it may be exceeded on top of that.
-    pub cold_slack: f64,
+    pub warm_up_slack: f64,
     /// How long an acknowledged evacuation may take to be in force.
     pub evacuate: Span,
     /// The longest time that a directory answer may be used for.
@@ -62,8 +62,8 @@
             quota_window: pairs.seconds("quota-window-s", 5.0)?,
             quota_overshoot: pairs.number("quota-overshoot", 0.1)?,
             quota_slack: pairs.number("quota-slack", 20.0)?,
-            cold_overshoot: pairs.number("cold-overshoot", 1.5)?,
-            cold_slack: pairs.number("cold-slack", 5.0)?,
+            warm_up_overshoot: pairs.number("cold-overshoot", 1.5)?,
+            warm_up_slack: pairs.number("cold-slack", 5.0)?,
             evacuate: pairs.seconds("evacuate-s", 5.0)?,
             ttl_max: pairs.seconds("ttl_max_s", 5.0)?,
             catch_up: pairs.seconds("catch-up-s", 4.0)?,
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -48,7 +48,7 @@
     /// Needs no key.
     pub public: bool,
     /// Regions that it may be served in; empty means all.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 /// A service.
@@ -76,7 +76,7 @@
     /// Requests that may come on top of the rate at once.
     pub burst: f64,
     /// Regions that it may be served in; empty means all.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 /// Bounds on what a client may send.
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -18,9 +18,9 @@
 const DEFAULT_MEMORY_MB: f64 = 128.0;
 const DEFAULT_MAX_FDS: f64 = 1024.0;
 const DEFAULT_HEARTBEAT_PERIOD_S: f64 = 1.5;
-const DEFAULT_TOLERATED: f64 = 1.0;
+const DEFAULT_FAULT_BUDGET_MACHINES: f64 = 1.0;
 /// No system has enough controllers to lose more of them at once.
-const MAX_TOLERATED: f64 = 8.0;
+const MAX_FAULT_BUDGET_MACHINES: f64 = 8.0;
 
 /// Why a settings file can't be used. Trying again helps once the file was changed.
 #[derive(Debug)]
@@ -102,7 +102,7 @@
     /// How often a worker sends a heartbeat.
     pub heartbeat_period: Span,
     /// How many machines may be lost at once with all rules kept.
-    pub tolerated: usize,
+    pub fault_budget_machines: usize,
     /// The operators' rules.
     pub bounds: Bounds,
 }
@@ -158,7 +158,7 @@
                 "beat-period-s",
                 DEFAULT_HEARTBEAT_PERIOD_S,
             )?),
-            tolerated: read_tolerated(fields)?,
+            fault_budget_machines: read_fault_budget(fields)?,
             bounds: Bounds::from_settings(fields)?,
         })
     }
@@ -226,13 +226,13 @@
     Ok(zones)
 }
 
-fn read_tolerated(fields: &Object) -> Result<usize, ValueError> {
+fn read_fault_budget(fields: &Object) -> Result<usize, ValueError> {
     let path = "fault-budget.machines";
     let empty = Object::new();
     let budget = section(fields, "fault-budget")?.unwrap_or(&empty);
-    let machines = number(budget, "machines", path, DEFAULT_TOLERATED)?;
-    if !(0.0..=MAX_TOLERATED).contains(&machines) || machines.fract() != 0.0 {
-        return invalid(path, format!("a whole number from 0 to {MAX_TOLERATED} is wanted"));
+    let machines = number(budget, "machines", path, DEFAULT_FAULT_BUDGET_MACHINES)?;
+    if !(0.0..=MAX_FAULT_BUDGET_MACHINES).contains(&machines) || machines.fract() != 0.0 {
+        return invalid(path, format!("a whole number from 0 to {MAX_FAULT_BUDGET_MACHINES} is wanted"));
     }
     Ok(machines as usize)
 }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -35,11 +35,11 @@
 impl Configuration {
     /// Reads and checks a configuration.
     pub fn from_table(table: &ConfigTable) -> Result<Configuration, ValueError> {
-        Configuration::from_table_after(table, None)
+        Configuration::from_table_reusing(table, None)
     }
 
     /// The same, where an older version was read: only rows that differ from it are read, and everything is checked.
-    pub fn from_table_after(table: &ConfigTable, older: Older) -> Result<Configuration, ValueError> {
+    pub fn from_table_reusing(table: &ConfigTable, older: Older) -> Result<Configuration, ValueError> {
         let unchanged = |n: usize| {
             let same = older.filter(|(old, _)| table.tables[n].is_same(&old.tables[n]));
             same.map(|(_, configuration)| configuration)
@@ -232,7 +232,7 @@
         services,
         max_attempts: max_attempts as u32,
         public: get(fields, "public").map_or(Ok(false), |v| json::as_bool(v, &join(path, "public")))?,
-        homes: texts(fields, "home-regions", path)?,
+        home_regions: texts(fields, "home-regions", path)?,
     })
 }
 
@@ -283,7 +283,7 @@
         priority: priority.map(|p| p as u32),
         rate: number(fields, "rate-per-s", path, 0.0)?,
         burst: number(fields, "burst", path, 0.0)?,
-        homes: texts(fields, "home-regions", path)?,
+        home_regions: texts(fields, "home-regions", path)?,
     })
 }
 
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -15,9 +15,9 @@
     let good = Settings::from_yaml(GOOD).expect("good");
     assert_eq!((good.bounds.drain, good.bounds.revoke_final), (Span::from_millis(2500), true));
     assert_eq!((good.region_of("b"), good.limits.max_fds, good.bootstrap), (Some("s"), 4100, true));
-    assert_eq!((good.tolerated, good.bounds.catch_up), (2, Span::from_millis(4000)));
+    assert_eq!((good.fault_budget_machines, good.bounds.catch_up), (2, Span::from_millis(4000)));
     let without = GOOD.replace("fault-budget:\n  machines: 2\n  zones: 1\n", "");
-    assert_eq!(Settings::from_yaml(&without).expect("good").tolerated, 1);
+    assert_eq!(Settings::from_yaml(&without).expect("good").fault_budget_machines, 1);
     let line = GOOD.split("bounds:").next().expect("some").to_string() + "bounds: \"drain-s=3,grace-s=4\"\n";
     assert_eq!(Settings::from_yaml(&line).expect("good").bounds.grace, Span::from_millis(4000));
     let cases = [
--- a/crates/control-state/src/config_replica.rs
+++ b/crates/control-state/src/config_replica.rs
@@ -52,7 +52,7 @@
         let older = self.version.as_ref().map(|v| (&self.table, &*v.configuration));
         // Where the last table could not be read, the version in force is of one before it.
         let older = older.filter(|(table, read)| table.generation == read.generation);
-        let read = (table.generation > 0).then(|| Configuration::from_table_after(&table, older));
+        let read = (table.generation > 0).then(|| Configuration::from_table_reusing(&table, older));
         // Zones are evacuated also where the configuration of another build can't be read.
         let configuration = match read {
             Some(Ok(configuration)) => Some(Arc::new(configuration)),
--- a/crates/control-state/src/config_store.rs
+++ b/crates/control-state/src/config_store.rs
@@ -215,7 +215,7 @@
     /// What a table says that comes after the one here.
     fn configuration_after(&self, table: &ConfigTable) -> Result<Configuration, ValueError> {
         let older = self.configuration().map(|configuration| (&self.table, &**configuration));
-        Configuration::from_table_after(table, older)
+        Configuration::from_table_reusing(table, older)
     }
 
     /// Whether a command was accepted, as far as that is remembered.
--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -22,7 +22,8 @@
 /// nobody, as it lies in the past. Said as if it were of now, it closed the tenant everywhere for seconds.
 #[test]
 fn late_usage_reports_count_in_the_past() {
-    let tenants = vec![Tenant { name: "t".into(), priority: None, rate: 8.0, burst: 8.0, homes: vec![] }];
+    let tenants =
+        vec![Tenant { name: "t".into(), priority: None, rate: 8.0, burst: 8.0, home_regions: vec![] }];
     let play = |counts: &dyn Fn() -> Vec<TenantUsage>| -> Vec<QuotaShare> {
         let mut allocator = QuotaAllocator::new(GRANT);
         let mut closed = Vec::new();
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -14,7 +14,7 @@
 const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
 
 fn tenant(rate: f64) -> Tenant {
-    Tenant { name: "t".into(), priority: None, rate, burst: rate, homes: vec![] }
+    Tenant { name: "t".into(), priority: None, rate, burst: rate, home_regions: vec![] }
 }
 
 fn at(ms: u64) -> Time {
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -101,7 +101,7 @@
         seed: now.nanos() ^ u64::from(me.port()) << 48 ^ fnv1a(FNV_OFFSET, &settings.node),
         stored,
         bootstrap,
-        tolerated: settings.tolerated,
+        tolerated: settings.fault_budget_machines,
         catch_up: settings.bounds.catch_up,
     };
     Ok(ControllerState {
--- a/crates/emulator/tests/core.rs
+++ b/crates/emulator/tests/core.rs
@@ -238,15 +238,18 @@
     let late = ReplyHead {
         owner: if is_matched { whose } else { ReplyOwner::Own },
         status: surplus,
-        says_not_run: true,
+        reports_not_run: true,
         is_sealed: false,
         is_encoded: false,
-        is_clean: true,
+        allows_reuse: true,
     };
-    let own = ReplyHead { owner: ReplyOwner::Own, status: 200, says_not_run: false, is_sealed: true, ..late };
+    let own =
+        ReplyHead { owner: ReplyOwner::Own, status: 200, reports_not_run: false, is_sealed: true, ..late };
     let mut one = Attempt::new(is_first);
     let mut runs = 1;
-    for met in [AttemptEvent::Taken { all: true }, AttemptEvent::Reply(late), AttemptEvent::Reply(own)] {
+    for met in
+        [AttemptEvent::Written { is_complete: true }, AttemptEvent::Reply(late), AttemptEvent::Reply(own)]
+    {
         if let AttemptStep::Ended(end) = one.on_event(met) {
             runs += usize::from(end.execution.may_retry(false));
             break;
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -69,7 +69,7 @@
         let now = alarms.now();
         if now >= deadline || cancel.stop_reason().is_some() || !(request.may_forward)(now) {
             self.discard(&connection);
-            return unsent(AttemptEvent::Withheld);
+            return unsent(AttemptEvent::SendNotPermitted);
         }
         let mut attempt = Attempt::new(is_new);
         let time_left_ms = (deadline - now).nanos() / 1_000_000;
@@ -112,7 +112,7 @@
                 stop = read_all(connection).unwrap_or(stop);
             }
             if attempt.state() < AttemptState::Sent {
-                attempt.on_event(AttemptEvent::Taken { all: connection.unsent() == 0 });
+                attempt.on_event(AttemptEvent::Written { is_complete: connection.unsent() == 0 });
             }
             loop {
                 // A statement of its own: the buffer is not locked any more when the reply is handled.
--- a/crates/proxy/src/routing_state.rs
+++ b/crates/proxy/src/routing_state.rs
@@ -121,7 +121,13 @@
                 &settings.zone,
                 &settings.region,
                 &settings.zones,
-                SlowStart::new(now, &settings.zone, &settings.node, bounds.cold_overshoot, bounds.cold_slack),
+                SlowStart::new(
+                    now,
+                    &settings.zone,
+                    &settings.node,
+                    bounds.warm_up_overshoot,
+                    bounds.warm_up_slack,
+                ),
             ),
             split: WeightedSplit::default(),
             proxy_counts: ProxyCounts::default(),
@@ -244,7 +250,7 @@
         }
         let mut wants_instances = false;
         if self.lease.is_fresh(now, CONTACT_TIMEOUT) {
-            wants_instances = self.contact.on_heard(now);
+            wants_instances = self.contact.on_contact(now);
         }
         if ack.is_leader {
             let has_unconfirmed = self.registry.has_unconfirmed();
@@ -324,7 +330,7 @@
             return Err(LocalResponse::retry_after(429, "quota", wait));
         }
         let time_left = request.time_left.unwrap_or(route.timeout).min(route.timeout);
-        let homes = [Some(&route.homes), tenant.map(|t| &t.homes)];
+        let homes = [Some(&route.home_regions), tenant.map(|t| &t.home_regions)];
         Ok(AdmittedRequest {
             service: self.draw_service(route),
             tenant: tenant.map(|t| t.name.clone()),
@@ -443,7 +449,7 @@
         execution: Execution,
     ) {
         self.balancer.report(now, picked, outcome);
-        request.execution = request.execution.and(execution);
+        request.execution = request.execution.combine(execution);
     }
 
     /// The final response to a request that goes to no worker any more.
@@ -482,7 +488,7 @@
 ) -> WarmUpKnowledge {
     match replica.restored_at(zone) {
         Some(at) if now - at < report_time(settings.heartbeat_period) => WarmUpKnowledge::NotYetReported,
-        _ if lease.is_fresh(now, CONTACT_TIMEOUT) && contact.is_settled(now) => WarmUpKnowledge::Reported,
+        _ if lease.is_fresh(now, CONTACT_TIMEOUT) && contact.is_current(now) => WarmUpKnowledge::Reported,
         _ => WarmUpKnowledge::Unknown,
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -120,7 +120,8 @@
     };
     let Some(usage) = usage else { return };
     info!(
-        workers = usage.workers, known = usage.known, unknown = usage.unknown, most = usage.most, proxies = proxies;
+        workers = usage.workers, known = usage.to_warming, unknown = usage.to_unknown,
+        most = usage.max_per_worker, proxies = proxies;
         "requests to warming workers"
     );
 }
--- a/crates/proxy/src/worker_reply.rs
+++ b/crates/proxy/src/worker_reply.rs
@@ -67,7 +67,8 @@
     let here = bytes.len() - head;
     match (http::response_extent(bytes, stop, MAX_HELD_UNSIZED), long_body) {
         (Ok(Some(extent)), _) => {
-            reply.is_clean = extent.keep_alive && extent.total == inbound.len() && stop == StreamState::Open;
+            reply.allows_reuse =
+                extent.keep_alive && extent.total == inbound.len() && stop == StreamState::Open;
             Ok(Some(FoundReply { head: reply, extent, remaining: 0, keep_alive }))
         }
         // A long one is relayed as it comes, once it is known to be the right one.
@@ -78,7 +79,7 @@
             Ok(Some(FoundReply { head: reply, extent, remaining: length - here, keep_alive }))
         }
         (Ok(None), _) => Ok(None),
-        (Err(_), _) => Err(AttemptEvent::Garbled),
+        (Err(_), _) => Err(AttemptEvent::MalformedReply),
     }
 }
 
@@ -86,7 +87,7 @@
     let (answer, head) = match http::parse_response_head(bytes) {
         Ok(Some(found)) => found,
         Ok(None) => return Ok(None),
-        Err(_) => return Err(AttemptEvent::Garbled),
+        Err(_) => return Err(AttemptEvent::MalformedReply),
     };
     let headers = &answer.headers;
     let has = |name| headers.get(name).is_some();
@@ -101,10 +102,10 @@
         reply: ReplyHead {
             owner,
             status: answer.status,
-            says_not_run: has("not-run"),
+            reports_not_run: has("not-run"),
             is_sealed: has("server-seal"),
             is_encoded: has("content-encoding"),
-            is_clean: false,
+            allows_reuse: false,
         },
         bytes: head,
         long_body: length.filter(|l| *l > MAX_HELD_BODY && !has("transfer-encoding")),
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -40,13 +40,13 @@
     /// Its status.
     pub status: u16,
     /// The worker says that the request has not run.
-    pub says_not_run: bool,
+    pub reports_not_run: bool,
     /// It bears the worker's seal.
     pub is_sealed: bool,
     /// Its body is encoded, which was not asked for.
     pub is_encoded: bool,
     /// Nothing of it is still to come, nothing follows it, and the worker keeps the connection open.
-    pub is_clean: bool,
+    pub allows_reuse: bool,
 }
 
 /// Why no more is waited for.
@@ -68,16 +68,16 @@
     /// No connection came up in time, or none may be opened.
     NoConnection,
     /// The request may not be sent any more: its deadline has passed, its zone is evacuated, the lease has run out.
-    Withheld,
+    SendNotPermitted,
     /// The kernel has taken some of the request.
-    Taken {
+    Written {
         /// Whether all of it.
-        all: bool,
+        is_complete: bool,
     },
     /// A reply has come.
     Reply(ReplyHead),
     /// Bytes that form no reply.
-    Garbled,
+    MalformedReply,
     /// All that the kernel held was read, and none of it was the reply.
     Stopped {
         /// Why no more is waited for.
@@ -134,14 +134,14 @@
     pub fn on_event(&mut self, event: AttemptEvent) -> AttemptStep {
         let step = match event {
             AttemptEvent::NoConnection => ended(Execution::NeverRan, Outcome::ConnectFailed),
-            AttemptEvent::Withheld => ended(Execution::NeverRan, Outcome::Cancelled),
-            AttemptEvent::Taken { all } => {
-                self.state = if all { AttemptState::Sent } else { AttemptState::PartlySent };
+            AttemptEvent::SendNotPermitted => ended(Execution::NeverRan, Outcome::Cancelled),
+            AttemptEvent::Written { is_complete } => {
+                self.state = if is_complete { AttemptState::Sent } else { AttemptState::PartlySent };
                 AttemptStep::Continue
             }
             AttemptEvent::Reply(head) => self.on_reply(head),
             // A worker that answers something has read something: also where the end of the request has not left.
-            AttemptEvent::Garbled => ended(Execution::MayHaveRun, Outcome::Errored),
+            AttemptEvent::MalformedReply => ended(Execution::MayHaveRun, Outcome::Errored),
             AttemptEvent::Stopped { reason, has_partial_reply } => self.on_stopped(reason, has_partial_reply),
         };
         if matches!(step, AttemptStep::Ended(_)) {
@@ -161,7 +161,7 @@
             // request can be meant.
             ReplyOwner::Unidentified
                 if head.status == 400
-                    && head.says_not_run
+                    && head.reports_not_run
                     && self.is_first_on_connection
                     && !self.has_surplus =>
             {
@@ -175,9 +175,9 @@
     }
 
     fn on_own_reply(&self, head: ReplyHead) -> AttemptStep {
-        let keep_connection = head.is_clean && !self.has_surplus && self.state == AttemptState::Sent;
+        let keep_connection = head.allows_reuse && !self.has_surplus && self.state == AttemptState::Sent;
         let end = |execution, outcome| AttemptStep::Ended(AttemptEnd { execution, outcome, keep_connection });
-        match (head.status, head.says_not_run) {
+        match (head.status, head.reports_not_run) {
             (400 | 429 | 503, true) | (421, _) => end(Execution::NeverRan, Outcome::Full),
             // It contradicts itself; or it is a promise that the worker did not give and a proxy can't.
             (_, true) | (408 | 429 | 503, false) => ended(Execution::MayHaveRun, Outcome::Errored),
--- a/crates/routing/src/controller_contact.rs
+++ b/crates/routing/src/controller_contact.rs
@@ -20,7 +20,7 @@
 
 impl ControllerContact {
     /// A controller with quorum contact was heard. Returns whether that ends a silence, so that a snapshot is wanted.
-    pub fn on_heard(&mut self, now: Time) -> bool {
+    pub fn on_contact(&mut self, now: Time) -> bool {
         let is_regained = self.heard_at.is_some_and(|at| now - at >= CONTACT_TIMEOUT);
         if is_regained {
             self.has_snapshot = false;
@@ -35,7 +35,7 @@
     }
 
     /// Whether what is known of workers here is what the controllers know.
-    pub fn is_settled(&self, now: Time) -> bool {
+    pub fn is_current(&self, now: Time) -> bool {
         self.has_snapshot && self.heard_at.is_some_and(|at| now - at < CONTACT_TIMEOUT)
     }
 }
--- a/crates/routing/src/execution.rs
+++ b/crates/routing/src/execution.rs
@@ -31,7 +31,7 @@
     }
 
     /// What is known after a further attempt.
-    pub fn and(self, later: Execution) -> Execution {
+    pub fn combine(self, later: Execution) -> Execution {
         self.max(later)
     }
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -93,11 +93,11 @@
     /// How many such workers got requests.
     pub workers: usize,
     /// How many requests went to those that are known to warm up.
-    pub known: u32,
+    pub to_warming: u32,
     /// How many to those that may, unknown to this proxy.
-    pub unknown: u32,
+    pub to_unknown: u32,
     /// The most that went to one of them.
-    pub most: u32,
+    pub max_per_worker: u32,
 }
 
 /// What this proxy has of one worker.
@@ -264,9 +264,9 @@
         for permits in self.workers.values_mut() {
             let (known, unknown) = (std::mem::take(&mut permits.known), std::mem::take(&mut permits.unknown));
             usage.workers += usize::from(known + unknown > 0);
-            usage.known += known;
-            usage.unknown += unknown;
-            usage.most = usage.most.max(known + unknown);
+            usage.to_warming += known;
+            usage.to_unknown += unknown;
+            usage.max_per_worker = usage.max_per_worker.max(known + unknown);
         }
         (usage.workers > 0).then_some(usage)
     }
--- a/crates/routing/tests/attempt.rs
+++ b/crates/routing/tests/attempt.rs
@@ -15,10 +15,10 @@
                 all.push(ReplyHead {
                     owner: whose,
                     status,
-                    says_not_run: bit(0),
+                    reports_not_run: bit(0),
                     is_sealed: bit(1),
                     is_encoded: bit(2),
-                    is_clean: bit(3),
+                    allows_reuse: bit(3),
                 });
             }
         }
@@ -28,7 +28,7 @@
 
 /// What the worker may have done, told by all that was met, without the room's own states.
 fn check(is_first: bool, met: &[AttemptEvent], end: AttemptEnd) {
-    let whole_left = met.contains(&AttemptEvent::Taken { all: true });
+    let whole_left = met.contains(&AttemptEvent::Written { is_complete: true });
     let is_surplus = |m: &AttemptEvent| matches!(m, AttemptEvent::Reply(h) if h.status >= 200 && matches!(h.owner, ReplyOwner::Other | ReplyOwner::Unidentified));
     let last = met[met.len() - 1];
     let answer = if let AttemptEvent::Reply(heard) = last { Some(heard) } else { None };
@@ -39,27 +39,27 @@
             // Its last byte never left and nothing of it was answered; or the worker says so: of it, or of the only
             // request that it can mean.
             let says_so = ours
-                .is_some_and(|h| h.status == 421 || h.says_not_run && [400, 429, 503].contains(&h.status));
+                .is_some_and(|h| h.status == 421 || h.reports_not_run && [400, 429, 503].contains(&h.status));
             let means_it = answer.is_some_and(|h| {
                 h.owner == ReplyOwner::Unidentified
                     && h.status == 400
-                    && h.says_not_run
+                    && h.reports_not_run
                     && is_first
                     && !surplus_before
             });
             let is_begun = matches!(
                 last,
-                AttemptEvent::Garbled
+                AttemptEvent::MalformedReply
                     | AttemptEvent::Reply(_)
                     | AttemptEvent::Stopped { has_partial_reply: true, .. }
             );
             let unsent =
-                !whole_left && (!is_begun || !met.iter().any(|m| matches!(m, AttemptEvent::Taken { .. })));
+                !whole_left && (!is_begun || !met.iter().any(|m| matches!(m, AttemptEvent::Written { .. })));
             assert!(says_so || means_it || unsent, "{met:?}: {end:?}");
         }
         Execution::Ran | Execution::Failed => {
             let heard = ours.unwrap_or_else(|| panic!("{met:?}: {end:?}"));
-            assert!(!heard.is_encoded && !heard.says_not_run && heard.status >= 200, "{met:?}: {end:?}");
+            assert!(!heard.is_encoded && !heard.reports_not_run && heard.status >= 200, "{met:?}: {end:?}");
             assert!(heard.is_sealed || !(200..300).contains(&heard.status), "{met:?}: {end:?}");
             assert!(![408, 421, 429, 503].contains(&heard.status), "a promise of ours: {met:?}: {end:?}");
             assert_eq!(end.execution == Execution::Failed, heard.status >= 500, "{met:?}");
@@ -67,7 +67,7 @@
         Execution::MayHaveRun => {}
     }
     if end.keep_connection {
-        let clean = ours.is_some_and(|h| h.is_clean);
+        let clean = ours.is_some_and(|h| h.allows_reuse);
         assert!(clean && whole_left && !surplus_before, "{met:?}: {end:?}");
     }
     if whole_left && ours.is_none() && !matches!(last, AttemptEvent::Reply(_)) {
@@ -78,19 +78,19 @@
 /// Goes on from what was met so far, whatever comes next; the number of ends seen.
 fn play(is_first: bool, met: &mut Vec<AttemptEvent>, deep: usize, answers: &[ReplyHead]) -> usize {
     let mut next: Vec<AttemptEvent> = answers.iter().map(|h| AttemptEvent::Reply(*h)).collect();
-    next.push(AttemptEvent::Garbled);
+    next.push(AttemptEvent::MalformedReply);
     for why in [StopReason::ConnectionLost, StopReason::ClientGone, StopReason::DeadlineReached] {
         next.extend(
             [false, true].map(|in_part| AttemptEvent::Stopped { reason: why, has_partial_reply: in_part }),
         );
     }
-    if !met.contains(&AttemptEvent::Taken { all: true }) {
-        next.extend([false, true].map(|all| AttemptEvent::Taken { all }));
+    if !met.contains(&AttemptEvent::Written { is_complete: true }) {
+        next.extend([false, true].map(|is_complete| AttemptEvent::Written { is_complete }));
     }
     let mut ends = 0;
     for one in next {
         // Nothing is answered before something was handed over.
-        if met.is_empty() && matches!(one, AttemptEvent::Reply(_) | AttemptEvent::Garbled) {
+        if met.is_empty() && matches!(one, AttemptEvent::Reply(_) | AttemptEvent::MalformedReply) {
             continue;
         }
         let mut this = Attempt::new(is_first);
