--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,136 +1,140 @@
-//! An attempt: one forwarding of a request to one worker, from the connection to the end. What the kernel took of it, what
-//! came back and whose reply that was; and so, at its end, what may be claimed of the request. `docs/design/attempts.md` has
-//! the same rows. The proxy reports events and does what the steps say.
+//! State machine of one attempt to deliver a request to a worker.
+//!
+//! The proxy reports socket events with [`Attempt::on_event`] and acts on the returned [`AttemptStep`]. The
+//! end of an attempt states whether the request may have run, which decides on retries and on the response
+//! to the client.
 
 use lynxstair::types::Outcome;
 
 use crate::execution::Execution;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptState {
-    /// The kernel has taken nothing of the request.
+    /// The kernel has accepted no byte of the request.
     Unsent,
-    /// A part of it; the last byte is still here, and is never sent once the attempt has ended.
+    /// The kernel has accepted some bytes, but not the last one, which is not sent after the attempt has
+    /// ended.
     PartlySent,
-    /// All of it: it may arrive and run, whatever becomes of the connection or of this process.
+    /// The kernel has accepted the whole request: it may run even if the connection or this process fails.
     Sent,
-    /// Nothing more happens.
+    /// The attempt is over.
     Ended,
 }
 
-/// Whose a reply is, by the ids that it carries.
+/// The attempt that a reply belongs to, by the attempt id in its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyOwner {
-    /// This attempt's.
+    /// The reply carries the id of this attempt.
     Own,
-    /// It carries the id of another request: it came too late, or is a surplus one.
+    /// The reply carries another id: it is late or a duplicate.
     Other,
-    /// It carries no id.
+    /// The reply carries no id.
     Unidentified,
-    /// It carries more than one id.
+    /// The reply carries more than one id.
     Ambiguous,
 }
 
-/// The head of a reply; the complete reply is there, or, where it is long, its beginning.
+/// The head of a reply. The reply has been received completely or, if it is long, in part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyHead {
-    /// Whose it is.
+    /// The attempt that the reply belongs to.
     pub owner: ReplyOwner,
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// The worker says that the request has not run.
+    /// The worker reports that the request has not run.
     pub reports_not_run: bool,
-    /// It bears the worker's seal.
+    /// The reply has the `server-seal` header.
     pub is_sealed: bool,
-    /// Its body is encoded, which was not asked for.
+    /// The body has a content encoding, which the proxy doesn't request.
     pub is_encoded: bool,
-    /// Nothing of it is still to come, nothing follows it, and the worker keeps the connection open.
+    /// The reply is complete, no bytes follow it, and the worker keeps the connection open.
     pub allows_reuse: bool,
 }
 
-/// Why no more is waited for.
+/// Reason to stop waiting for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// The connection was closed in order, or reset.
+    /// The worker closed or reset the connection.
     ConnectionLost,
-    /// The client has left.
+    /// The client has disconnected.
     ClientGone,
     /// The deadline has passed.
     DeadlineReached,
-    /// The process is about to end.
+    /// The process is shutting down.
     ShuttingDown,
 }
 
-/// What happened to an attempt.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// No connection came up in time, or none may be opened.
+    /// No connection was established in time, or none may be opened.
     NoConnection,
-    /// The request may not be sent any more: its deadline has passed, its zone is evacuated, the lease has run out.
+    /// The request may no longer be sent: for example its deadline has passed, its zone is evacuated or the
+    /// configuration lease has expired.
     SendNotPermitted,
-    /// The kernel has taken some of the request.
+    /// The kernel has accepted bytes of the request.
     Written {
-        /// Whether all of it.
+        /// The whole request has been accepted.
         is_complete: bool,
     },
-    /// A reply has come.
+    /// The head of a reply was received.
     Reply(ReplyHead),
-    /// Bytes that form no reply.
+    /// The received bytes are not a valid reply.
     MalformedReply,
-    /// All that the kernel held was read, and none of it was the reply.
+    /// Waiting has ended; all received bytes were read and hold no complete reply to this attempt.
     Stopped {
-        /// Why no more is waited for.
+        /// Reason to stop waiting.
         reason: StopReason,
-        /// An unfinished reply is there.
+        /// An incomplete reply was received.
         has_partial_reply: bool,
     },
 }
 
-/// What follows from an event.
+/// What the caller does after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStep {
-    /// There is more to wait for.
+    /// Wait for the next event.
     Continue,
-    /// The reply is not this request's: it is skipped, and the next one looked at.
+    /// Skip the reply, which is interim or not for this attempt, and parse the next one.
     SkipReply,
-    /// The attempt has ended.
+    /// The attempt is over.
     Ended(AttemptEnd),
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
     /// Whether the request may have run.
     pub execution: Execution,
-    /// What the decision module is told.
+    /// Outcome to report to the dispatcher.
     pub outcome: Outcome,
-    /// The connection may carry another request.
+    /// The connection may be reused for another request.
     pub keep_connection: bool,
 }
 
-/// One attempt.
+/// State of one attempt.
 #[derive(Debug)]
 pub struct Attempt {
     state: AttemptState,
-    /// The connection carried no other request before.
+    /// No earlier request was sent on the connection.
     is_first_on_connection: bool,
-    /// Something came that was not this request's.
-    has_surplus: bool,
+    /// A reply that is not for this attempt was received.
+    has_foreign_reply: bool,
 }
 
 impl Attempt {
-    /// An attempt of which nothing is sent yet.
+    /// Creates an attempt whose request is unsent.
     pub fn new(is_first_on_connection: bool) -> Attempt {
-        Attempt { state: AttemptState::Unsent, is_first_on_connection, has_surplus: false }
+        Attempt { state: AttemptState::Unsent, is_first_on_connection, has_foreign_reply: false }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the attempt.
     pub fn state(&self) -> AttemptState {
         self.state
     }
 
-    /// Takes an event. Every change of state is made here.
+    /// Processes an event. All state transitions are made here.
     pub fn on_event(&mut self, event: AttemptEvent) -> AttemptStep {
         let step = match event {
             AttemptEvent::NoConnection => ended(Execution::NeverRan, Outcome::ConnectFailed),
@@ -140,7 +144,7 @@
                 AttemptStep::Continue
             }
             AttemptEvent::Reply(head) => self.on_reply(head),
-            // A worker that answers something has read something: also where the end of the request has not left.
+            // A worker that answers may have acted on the request, even if its last byte was not sent.
             AttemptEvent::MalformedReply => ended(Execution::MayHaveRun, Outcome::Errored),
             AttemptEvent::Stopped { reason, has_partial_reply } => self.on_stopped(reason, has_partial_reply),
         };
@@ -157,29 +161,31 @@
         match head.owner {
             ReplyOwner::Own => self.on_own_reply(head),
             ReplyOwner::Ambiguous => ended(Execution::MayHaveRun, Outcome::Errored),
-            // The one reply without an id that is somebody's: to a request that came without one. Only where no other
-            // request can be meant.
+            // The worker rejects a request whose id it could not read. Accepted only if the reply can't
+            // belong to an earlier request on the connection.
             ReplyOwner::Unidentified
                 if head.status == 400
                     && head.reports_not_run
                     && self.is_first_on_connection
-                    && !self.has_surplus =>
+                    && !self.has_foreign_reply =>
             {
                 ended(Execution::NeverRan, Outcome::Full)
             }
             ReplyOwner::Other | ReplyOwner::Unidentified => {
-                self.has_surplus = true;
+                self.has_foreign_reply = true;
                 AttemptStep::SkipReply
             }
         }
     }
 
     fn on_own_reply(&self, head: ReplyHead) -> AttemptStep {
-        let keep_connection = head.allows_reuse && !self.has_surplus && self.state == AttemptState::Sent;
+        let keep_connection =
+            head.allows_reuse && !self.has_foreign_reply && self.state == AttemptState::Sent;
         let end = |execution, outcome| AttemptStep::Ended(AttemptEnd { execution, outcome, keep_connection });
         match (head.status, head.reports_not_run) {
             (400 | 429 | 503, true) | (421, _) => end(Execution::NeverRan, Outcome::Full),
-            // It contradicts itself; or it is a promise that the worker did not give and a proxy can't.
+            // A not-run header contradicts any other status. Without it, these statuses can't be forwarded:
+            // to a client they mean that the request has not run.
             (_, true) | (408 | 429 | 503, false) => ended(Execution::MayHaveRun, Outcome::Errored),
             _ if head.is_encoded => ended(Execution::MayHaveRun, Outcome::Errored),
             (200..300, _) if !head.is_sealed => ended(Execution::MayHaveRun, Outcome::Errored),
@@ -194,7 +200,7 @@
             StopReason::ClientGone | StopReason::ShuttingDown => Outcome::Cancelled,
             StopReason::DeadlineReached => Outcome::TimedOut,
         };
-        // Where a reply has begun, the worker did not wait for the end of the request.
+        // A worker that has begun to reply did not wait for the end of the request.
         let may_have_run =
             self.state >= AttemptState::Sent || self.state == AttemptState::PartlySent && has_partial_reply;
         match (may_have_run, reason) {
@@ -207,7 +213,7 @@
     }
 }
 
-/// An end after which the connection carries nothing more.
+/// Ends the attempt without reusing the connection.
 fn ended(execution: Execution, outcome: Outcome) -> AttemptStep {
     AttemptStep::Ended(AttemptEnd { execution, outcome, keep_connection: false })
 }
--- a/crates/routing/src/controller_contact.rs
+++ b/crates/routing/src/controller_contact.rs
@@ -1,41 +1,43 @@
-//! Whether a proxy may rely on what the controllers told it of workers. While none of them is certain to know the newest state,
-//! workers may say to other controllers, or to nobody, that they warm up; and after a silence what was said meanwhile is
-//! missing until a snapshot has brought it. Which workers had no way to say anything stands in the snapshot
-//! (`Instance::is_unconfirmed`).
+//! Tracks whether the worker states that a proxy received from the controllers are up to date.
+//!
+//! Without a controller that has quorum contact, the proxy may miss that a worker is warming up. After such
+//! an interruption the states are up to date again only once a snapshot was received.
+//! `Instance::is_unconfirmed` in the snapshot marks workers that could not report to any controller.
 
 use lynxstair::types::{Span, Time};
 
-/// If controllers were heard within this time, what workers report arrives here through them: somewhat more than the
+/// Contact is lost if no controller with quorum contact has answered for this long. Longer than the
 /// heartbeat interval.
 pub const CONTACT_TIMEOUT: Span = Span::from_millis(1_700);
 
-/// When controllers with quorum contact were heard.
+/// Contact with controllers that have quorum contact.
 #[derive(Debug, Default)]
 pub struct ControllerContact {
-    heard_at: Option<Time>,
-    /// A snapshot of all instances has come since the last silence that was longer than the time-out. To a process, the
-    /// time before it began is such a silence.
+    contact_at: Option<Time>,
+    /// A snapshot of all instances was received since contact was last regained, or since the process
+    /// started.
     has_snapshot: bool,
 }
 
 impl ControllerContact {
-    /// A controller with quorum contact was heard. Returns whether that ends a silence, so that a snapshot is wanted.
+    /// Records contact with a controller that has quorum contact. Returns `true` if contact had been lost,
+    /// so that a snapshot must be requested.
     pub fn on_contact(&mut self, now: Time) -> bool {
-        let is_regained = self.heard_at.is_some_and(|at| now - at >= CONTACT_TIMEOUT);
+        let is_regained = self.contact_at.is_some_and(|at| now - at >= CONTACT_TIMEOUT);
         if is_regained {
             self.has_snapshot = false;
         }
-        self.heard_at = self.heard_at.max(Some(now));
+        self.contact_at = self.contact_at.max(Some(now));
         is_regained
     }
 
-    /// A controller has sent all instances that it knows.
+    /// Records a snapshot of all instances from a controller.
     pub fn on_snapshot(&mut self) {
         self.has_snapshot = true;
     }
 
-    /// Whether what is known of workers here is what the controllers know.
+    /// Returns `true` if the proxy holds the worker states that the controllers hold.
     pub fn is_current(&self, now: Time) -> bool {
-        self.has_snapshot && self.heard_at.is_some_and(|at| now - at < CONTACT_TIMEOUT)
+        self.has_snapshot && self.contact_at.is_some_and(|at| now - at < CONTACT_TIMEOUT)
     }
 }
--- a/crates/routing/src/execution.rs
+++ b/crates/routing/src/execution.rs
@@ -1,21 +1,23 @@
-//! Whether a request may have run: what a response to its client may promise, and whether it may be retried.
+//! Records whether a request may have run on a worker. This decides on retries and on the status sent to
+//! the client.
 
-/// What is known of one attempt at a worker, or of all attempts of a request together; a later variant outweighs an
-/// earlier one.
+/// Execution state of one attempt, or of all attempts of a request combined. Variants are ordered: a later
+/// one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Execution {
-    /// It has not run and never will: its last byte never left, or the worker itself said so.
+    /// The request has not run and will not run: it was not sent completely, or the worker reported that it
+    /// did not run.
     NeverRan,
-    /// It was handed over, and nothing certain came back.
+    /// The request was sent, and no valid reply to it was received.
     MayHaveRun,
-    /// The worker ran it and answered with a failure.
+    /// The worker ran the request and replied with a server error.
     Failed,
-    /// The worker answered it.
+    /// The worker ran the request and replied.
     Ran,
 }
 
 impl Execution {
-    /// Whether the request may go to a worker once more.
+    /// Returns `true` if the request may be sent to a worker again.
     pub fn may_retry(self, is_idempotent: bool) -> bool {
         match self {
             Execution::NeverRan => true,
@@ -24,13 +26,13 @@
         }
     }
 
-    /// Whether the client may be told that it has not run (429, 503, 408, 421). An idempotent request may be told so only
-    /// where it is true as well: the statuses mean the same for all kinds.
+    /// Returns `true` if the response may have a status that means "not run" (408, 421, 429 or 503). The
+    /// same holds for idempotent requests.
     pub fn may_claim_not_run(self) -> bool {
         self == Execution::NeverRan
     }
 
-    /// What is known after a further attempt.
+    /// Combines the state so far with that of a later attempt.
     pub fn combine(self, later: Execution) -> Execution {
         self.max(later)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,7 @@
-//! What a proxy decides with, as state machines without input, output, clock or thread. Methods take the time and what
-//! happened, and return what the caller is to do. `lynxstair-proxy` drives them.
+//! Routing decisions of a proxy: load balancing, slow start, quotas, retries and attempts.
+//!
+//! The types are state machines without I/O, clock or threads. Methods take the current time and an event,
+//! and return what the caller has to do. `lynxstair-proxy` drives them.
 #![forbid(unsafe_code)]
 
 pub mod attempt;
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -1,8 +1,9 @@
-//! The locality balancer: near workers first. The workers of one service in one zone are a locality; which of them gets a
-//! request is the decision module's to say (`lynxstair::policy`, behind the dispatcher), and so is whether the locality is
-//! full. The balancer only says in which order localities are asked, and which are not: zones that are evacuated, regions
-//! that are not a home, workers that are warming up. The module's vocabulary and the system's meet here: an invocation is
-//! an attempt, a delivery its forwarding.
+//! Locality-aware load balancing: prefers workers in near zones.
+//!
+//! A locality is the set of workers of one service in one zone. Each locality has its own
+//! `lynxstair_dispatch::Dispatcher`, which chooses the worker for a request or reports the locality as
+//! full. The balancer decides in which order localities are tried. It skips zones that the caller excludes
+//! and workers that slow start holds back.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -20,50 +21,51 @@
 
 use crate::slow_start::{SlowStart, WarmUpKnowledge, WarmUpQuery, WarmUpState, WarmUpUsage};
 
-/// Events closer together than this count as simultaneous for the decision module.
-const STEP: Span = Span::from_millis(1);
-/// The decision module is told of this many times fewer proxies than there are: the least concurrency that it allows at a
-/// worker, over all proxies, is less than what a worker answers within the routes' targets.
-const CONCURRENCY_FACTOR: u32 = 2;
-/// `Retry-After` if every locality is full, as a fraction of the route's latency target.
-const RETRY_AFTER_PART: f64 = 0.25;
-/// The shortest one.
+/// Events closer together than this are simultaneous to the dispatcher.
+const DISPATCHER_STEP: Span = Span::from_millis(1);
+/// Divisor of the number of proxies that is passed to the dispatcher. The minimum concurrency that it
+/// allows at a worker, over all proxies, is below what a worker can serve within the latency targets.
+const PROXY_COUNT_DIVISOR: u32 = 2;
+/// `Retry-After` if all localities are full, as a fraction of the route's latency target.
+const RETRY_AFTER_FRACTION: f64 = 0.25;
+/// Shortest `Retry-After` if all localities are full.
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
-/// The most kinds of work per service: the decision module numbers them in a byte.
-const MAX_WORK_KINDS: usize = 200;
-/// The decision module gives an attempt up after this many times the target.
-const TIMEOUT_TARGETS: f64 = 4.0;
-/// What a late response is worth to the decision module, as a fraction.
-const LATE_SHARE: f32 = 0.3;
-/// How long the decision module counts on an idle connection.
-const IDLE_CONNECTION: Span = Span::from_millis(6_000);
-
-/// A worker instance that requests are sent to.
+/// Maximum number of operations of a service; the dispatcher numbers them with 8 bits.
+const MAX_OPERATIONS: usize = 200;
+/// Time-out of an attempt in the dispatcher, as a multiple of the latency target.
+const TIMEOUT_FACTOR: f64 = 4.0;
+/// Value of a response after the latency target, as a fraction of the value of one in time.
+const LATE_RESPONSE_VALUE: f32 = 0.3;
+/// Time-out of idle connections in the dispatcher.
+const IDLE_CONNECTION_TIMEOUT: Span = Span::from_millis(6_000);
+
+/// A worker instance that receives requests.
 #[derive(Debug, PartialEq)]
 pub struct Worker {
-    /// The instance's id.
+    /// Id of the instance.
     pub id: String,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its service.
+    /// Service of the worker.
     pub service: String,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// Its number in the decision module.
+    /// Number of the instance in the dispatcher.
     pub number: WorkerId,
 }
 
-/// A worker of a locality.
+/// A worker with its state in a locality.
 struct Endpoint {
     worker: Arc<Worker>,
+    /// End of the warm-up as last reported.
     warming_until: Time,
-    /// It may be cold and not have been able to say so.
+    /// The worker may be warming up and unable to report it.
     is_unconfirmed: bool,
     phase: WorkerPhase,
     weight: f32,
 }
 
-/// Service and zone.
+/// Service and zone of a locality.
 type LocalityKey = (String, String);
 
 struct Locality {
@@ -71,52 +73,54 @@
     endpoints: BTreeMap<WorkerId, Endpoint>,
 }
 
-/// What a request asks of a service.
+/// Requirements of a request on its worker.
 pub struct EndpointQuery<'a> {
-    /// The service.
+    /// Service that serves the request.
     pub service: &'a str,
-    /// What the request does.
+    /// Kind of the route.
     pub kind: RouteKind,
-    /// The route's latency target.
+    /// Latency target of the route.
     pub target: Span,
-    /// Its deadline.
+    /// Deadline of the request.
     pub deadline: Time,
-    /// Whether a zone may serve it: by evacuation and by homes.
+    /// Returns `true` if a zone may serve the request: it is not evacuated and lies in a home region.
     pub is_zone_allowed: &'a dyn Fn(&str) -> bool,
-    /// Workers that it was sent to already.
+    /// Workers of earlier attempts of the request.
     pub tried: &'a [Arc<Worker>],
 }
 
-/// A worker that was picked for an attempt; the attempt's end is reported by it.
+/// The worker of an attempt, for [`LocalityBalancer::report`] at the end of the attempt.
 pub struct PickedEndpoint {
     locality: LocalityKey,
     assignment: Assignment<()>,
-    /// The worker.
+    /// Worker that the request is sent to.
     pub worker: Arc<Worker>,
     picked_at: Time,
 }
 
-/// The answer to a query.
+/// Result of [`LocalityBalancer::pick`].
 pub enum Pick {
-    /// Send it there.
+    /// Send the request to this worker.
     Endpoint(Box<PickedEndpoint>),
-    /// No locality takes it now; when to come back.
+    /// No locality can take the request; the client may retry after this time.
     Full(Span),
 }
 
-/// All localities, as one proxy sees them.
+/// Load balancer of one proxy over all localities.
 pub struct LocalityBalancer {
     seed: u64,
-    /// All zones, near ones first.
+    /// All zones in the order in which they are tried.
     zones: Vec<String>,
     own_zone: String,
+    /// Zones of the own region.
     near_zones: Vec<String>,
-    /// How many proxies there are in each zone.
+    /// Number of proxies in each zone.
     proxies: HashMap<String, u32>,
     localities: HashMap<LocalityKey, Locality>,
-    /// The kinds of work that each service has, as the module tells them apart.
-    work: HashMap<String, Vec<(RouteKind, Span)>>,
-    /// What a worker of each service takes while it warms up, in requests a second.
+    /// Operations of each service, by route kind and latency target. The index is the dispatcher's
+    /// operation id.
+    operations: HashMap<String, Vec<(RouteKind, Span)>>,
+    /// Rate that a worker of each service can take while warming up, in requests a second.
     warm_up_rates: HashMap<String, f64>,
     numbers: HashMap<String, WorkerId>,
     last_number: u64,
@@ -124,7 +128,8 @@
 }
 
 impl LocalityBalancer {
-    /// `zones`: each with its region.
+    /// Creates a balancer for a proxy in `zone`. `zones` holds all zones with their regions; `seed` differs
+    /// between proxies.
     pub fn new(
         seed: u64,
         zone: &str,
@@ -133,19 +138,20 @@
         slow_start: SlowStart,
     ) -> Self {
         let near: Vec<String> = zones.iter().filter(|(_, r)| r == region).map(|(z, _)| z.clone()).collect();
-        let mut assignment: Vec<String> = zones.iter().map(|(z, _)| z.clone()).collect();
-        // From the own zone on, near ones first, and of the others each proxy begins with another.
-        let turn = if assignment.is_empty() { 0 } else { seed as usize % assignment.len() };
-        assignment.rotate_left(turn);
-        assignment.sort_by_key(|z| (z != zone, !near.contains(z)));
+        let mut zone_order: Vec<String> = zones.iter().map(|(z, _)| z.clone()).collect();
+        // The own zone first, then the other zones of the region, then the rest. The rotation gives proxies
+        // different orders within each group.
+        let offset = if zone_order.is_empty() { 0 } else { seed as usize % zone_order.len() };
+        zone_order.rotate_left(offset);
+        zone_order.sort_by_key(|z| (z != zone, !near.contains(z)));
         LocalityBalancer {
             seed,
-            zones: assignment,
+            zones: zone_order,
             own_zone: zone.to_string(),
             near_zones: near,
             proxies: HashMap::new(),
             localities: HashMap::new(),
-            work: HashMap::new(),
+            operations: HashMap::new(),
             warm_up_rates: HashMap::new(),
             numbers: HashMap::new(),
             last_number: 0,
@@ -153,41 +159,41 @@
         }
     }
 
-    /// A configuration came into force. A service whose kinds of work were not all known begins anew.
+    /// Applies a configuration. The localities of a service with new operations are rebuilt.
     pub fn configure(&mut self, now: Time, configuration: &Configuration) {
-        let mut work: HashMap<String, Vec<(RouteKind, Span)>> = HashMap::new();
+        let mut operations: HashMap<String, Vec<(RouteKind, Span)>> = HashMap::new();
         for route in configuration.all_routes() {
             for (service, _) in &route.services {
-                let kinds = work.entry(service.clone()).or_default();
-                if !kinds.contains(&(route.kind, route.target)) {
-                    kinds.push((route.kind, route.target));
+                let configured = operations.entry(service.clone()).or_default();
+                if !configured.contains(&(route.kind, route.target)) {
+                    configured.push((route.kind, route.target));
                 }
             }
         }
         let rates = configuration.services.iter().map(|(name, s)| (name.clone(), s.warm_up_rate));
         self.warm_up_rates = rates.collect();
-        for (service, mut kinds) in work {
-            let known = self.work.entry(service.clone()).or_default();
-            kinds.retain(|kind| !known.contains(kind));
-            if kinds.is_empty() || known.len() + kinds.len() > MAX_WORK_KINDS {
+        for (service, mut added) in operations {
+            let known = self.operations.entry(service.clone()).or_default();
+            added.retain(|operation| !known.contains(operation));
+            if added.is_empty() || known.len() + added.len() > MAX_OPERATIONS {
                 continue;
             }
-            known.extend(kinds);
+            known.extend(added);
             self.rebuild(now, |(s, _)| *s == service);
         }
     }
 
-    /// The proxies that hold permits for workers, as replicated.
+    /// Sets the replicated membership, which assigns slow-start permits to proxies.
     pub fn set_membership(&mut self, membership: &ProxyMembership) {
         self.slow_start.set_membership(membership);
     }
 
-    /// The membership that was set is confirmed to be the newest.
+    /// Records that the membership has been confirmed as the newest.
     pub fn on_membership_confirmed(&mut self, now: Time) {
         self.slow_start.on_membership_confirmed(now);
     }
 
-    /// How many proxies there are in each zone.
+    /// Sets the number of proxies in each zone.
     pub fn set_proxy_counts(&mut self, now: Time, zones: &[(String, u32)]) {
         let proxies: HashMap<String, u32> = zones.iter().cloned().collect();
         if proxies != self.proxies {
@@ -196,9 +202,9 @@
         }
     }
 
-    /// Begins localities anew, with the workers that they have.
-    fn rebuild(&mut self, now: Time, is_concerned: impl Fn(&LocalityKey) -> bool) {
-        let keys: Vec<_> = self.localities.keys().filter(|key| is_concerned(key)).cloned().collect();
+    /// Replaces the dispatchers of localities and keeps their workers.
+    fn rebuild(&mut self, now: Time, is_affected: impl Fn(&LocalityKey) -> bool) {
+        let keys: Vec<_> = self.localities.keys().filter(|key| is_affected(key)).cloned().collect();
         for key in keys {
             let Some(old) = self.localities.remove(&key) else { continue };
             let dispatcher = self.new_dispatcher(now, &key);
@@ -210,21 +216,22 @@
         }
     }
 
-    /// How many proxies send to the workers of a zone, besides those that do so now and then.
+    /// Returns the number of proxies that regularly send to the workers of a zone.
     fn proxies_sending_to(&self, zone: &str) -> u32 {
         let of = |z: &str| self.proxies.get(z).copied().unwrap_or(0);
         if zone == self.own_zone {
             return of(zone).max(1);
         }
-        // To other zones those send whose own localities are full: seldom more than a region's at a time.
+        // Another zone receives requests from proxies whose own localities are full, rarely from more than
+        // one region.
         self.near_zones.iter().map(|z| of(z)).sum::<u32>().max(1)
     }
 
     fn new_dispatcher(&self, now: Time, (service, zone): &LocalityKey) -> Dispatcher<()> {
         let operation = |(kind, target): &(RouteKind, Span)| Operation {
             latency_objective: *target,
-            integration_timeout: target.times(TIMEOUT_TARGETS),
-            late_value: LATE_SHARE,
+            integration_timeout: target.times(TIMEOUT_FACTOR),
+            late_value: LATE_RESPONSE_VALUE,
             billed_value: 1.0,
             idempotency: if kind.is_idempotent() {
                 Idempotency::Idempotent
@@ -233,11 +240,14 @@
             },
         };
         let settings = Settings {
-            gatekeepers: self.proxies_sending_to(zone).div_ceil(CONCURRENCY_FACTOR),
-            step: STEP,
-            operations: self.work.get(service).map_or(Vec::new(), |w| w.iter().map(operation).collect()),
+            gatekeepers: self.proxies_sending_to(zone).div_ceil(PROXY_COUNT_DIVISOR),
+            step: DISPATCHER_STEP,
+            operations: self
+                .operations
+                .get(service)
+                .map_or(Vec::new(), |known| known.iter().map(operation).collect()),
             plans: vec![Plan::default()],
-            idle_timeout: IDLE_CONNECTION,
+            idle_timeout: IDLE_CONNECTION_TIMEOUT,
             max_attempts: 1,
             cold_capacity: 1.0,
             ..Settings::default()
@@ -246,7 +256,7 @@
         Dispatcher::new(now, seed, &settings)
     }
 
-    /// Takes over an instance as the registry knows it now.
+    /// Applies the current registry entry of an instance.
     pub fn update_instance(&mut self, now: Time, id: &str, instance: &RegisteredInstance) {
         let key = (instance.service.clone(), instance.zone.clone());
         if instance.state == InstanceState::Deregistered {
@@ -280,10 +290,11 @@
         locality.endpoints.insert(number, endpoint);
     }
 
-    /// The evacuation of a zone has ended: its workers may be cold and not have said so yet.
+    /// Marks all workers of a zone as unconfirmed after its evacuation has ended: they may be warming up
+    /// without having reported it.
     pub fn on_zone_restored(&mut self, zone: &str) {
-        let concerned = self.localities.iter_mut().filter(|((_, z), _)| z == zone);
-        let endpoints = concerned.flat_map(|(_, locality)| locality.endpoints.values_mut());
+        let affected = self.localities.iter_mut().filter(|((_, z), _)| z == zone);
+        let endpoints = affected.flat_map(|(_, locality)| locality.endpoints.values_mut());
         endpoints.for_each(|endpoint| endpoint.is_unconfirmed = true);
     }
 
@@ -300,21 +311,22 @@
         }
     }
 
-    /// The worker that gets a request, or none.
+    /// Picks the worker for a request. `warm_up` returns the knowledge on the warm-up of a zone's workers.
     pub fn pick(
         &mut self,
         now: Time,
         query: &EndpointQuery,
         warm_up: &dyn Fn(&str) -> WarmUpKnowledge,
     ) -> Pick {
-        let kinds = self.work.get(query.service);
-        let kind = kinds.and_then(|w| w.iter().position(|kind| *kind == (query.kind, query.target)));
-        let Some(kind) = kind else { return Pick::Full(MIN_RETRY_AFTER) };
+        let operations = self.operations.get(query.service);
+        let index = operations
+            .and_then(|known| known.iter().position(|operation| *operation == (query.kind, query.target)));
+        let Some(index) = index else { return Pick::Full(MIN_RETRY_AFTER) };
         let request = Request {
             id: RequestId::default(),
             deadline: query.deadline,
             tenant: TenantId(0),
-            operation: OperationId(kind as u8),
+            operation: OperationId(index as u8),
             plan: PlanId(0),
             spread: 1.0,
             units: 1.0,
@@ -329,7 +341,7 @@
                 return Pick::Endpoint(Box::new(picked));
             }
         }
-        let wait = query.target.times(RETRY_AFTER_PART).max(MIN_RETRY_AFTER);
+        let wait = query.target.times(RETRY_AFTER_FRACTION).max(MIN_RETRY_AFTER);
         Pick::Full(wait.max(self.slow_start.unusable_for(now)))
     }
 
@@ -367,19 +379,20 @@
         Some(PickedEndpoint { locality: key, assignment, worker, picked_at: now })
     }
 
-    /// Whether a request may be handed over to the worker that was picked for it, which may have become cold since.
+    /// Returns `true` if a request may be handed over to its picked worker, which may have started to warm
+    /// up since the pick.
     pub fn may_hand_over(&mut self, now: Time, picked: &PickedEndpoint, knowledge: WarmUpKnowledge) -> bool {
         let rate = self.warm_up_rates.get(&picked.worker.service).copied().unwrap_or(0.0);
-        let endpoint = self.localities.get(&picked.locality);
-        let endpoint = endpoint.and_then(|locality| locality.endpoints.get(&picked.worker.number));
-        // One that has ended meanwhile answers so itself.
+        let locality = self.localities.get(&picked.locality);
+        let endpoint = locality.and_then(|locality| locality.endpoints.get(&picked.worker.number));
+        // An instance that was removed since the pick is not limited.
         endpoint.is_none_or(|endpoint| {
             let warm_up = endpoint.warm_up_query(now, rate, knowledge);
             self.slow_start.may_hand_over(now, &warm_up, picked.picked_at)
         })
     }
 
-    /// An attempt at a picked worker has ended.
+    /// Reports the end of an attempt.
     pub fn report(&mut self, now: Time, picked: &PickedEndpoint, outcome: Outcome) {
         if let Some(locality) = self.localities.get(&picked.locality) {
             locality.dispatcher.report(now, &picked.assignment, outcome, now - picked.picked_at, None);
@@ -387,12 +400,13 @@
         }
     }
 
-    /// What went to workers that may be warming up, since the last call; None for nothing.
+    /// Returns the requests sent to workers that may be warming up since the last call, or `None` if there
+    /// were none.
     pub fn take_warm_up_usage(&mut self) -> Option<WarmUpUsage> {
         self.slow_start.take_usage()
     }
 
-    /// The module's own upkeep; several times a second.
+    /// Runs due timers of the dispatchers and removes expired state. To be called several times a second.
     pub fn tick(&mut self, now: Time) {
         for locality in self.localities.values() {
             if locality.dispatcher.next_due() <= now {
@@ -400,14 +414,15 @@
             }
         }
         let endpoints = || self.localities.values().flat_map(|locality| locality.endpoints.values());
-        let is_warming = |id: &str| endpoints().any(|e| e.worker.id == id && now < e.warming_until + STEP);
+        let is_warming =
+            |id: &str| endpoints().any(|e| e.worker.id == id && now < e.warming_until + DISPATCHER_STEP);
         self.slow_start.expire(now, is_warming);
         self.localities.retain(|_, locality| !locality.endpoints.is_empty());
     }
 }
 
 impl Locality {
-    /// Has the module pick a worker, but none of those that are held back.
+    /// Dispatches a request to a worker that is not held back.
     fn pick_without(
         &self,
         now: Time,
@@ -426,13 +441,13 @@
 }
 
 impl Endpoint {
-    /// How the worker is to be treated, by what is known of its zone.
+    /// Returns the slow-start query for the worker.
     fn warm_up_query(&self, now: Time, rate: f64, knowledge: WarmUpKnowledge) -> WarmUpQuery<'_> {
         let state = WarmUpState::of(knowledge, now < self.warming_until, self.is_unconfirmed);
         WarmUpQuery { worker: &self.worker.id, zone: &self.worker.zone, rate, state }
     }
 
-    /// The worker as the module is told of it.
+    /// Returns the dispatcher's description of the worker.
     fn worker_info(&self, phase: WorkerPhase) -> WorkerInfo {
         WorkerInfo {
             worker: self.worker.number,
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,62 +1,66 @@
-//! The retry budget: for each service, how many retries this proxy may make of what the operators grant to all proxies.
-//! Requests earn it, and what may be saved up is this proxy's part of the slack. A process that begins has saved nothing:
-//! the one before it on the same machine may have spent that part a moment ago.
+//! Retry budget: limits the retries of a proxy for each service.
+//!
+//! Each request adds a fraction of a retry; the balance is capped at this proxy's share of the slack. A new
+//! process starts with an empty balance, because the previous process on the machine may just have spent
+//! that share.
 
 use std::collections::HashMap;
 
-/// The fraction of what is granted that is used: windows slide, and attempts that seemed lost on the way count too.
-const USED_PART: f64 = 0.6;
-/// How many proxies share the grant, as long as that is not known.
+/// Fraction of the granted retries that is used. The rest covers sliding windows and attempts that only
+/// appear lost.
+const USED_FRACTION: f64 = 0.6;
+/// Assumed number of proxies until the leader reports it.
 const INITIAL_PROXIES: f64 = 8.0;
 
-/// Retries that may still be made, by service.
+/// Available retries of each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     proxies: f64,
-    saved: HashMap<String, f64>,
+    balances: HashMap<String, f64>,
 }
 
 impl RetryBudget {
-    /// All proxies together are granted `ratio` retries for each request and `slack` on top in each window.
+    /// Creates an empty budget. All proxies together may make `ratio` retries for each request, plus
+    /// `slack` retries in each window.
     pub fn new(ratio: f64, slack: f64) -> Self {
-        RetryBudget { ratio, slack, proxies: INITIAL_PROXIES, saved: HashMap::new() }
+        RetryBudget { ratio, slack, proxies: INITIAL_PROXIES, balances: HashMap::new() }
     }
 
-    /// How many proxies share the grant.
+    /// Sets the number of proxies that share the budget.
     pub fn set_proxy_count(&mut self, proxies: u32) {
         self.proxies = f64::from(proxies.max(1));
     }
 
-    fn max_saved(&self) -> f64 {
-        (self.slack * USED_PART / self.proxies).max(1.0)
+    fn max_balance(&self) -> f64 {
+        (self.slack * USED_FRACTION / self.proxies).max(1.0)
     }
 
-    /// A client's request for the service has gone to a worker for the first time.
+    /// Adds to the budget of a service, at the first attempt of a client's request.
     pub fn earn(&mut self, service: &str) {
-        let (earned, max) = (self.ratio * USED_PART, self.max_saved());
-        match self.saved.get_mut(service) {
-            Some(saved) => *saved = (*saved + earned).min(max),
+        let (earned, max) = (self.ratio * USED_FRACTION, self.max_balance());
+        match self.balances.get_mut(service) {
+            Some(balance) => *balance = (*balance + earned).min(max),
             None => {
-                self.saved.insert(service.to_string(), earned.min(max));
+                self.balances.insert(service.to_string(), earned.min(max));
             }
         }
     }
 
-    /// Spends a retry; false where there is none left.
+    /// Spends one retry. Returns `false` if none is available.
     pub fn try_spend(&mut self, service: &str) -> bool {
-        match self.saved.get_mut(service) {
-            Some(saved) if *saved >= 1.0 => {
-                *saved -= 1.0;
+        match self.balances.get_mut(service) {
+            Some(balance) if *balance >= 1.0 => {
+                *balance -= 1.0;
                 true
             }
             _ => false,
         }
     }
 
-    /// Forgets services that the configuration does not hold any more.
+    /// Removes services that are no longer configured.
     pub fn retain_services(&mut self, is_configured: impl Fn(&str) -> bool) {
-        self.saved.retain(|service, _| is_configured(service));
+        self.balances.retain(|service, _| is_configured(service));
     }
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,18 +1,19 @@
-//! Slow start: the one place that decides how much of a worker that is, or may be, warming up is whose.
+//! Slow start: limits the requests that a proxy sends to a worker that is, or may be, warming up.
 //!
-//! All proxies together may send it so many requests in any second (the operators' rate x overshoot + slack). That many
-//! **permits** there are for each worker, and proxies hold them, each a whole number, by the replicated [proxy
-//! membership](lynxstair_control_state::proxy_membership): most of them those of the worker's own zone. A permit is for one
-//! request in any [`PERMIT_WINDOW`], whatever is known of the worker, so that the sum holds however that changes and however
-//! much proxies differ in what they know:
+//! All proxies together may send such a worker rate x overshoot + slack requests in any second. Each worker
+//! has that many **permits**. They are split in whole numbers among the proxies by the replicated [proxy
+//! membership](lynxstair_control_state::proxy_membership); proxies of the worker's own zone hold most of
+//! them. A permit allows one request in any [`PERMIT_WINDOW`]. The limit holds even if proxies have
+//! different information on the worker:
 //!
-//! - members' parts never add up to more than the whole, also while the membership changes;
-//! - a process does not use its permits in its first second: the process before it on the same machine may just have;
-//! - a permit is taken, or taken again, in the same step that hands the request over ([`SlowStart::may_hand_over`]), and is
-//!   free again a window after that, by a steady clock.
+//! - the shares of all members never add up to more than the total, also during a membership change;
+//! - a process doesn't use its permits in its first second, because the previous process on the machine may
+//!   just have;
+//! - a permit is taken, or taken again, in the step that hands the request over
+//!   ([`SlowStart::may_hand_over`]), and becomes free a window later, by a monotonic clock.
 //!
-//! Below that bound a token bucket for each worker keeps to what it bears in the long run. A worker that is known to warm up
-//! gets requests from its own zone only; one that may, unknown to a proxy, from all.
+//! Within this limit a token bucket for each worker bounds the long-term rate. A worker that is known to be
+//! warming up receives requests from its own zone only, a worker in unknown state from all zones.
 
 use std::collections::HashMap;
 
@@ -21,48 +22,47 @@
 use lynxstair_control_state::membership_planner::MEMBERSHIP_VALIDITY;
 use lynxstair_control_state::proxy_membership::{Part, PermitSplit, ProxyMembership};
 
-/// A process does not use its permits for this long: the second that the operators' bound counts in. What the process
-/// before it handed over, its clients had sent before this one began.
-const FIRST_WINDOW: Span = Span::from_millis(1_000);
-/// For how long a permit is taken: the second that the operators' bound counts in, and what may pass between the decision
-/// to hand a request over and its last byte (a process may be stalled for a tenth of a second).
+/// Time after its start during which a process doesn't use its permits: the window of the limit.
+const STARTUP_DELAY: Span = Span::from_millis(1_000);
+/// How long a permit stays taken: the one-second window of the limit, plus 100 ms from the decision to hand
+/// a request over to its last byte.
 pub const PERMIT_WINDOW: Span = Span::from_millis(1_100);
-/// What is used of a warming worker's rate.
-const USED_PART: f64 = 0.9;
-/// Requests that a member may save up for a worker that is known to warm up.
+/// Fraction of a warming worker's rate that is used.
+const USED_RATE_FRACTION: f64 = 0.9;
+/// Burst of a proxy to a worker that is known to be warming up, in requests.
 const WARMING_BURST: f64 = 1.5;
-/// While it is not known whether a worker warms up, this fraction of its permits is used as a steady rate,
-const UNKNOWN_RATE_PART: f64 = 0.9;
-/// and this fraction as a burst.
-const UNKNOWN_BURST_PART: f64 = 0.25;
-/// How long after its last use a worker that does not warm up is forgotten.
+/// Rate to a worker in unknown state, in requests a second for each permit.
+const UNKNOWN_RATE_PER_PERMIT: f64 = 0.9;
+/// Burst to a worker in unknown state, in requests for each permit.
+const UNKNOWN_BURST_PER_PERMIT: f64 = 0.25;
+/// How long the state of a worker that is not warming up is kept after its last use.
 const RETENTION: Span = Span::from_millis(5_000);
 
-/// What is known here of how warm the workers of a zone are.
+/// Information of this proxy on the warm-up of the workers of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmUpKnowledge {
-    /// What they said last.
+    /// The last reports of the workers are up to date.
     Reported,
-    /// The zone's evacuation has just ended: they may be cold and not have said so yet.
+    /// The evacuation of the zone has just ended: workers may be warming up without having reported it yet.
     NotYetReported,
-    /// The controllers are out of reach, or have only just been heard: they may have said anything.
+    /// Contact with the controllers is lost or was only just regained: reports may have been missed.
     Unknown,
 }
 
-/// How a worker is to be treated.
+/// Warm-up state of a worker, as this proxy treats it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmUpState {
-    /// It is warm: nothing limits it here.
+    /// The worker is warm: slow start doesn't limit its requests.
     Warm,
-    /// It warms up.
+    /// The worker is warming up.
     Warming,
-    /// It may be warming up, unknown to this proxy.
+    /// The worker may be warming up without this proxy knowing it.
     Unknown,
 }
 
 impl WarmUpState {
-    /// By what is known of its zone, by whether it has said that it warms up, and by whether it may be cold and not have
-    /// been able to say so.
+    /// Returns the state of a worker from the knowledge on its zone and its last report. `is_unconfirmed`:
+    /// the worker may be warming up and unable to report it.
     pub fn of(knowledge: WarmUpKnowledge, is_warming: bool, is_unconfirmed: bool) -> WarmUpState {
         match knowledge {
             _ if is_warming => WarmUpState::Warming,
@@ -74,43 +74,45 @@
     }
 }
 
-/// A worker that is, or may be, warming up.
+/// A worker, as slow start sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpQuery<'a> {
-    /// Its id.
+    /// Id of the worker instance.
     pub worker: &'a str,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: &'a str,
-    /// What it bears while it warms up, in requests a second.
+    /// Rate that the worker can take while warming up, in requests a second.
     pub rate: f64,
-    /// How it is to be treated.
+    /// Warm-up state of the worker.
     pub state: WarmUpState,
 }
 
-/// What went to workers that are, or may be, warming up: for the log.
+/// Number of requests sent to workers that are, or may be, warming up; for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WarmUpUsage {
-    /// How many such workers got requests.
+    /// Workers that received requests.
     pub workers: usize,
-    /// How many requests went to those that are known to warm up.
+    /// Requests to workers that were known to be warming up.
     pub to_warming: u32,
-    /// How many to those that may, unknown to this proxy.
+    /// Requests to workers in unknown state.
     pub to_unknown: u32,
-    /// The most that went to one of them.
+    /// Most requests to a single worker.
     pub max_per_worker: u32,
 }
 
-/// What this proxy has of one worker.
+/// Permits and token bucket of this proxy for one worker.
 struct WorkerPermits {
     zone: String,
-    /// How many permits there are, and what of them is this proxy's.
+    /// Permits of all proxies together.
     total: u32,
+    /// Share of this proxy.
     part: Part,
-    /// When those were taken that are not free again.
+    /// Times at which the permits in use were taken.
     taken: Vec<Time>,
     tokens: TokenBucket,
-    known: u32,
-    unknown: u32,
+    /// Requests since the last report, by state of the worker.
+    sent_while_warming: u32,
+    sent_while_unknown: u32,
 }
 
 impl WorkerPermits {
@@ -119,18 +121,18 @@
         self.taken.len() < self.part.permits as usize
     }
 
-    /// Refills the bucket as the state asks, and returns what it holds.
+    /// Refills the bucket at the rate for the worker's state. Returns its level in tokens.
     fn refill(&mut self, now: Time, query: &WarmUpQuery) -> f64 {
         let part = f64::from(self.part.permits);
         let (rate, burst) = match query.state {
-            WarmUpState::Unknown => (part * UNKNOWN_RATE_PART, part * UNKNOWN_BURST_PART),
-            _ => (query.rate * USED_PART * part / f64::from(self.part.of.max(1)), WARMING_BURST),
+            WarmUpState::Unknown => (part * UNKNOWN_RATE_PER_PERMIT, part * UNKNOWN_BURST_PER_PERMIT),
+            _ => (query.rate * USED_RATE_FRACTION * part / f64::from(self.part.of.max(1)), WARMING_BURST),
         };
         self.tokens.refill(now, rate, burst.max(1.0))
     }
 }
 
-/// The permits of this proxy.
+/// Permits of this proxy for all workers.
 pub struct SlowStart {
     zone: String,
     node: String,
@@ -138,14 +140,14 @@
     overshoot: f64,
     slack: f64,
     split: PermitSplit,
-    /// Until when this split may be acted on.
+    /// The split may be used until this time.
     valid_until: Option<Time>,
     workers: HashMap<String, WorkerPermits>,
 }
 
 impl SlowStart {
-    /// Of the proxy on machine `node` in a zone, a process that begins. The operators' bounds: a warming worker may get its
-    /// rate x `overshoot` + `slack` requests in any second, from all proxies together.
+    /// Creates the state of a new process on machine `node` in `zone`. All proxies together may send a
+    /// worker that is warming up its rate x `overshoot` + `slack` requests in any second.
     pub fn new(now: Time, zone: &str, node: &str, overshoot: f64, slack: f64) -> SlowStart {
         SlowStart {
             zone: zone.to_string(),
@@ -159,7 +161,7 @@
         }
     }
 
-    /// The proxies that hold permits, as replicated.
+    /// Sets the replicated membership, which assigns permits to proxies.
     pub fn set_membership(&mut self, membership: &ProxyMembership) {
         self.split = PermitSplit::new(membership, &self.zone, &self.node);
         for (worker, permits) in &mut self.workers {
@@ -167,25 +169,25 @@
         }
     }
 
-    /// A controller is certain that the membership held here is the newest, or was a moment ago
-    /// (`membership_planner::CONFIRMATION_AGE`).
+    /// Records that a controller has confirmed the membership as the newest, as of at most
+    /// `membership_planner::CONFIRMATION_AGE` ago.
     pub fn on_membership_confirmed(&mut self, now: Time) {
         self.valid_until = Some(now + MEMBERSHIP_VALIDITY);
     }
 
-    /// For how long this process does not use its permits yet.
+    /// Returns the time until this process may use its permits.
     pub fn unusable_for(&self, now: Time) -> Span {
-        self.started_at + FIRST_WINDOW - now
+        self.started_at + STARTUP_DELAY - now
     }
 
-    /// Whether this proxy may send to a worker in that state at all.
+    /// Returns `true` if this proxy may use permits for the worker.
     fn may_use_permits(&self, now: Time, query: &WarmUpQuery) -> bool {
         (query.state == WarmUpState::Unknown || query.zone == self.zone)
-            && now - self.started_at >= FIRST_WINDOW
+            && now - self.started_at >= STARTUP_DELAY
             && self.valid_until.is_some_and(|until| now < until)
     }
 
-    /// Whether a request may go to a worker now.
+    /// Returns `true` if a request may be sent to the worker now.
     pub fn admits(&mut self, now: Time, query: &WarmUpQuery) -> bool {
         if query.state == WarmUpState::Warm {
             return true;
@@ -197,7 +199,7 @@
         permits.has_free(now) && permits.refill(now, query) >= 1.0
     }
 
-    /// A request was admitted to it and is on its way to be handed over: a permit is taken.
+    /// Takes a permit for an admitted request.
     pub fn spend(&mut self, now: Time, query: &WarmUpQuery) {
         if query.state == WarmUpState::Warm {
             return;
@@ -206,13 +208,14 @@
         permits.taken.push(now);
         permits.tokens.level -= 1.0;
         match query.state {
-            WarmUpState::Unknown => permits.unknown += 1,
-            _ => permits.known += 1,
+            WarmUpState::Unknown => permits.sent_while_unknown += 1,
+            _ => permits.sent_while_warming += 1,
         }
     }
 
-    /// Whether a request that was admitted at `picked_at` may be handed over to the worker now, which may have become cold
-    /// meanwhile. The permit that was taken then, or else a free one, is taken as of now.
+    /// Returns `true` if a request that was admitted at `picked_at` may be handed over to the worker now.
+    /// The permit taken at that time is renewed. Without one, for example because the worker was still
+    /// warm, a free permit is needed.
     pub fn may_hand_over(&mut self, now: Time, query: &WarmUpQuery, picked_at: Time) -> bool {
         if query.state == WarmUpState::Warm {
             return true;
@@ -235,11 +238,19 @@
         let total = (query.rate * self.overshoot + self.slack).max(0.0) as u32;
         if !self.workers.contains_key(query.worker) {
             let part = self.split.part(query.zone, query.worker, total);
-            // Members that hear of a worker together do not all begin with it at once.
+            // Staggers the first requests of proxies that learn of the worker at the same time.
             let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - part.phase };
             let tokens = TokenBucket { level, refilled_at: now };
             let zone = query.zone.to_string();
-            let new = WorkerPermits { zone, total, part, taken: Vec::new(), tokens, known: 0, unknown: 0 };
+            let new = WorkerPermits {
+                zone,
+                total,
+                part,
+                taken: Vec::new(),
+                tokens,
+                sent_while_warming: 0,
+                sent_while_unknown: 0,
+            };
             self.workers.insert(query.worker.to_string(), new);
         }
         let permits = self.workers.get_mut(query.worker).expect("inserted above");
@@ -250,7 +261,7 @@
         permits
     }
 
-    /// Forgets workers that are warm or gone and were not used lately.
+    /// Removes workers that are not warming up, hold no taken permit and were not used within `RETENTION`.
     pub fn expire(&mut self, now: Time, is_warming: impl Fn(&str) -> bool) {
         self.workers.retain(|worker, permits| {
             now - permits.tokens.refilled_at < RETENTION || !permits.taken.is_empty() || is_warming(worker)
@@ -258,15 +269,18 @@
         self.workers.values_mut().for_each(|permits| permits.taken.retain(|at| now - *at < PERMIT_WINDOW));
     }
 
-    /// What was sent since the last call; None for nothing.
+    /// Returns the requests sent since the last call, or `None` if there were none.
     pub fn take_usage(&mut self) -> Option<WarmUpUsage> {
         let mut usage = WarmUpUsage::default();
         for permits in self.workers.values_mut() {
-            let (known, unknown) = (std::mem::take(&mut permits.known), std::mem::take(&mut permits.unknown));
-            usage.workers += usize::from(known + unknown > 0);
-            usage.to_warming += known;
+            let (warming, unknown) = (
+                std::mem::take(&mut permits.sent_while_warming),
+                std::mem::take(&mut permits.sent_while_unknown),
+            );
+            usage.workers += usize::from(warming + unknown > 0);
+            usage.to_warming += warming;
             usage.to_unknown += unknown;
-            usage.max_per_worker = usage.max_per_worker.max(known + unknown);
+            usage.max_per_worker = usage.max_per_worker.max(warming + unknown);
         }
         (usage.workers > 0).then_some(usage)
     }
--- a/crates/routing/src/snapshot_requests.rs
+++ b/crates/routing/src/snapshot_requests.rs
@@ -1,26 +1,32 @@
-//! When a proxy that holds unconfirmed instances asks a leader for a snapshot: one that knows all its own as confirmed may
-//! not know all that are known here, so its snapshot says which are; where that leaves some, the next one is asked for later.
+//! Schedules snapshot requests of a proxy that holds unconfirmed instances.
+//!
+//! The proxy requests a snapshot from a leader whose own instances are all confirmed. If instances stay
+//! unconfirmed after it, the next request follows with exponential back-off.
 
 use lynxstair::types::{Span, Time};
 
-/// Between two snapshots, as long as instances stay unconfirmed: at first, and at the most.
+/// First and longest wait between two requests while instances stay unconfirmed.
 const MIN_WAIT: Span = Span::from_millis(1_000);
 const MAX_WAIT: Span = Span::from_millis(30_000);
 
-/// When the next one may be asked for, and how long after that the one behind it.
+/// Back-off state of the snapshot requests.
 #[derive(Debug)]
 pub struct SnapshotRequests {
+    /// Earliest time of the next request.
     due_at: Time,
+    /// Wait after the next request.
     wait: Span,
 }
 
 impl SnapshotRequests {
-    /// One may be asked for at once.
+    /// Allows the first request immediately.
     pub fn new(now: Time) -> SnapshotRequests {
         SnapshotRequests { due_at: now, wait: MIN_WAIT }
     }
 
-    /// A leader was heard that knows all its instances as confirmed, or not; whether its snapshot is to be asked for.
+    /// Returns `true` if a snapshot must be requested from the leader that has just answered.
+    /// `knows_instances`: all instances of the leader are confirmed. `has_unconfirmed`: the proxy holds
+    /// unconfirmed instances.
     pub fn poll(&mut self, now: Time, knows_instances: bool, has_unconfirmed: bool) -> bool {
         if !has_unconfirmed {
             self.wait = MIN_WAIT;
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -1,6 +1,7 @@
-//! The ordinary path of every request: one token bucket for each tenant at this proxy. A token, and the request goes on;
-//! none, and it is rejected with the time to the next. The buckets of all proxies together hold what the tenant's quota is,
-//! by the shares that the quota allocator gives them.
+//! Quota enforcement: one token bucket for each tenant at this proxy.
+//!
+//! A request takes a token or is rejected with the time until the next one. The quota allocator assigns
+//! each proxy a share of a tenant's quota.
 
 use std::collections::HashMap;
 
@@ -10,24 +11,24 @@
 use lynxstair_control_state::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
-/// How long a share is valid without being renewed by the allocator; after that it is capped at an even share.
+/// How long a share is valid without being renewed; after that it is capped at an even share.
 const SHARE_VALIDITY: Span = Span::from_millis(2_500);
-/// The longest `Retry-After` while a tenant is blocked (docs/design.md).
+/// Longest `Retry-After` while a tenant is blocked.
 const MAX_BLOCKED_WAIT: Span = Span::from_millis(1_000);
-/// The shortest one.
+/// Shortest `Retry-After` while a tenant is blocked.
 const MIN_BLOCKED_WAIT: Span = Span::from_millis(1);
-/// The least depth where a tenant was blocked lately, in tokens.
+/// Minimum bucket depth while a tenant is throttled, in tokens.
 const MIN_THROTTLED_DEPTH: f64 = 1.0;
-/// The assumed number of proxies until the leader tells it: after a start of all at once each would otherwise spend the
-/// whole quota.
+/// Assumed number of proxies until the leader reports it, so that proxies that start together don't each
+/// spend the whole quota.
 const INITIAL_PROXIES: f64 = 12.0;
-/// A new bucket begins with this many tokens at the least.
+/// Minimum number of tokens in a new bucket.
 const MIN_INITIAL_TOKENS: f64 = 2.0;
 
 #[derive(Default)]
 struct TenantBucket {
     tokens: TokenBucket,
-    /// The share of the quota that was given, and when.
+    /// Assigned fraction of the quota, and when it was assigned or last renewed.
     share: Option<(f64, Time)>,
     blocked_until: Time,
     throttled_until: Time,
@@ -36,6 +37,7 @@
 }
 
 impl TenantBucket {
+    /// Returns the fraction of the quota that this proxy may use.
     fn share(&self, now: Time, proxies: f64) -> f64 {
         let even = 1.0 / proxies;
         match self.share {
@@ -46,35 +48,36 @@
     }
 }
 
-/// The buckets of all tenants at this proxy.
+/// Token buckets of all tenants at this proxy.
 pub struct TokenBuckets {
     buckets: HashMap<String, TenantBucket>,
     proxies: f64,
-    /// Requests that the operators grant beyond the quota in a window, over all proxies.
+    /// Requests beyond the quota that all proxies together may admit in a window.
     slack: f64,
-    /// The fraction by which they let the quota be exceeded on top of that.
+    /// Fraction of the quota that may be admitted in addition.
     overshoot: f64,
 }
 
 impl TokenBuckets {
-    /// `slack` requests and a fraction `overshoot` of the quota are granted beyond it in a window.
+    /// Creates a set without tenants. In a window, `slack` requests and the fraction `overshoot` of the
+    /// quota may be admitted beyond the quota.
     pub fn new(slack: f64, overshoot: f64) -> Self {
         TokenBuckets { buckets: HashMap::new(), proxies: INITIAL_PROXIES, slack, overshoot }
     }
 
-    /// How many proxies there are in all.
+    /// Sets the number of all proxies.
     pub fn set_proxy_count(&mut self, proxies: u32) {
         self.proxies = f64::from(proxies.max(1));
     }
 
-    /// Takes a token for a tenant's request; the error is the time after which it may come back. Decided at once, always.
+    /// Takes a token for a tenant's request. The error is the time after which the client may retry.
     pub fn admit(&mut self, now: Time, tenant: &Tenant) -> Result<(), Span> {
         if tenant.rate <= 0.0 {
             return Ok(());
         }
         let proxies = self.proxies;
         let bucket = self.buckets.entry(tenant.name.clone()).or_insert_with(|| TenantBucket {
-            // The burst is split over the proxies.
+            // The burst is split evenly over the proxies.
             tokens: TokenBucket { level: (tenant.burst / proxies).max(MIN_INITIAL_TOKENS), refilled_at: now },
             ..TenantBucket::default()
         });
@@ -84,7 +87,7 @@
         let min_depth = if now < bucket.throttled_until { MIN_THROTTLED_DEPTH } else { MIN_DEPTH };
         let level = bucket.tokens.refill(now, rate, depth.max(min_depth));
         if now < bucket.blocked_until {
-            // Nothing is saved up meanwhile.
+            // A blocked tenant accumulates no tokens.
             bucket.tokens.level = level.min(0.0);
             bucket.rejected += 1;
             return Err(MAX_BLOCKED_WAIT.min(bucket.blocked_until - now).max(MIN_BLOCKED_WAIT));
@@ -98,7 +101,7 @@
         Ok(())
     }
 
-    /// Returns a token that was not spent after all: the request went to no worker.
+    /// Returns the token of a request that was not sent to any worker.
     pub fn refund(&mut self, tenant: &str) {
         if let Some(bucket) = self.buckets.get_mut(tenant).filter(|b| b.admitted > 0) {
             bucket.admitted -= 1;
@@ -106,13 +109,13 @@
         }
     }
 
-    /// The shares that were given, by tenant.
+    /// Returns the effective share of each tenant that has an assigned one.
     pub fn held_shares(&self, now: Time) -> Vec<(String, f32)> {
-        let given = self.buckets.iter().filter(|(_, bucket)| bucket.share.is_some());
-        given.map(|(tenant, bucket)| (tenant.clone(), bucket.share(now, self.proxies) as f32)).collect()
+        let assigned = self.buckets.iter().filter(|(_, bucket)| bucket.share.is_some());
+        assigned.map(|(tenant, bucket)| (tenant.clone(), bucket.share(now, self.proxies) as f32)).collect()
     }
 
-    /// What was counted since the last call.
+    /// Returns the admitted and rejected requests of each tenant since the last call.
     pub fn take_usage(&mut self) -> Vec<TenantUsage> {
         let counted = self.buckets.iter_mut().filter(|(_, b)| b.admitted + b.rejected > 0);
         counted
@@ -125,12 +128,12 @@
             .collect()
     }
 
-    /// Takes over shares, as of `given_at`.
-    pub fn apply_shares(&mut self, now: Time, given_at: Time, shares: &[QuotaShare]) {
+    /// Applies shares that were assigned at `assigned_at`.
+    pub fn apply_shares(&mut self, now: Time, assigned_at: Time, shares: &[QuotaShare]) {
         for share in shares {
             let bucket = self.buckets.entry(share.tenant.clone()).or_default();
             if share.fraction.is_finite() {
-                bucket.share = Some((f64::from(share.fraction).clamp(0.0, 1.0), given_at));
+                bucket.share = Some((f64::from(share.fraction).clamp(0.0, 1.0), assigned_at));
             }
             if share.blocked_ms > 0 {
                 bucket.blocked_until = now + Span::from_millis(u64::from(share.blocked_ms));
@@ -142,7 +145,7 @@
         }
     }
 
-    /// The leader has acknowledged a heartbeat that was sent then: the shares that were given before still stand.
+    /// Renews all shares after the leader has acknowledged a heartbeat that was sent at `sent_at`.
     pub fn renew_shares(&mut self, sent_at: Time) {
         for bucket in self.buckets.values_mut() {
             if let Some((_, at)) = &mut bucket.share {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Forgets tenants that the configuration does not hold any more.
+    /// Removes tenants that are no longer configured.
     pub fn retain_tenants(&mut self, is_configured: impl Fn(&str) -> bool) {
         self.buckets.retain(|tenant, _| is_configured(tenant));
     }
