--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -27,7 +27,7 @@
 pub enum ReplyOwner {
     /// The reply carries the id of this attempt.
     Own,
-    /// The reply carries another id: it is late or a duplicate.
+    /// The reply carries the id of another attempt: it is late or surplus.
     Other,
     /// The reply carries no id.
     Unidentified,
@@ -144,7 +144,7 @@
                 AttemptStep::Continue
             }
             AttemptEvent::Reply(head) => self.on_reply(head),
-            // A worker that answers may have acted on the request, even if its last byte was not sent.
+            // A worker that answers may have acted on the request, even if the last byte was not sent.
             AttemptEvent::MalformedReply => ended(Execution::MayHaveRun, Outcome::Errored),
             AttemptEvent::Stopped { reason, has_partial_reply } => self.on_stopped(reason, has_partial_reply),
         };
@@ -161,8 +161,8 @@
         match head.owner {
             ReplyOwner::Own => self.on_own_reply(head),
             ReplyOwner::Ambiguous => ended(Execution::MayHaveRun, Outcome::Errored),
-            // The worker rejects a request whose id it could not read. Accepted only if the reply can't
-            // belong to an earlier request on the connection.
+            // A worker replies without an id to a request that reached it without one. Accepted only if no
+            // other request on the connection can be meant.
             ReplyOwner::Unidentified
                 if head.status == 400
                     && head.reports_not_run
--- a/crates/routing/src/config_lease.rs
+++ b/crates/routing/src/config_lease.rs
@@ -1,8 +1,8 @@
 //! Configuration lease of a proxy.
 //!
-//! The lease records, by the proxy's own monotonic clock, the latest time at which no newer configuration
-//! was committed. If revoked API keys must stop working on every machine, a proxy with an expired lease
-//! forwards no tenant requests.
+//! The lease records, by the proxy's own monotonic clock, the latest time at which its configuration was
+//! confirmed as the newest committed one. If revoked API keys must stop working on every machine, a proxy
+//! with an expired lease forwards no tenant requests.
 
 use lynxstair::types::{Span, Time};
 
--- a/crates/routing/src/execution.rs
+++ b/crates/routing/src/execution.rs
@@ -8,7 +8,7 @@
     /// The request has not run and will not run: it was not sent completely, or the worker reported that it
     /// did not run.
     NeverRan,
-    /// The request was sent, and no valid reply to it was received.
+    /// It is unknown whether the request has run: no valid reply was received.
     MayHaveRun,
     /// The worker ran the request and replied with a server error.
     Failed,
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -70,7 +70,8 @@
         self.proxies = f64::from(proxies.max(1));
     }
 
-    /// Takes a token for a tenant's request. The error is the time after which the client may retry.
+    /// Takes a token for a tenant's request. Tenants without a limit need none. The error is the time after
+    /// which the client may retry.
     pub fn admit(&mut self, now: Time, tenant: &Tenant) -> Result<(), Span> {
         if tenant.rate <= 0.0 {
             return Ok(());
--- a/crates/service/src/logging.rs
+++ b/crates/service/src/logging.rs
@@ -31,7 +31,7 @@
 /// process has no effect.
 pub(crate) fn init_json_logging() {
     let filter = RustLogFilterBuilder::from_spec(FILTER).build();
-    let to = LossyStderr(JsonLayout::default());
-    let _ = logforth::starter_log::builder().dispatch(|d| d.filter(filter).append(to)).try_apply();
+    let stderr = LossyStderr(JsonLayout::default());
+    let _ = logforth::starter_log::builder().dispatch(|d| d.filter(filter).append(stderr)).try_apply();
     lynxstair_net::log::redirect(|line| log::warn!("{line}"));
 }
