--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -2,10 +2,11 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_config::configuration::Tenant;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaTolerance, UsageReport};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
-const GRANT: QuotaGrant = QuotaGrant { window: Span::from_millis(5_000), slack: 20.0, overshoot: 0.1 };
+const GRANT: QuotaTolerance =
+    QuotaTolerance { window: Span::from_millis(5_000), slack: 20.0, overshoot: 0.1 };
 const PROXIES: u32 = 11;
 /// So many of them let one through in each second.
 const BUSY: u32 = 7;
@@ -18,8 +19,9 @@
     TenantUsage { tenant: "t".into(), admitted: passed, rejected: 0, age_ms: ago_ms }
 }
 
-/// Seven in a second of eight that are granted: what proxies say of the time when they were out of reach closes
-/// nobody, as it lies in the past. Said as if it were of now, it closed the tenant everywhere for seconds.
+/// Seven in a second of eight that are granted: what proxies say of the time when they were out of reach
+/// closes nobody, as it lies in the past. Said as if it were of now, it closed the tenant everywhere for
+/// seconds.
 #[test]
 fn late_usage_reports_count_in_the_past() {
     let tenants =
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -77,8 +77,8 @@
 
     /// Another controller has sent something, or opened a connection.
     pub fn on_peer_heard(&mut self, now: Time, peer: NodeAddress) {
-        self.peers.peer_set.on_heard(now, peer);
-        self.directory.on_controller_heard(now, peer);
+        self.peers.peer_set.record_contact(now, peer);
+        self.directory.on_controller_contact(now, peer);
         self.consensus.on_peer_seen(now, peer);
     }
 
@@ -144,7 +144,7 @@
     ) -> bool {
         let Some(proxy) = self.subscribers.proxy(id) else { return false };
         let is_changed = self.directory.on_heartbeat(received_at, proxy, heartbeat.readiness);
-        self.membership.on_heartbeat(received_at, &proxy.node, &proxy.zone, heartbeat.membership);
+        self.membership.on_heartbeat(received_at, &proxy.node, &proxy.zone, heartbeat.membership_revision);
         if is_changed && heartbeat.readiness == Readiness::ShuttingDown {
             self.publish_proxy_changes(now);
         }
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -8,7 +8,7 @@
 use lynxstair_config::bounds::Bounds;
 use lynxstair_config::configuration::Tenant;
 use lynxstair_consensus::NodeAddress;
-use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaGrant, UsageReport};
+use lynxstair_control_state::quota_allocator::{QuotaAllocator, QuotaTolerance, UsageReport};
 use lynxstair_control_state::subscription::Subscription;
 use lynxstair_net::connection::Connection;
 use lynxstair_protocol::messages::{Bytes, Instance, ProxyHeartbeat, ProxyInfo, ToProxy};
@@ -83,7 +83,7 @@
 impl Subscribers {
     /// No subscriptions yet.
     pub fn new(bounds: &Bounds) -> Subscribers {
-        let grant = QuotaGrant {
+        let grant = QuotaTolerance {
             window: bounds.quota_window,
             slack: bounds.quota_slack,
             overshoot: bounds.quota_overshoot,
@@ -204,7 +204,8 @@
         if let Some(held) = &heartbeat.held_shares {
             quotas.set_held_shares(&proxy.node, held);
         }
-        let report = UsageReport { usage: &heartbeat.usage, received_shares: heartbeat.received_shares };
+        let report =
+            UsageReport { usage: &heartbeat.usage, received_shares: heartbeat.received_shares_number };
         let blocked = quotas.report_usage(now, &proxy.node, &proxy.zone, &report, tenants);
         // A leader that has just begun has not been found by all proxies, and each would take too large a part.
         let counts = quotas.proxy_counts();
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -241,7 +241,7 @@
         };
         let settings = Settings {
             gatekeepers: self.proxies_sending_to(zone).div_ceil(PROXY_COUNT_DIVISOR),
-            step: DISPATCHER_STEP,
+            time_resolution: DISPATCHER_STEP,
             operations: self
                 .operations
                 .get(service)
@@ -249,7 +249,7 @@
             plans: vec![Plan::default()],
             idle_timeout: IDLE_CONNECTION_TIMEOUT,
             max_attempts: 1,
-            cold_capacity: 1.0,
+            initial_capacity: 1.0,
             ..Settings::default()
         };
         let seed = self.seed ^ self.localities.len() as u64;
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -20,7 +20,7 @@
 use lynxstair::state::TokenBucket;
 use lynxstair::types::{Span, Time};
 use lynxstair_control_state::membership_planner::MEMBERSHIP_VALIDITY;
-use lynxstair_control_state::proxy_membership::{Part, PermitSplit, ProxyMembership};
+use lynxstair_control_state::proxy_membership::{PermitShare, PermitSplit, ProxyMembership};
 
 /// Time after its start during which a process doesn't use its permits: the window of the limit.
 const STARTUP_DELAY: Span = Span::from_millis(1_000);
@@ -106,7 +106,7 @@
     /// Permits of all proxies together.
     total: u32,
     /// Share of this proxy.
-    part: Part,
+    part: PermitShare,
     /// Times at which the permits in use were taken.
     taken: Vec<Time>,
     tokens: TokenBucket,
@@ -126,7 +126,10 @@
         let part = f64::from(self.part.permits);
         let (rate, burst) = match query.state {
             WarmUpState::Unknown => (part * UNKNOWN_RATE_PER_PERMIT, part * UNKNOWN_BURST_PER_PERMIT),
-            _ => (query.rate * USED_RATE_FRACTION * part / f64::from(self.part.of.max(1)), WARMING_BURST),
+            _ => (
+                query.rate * USED_RATE_FRACTION * part / f64::from(self.part.group_total.max(1)),
+                WARMING_BURST,
+            ),
         };
         self.tokens.refill(now, rate, burst.max(1.0))
     }
@@ -165,12 +168,12 @@
     pub fn set_membership(&mut self, membership: &ProxyMembership) {
         self.split = PermitSplit::new(membership, &self.zone, &self.node);
         for (worker, permits) in &mut self.workers {
-            permits.part = self.split.part(&permits.zone, worker, permits.total);
+            permits.part = self.split.share(&permits.zone, worker, permits.total);
         }
     }
 
     /// Records that a controller has confirmed the membership as the newest, as of at most
-    /// `membership_planner::CONFIRMATION_AGE` ago.
+    /// `membership_planner::MAX_CONFIRMATION_AGE` ago.
     pub fn on_membership_confirmed(&mut self, now: Time) {
         self.valid_until = Some(now + MEMBERSHIP_VALIDITY);
     }
@@ -237,9 +240,9 @@
     fn permits(&mut self, now: Time, query: &WarmUpQuery) -> &mut WorkerPermits {
         let total = (query.rate * self.overshoot + self.slack).max(0.0) as u32;
         if !self.workers.contains_key(query.worker) {
-            let part = self.split.part(query.zone, query.worker, total);
+            let part = self.split.share(query.zone, query.worker, total);
             // Staggers the first requests of proxies that learn of the worker at the same time.
-            let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - part.phase };
+            let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - part.start_offset };
             let tokens = TokenBucket { level, refilled_at: now };
             let zone = query.zone.to_string();
             let new = WorkerPermits {
@@ -256,7 +259,7 @@
         let permits = self.workers.get_mut(query.worker).expect("inserted above");
         if permits.total != total {
             permits.total = total;
-            permits.part = self.split.part(query.zone, query.worker, total);
+            permits.part = self.split.share(query.zone, query.worker, total);
         }
         permits
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of a gatekeeper, as the bench and the gatekeeper's configuration file hold them, into the types that
-//! the decision module and the network code go by. Names of the wire stay in `wire`.
+//! Reads the settings of a gatekeeper from JSON into the types of the decision module and the network code.
+//! The names of the JSON keys are in `wire`.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -10,68 +10,68 @@
 
 use wire::{Class, Package, Wire};
 
-/// What holds where the settings say nothing.
+/// Values used if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Span = Span::from_millis(250);
 const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(15_000);
 const DEFAULT_COUNTER_TIMEOUT: Span = Span::from_millis(50);
 
-/// All that the settings say.
+/// Settings of a gatekeeper.
 pub struct GatekeeperSettings {
-    /// What the decisions go by.
-    pub decisions: Settings,
-    /// The names that peers use.
+    /// Settings of the decision module.
+    pub policy: Settings,
+    /// Names of operations, plans, zones and kinds of workers.
     pub names: Names,
-    /// What a request may say.
+    /// Limits on the values of a request.
     pub bounds: RequestBounds,
-    /// Time-outs of connections.
+    /// Time-outs of connections and counter calls.
     pub timeouts: Timeouts,
 }
 
-/// What a request may say.
+/// Limits on the values of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestBounds {
-    /// How many gatekeepers there are, at most.
-    pub gatekeepers: u32,
-    /// The most units that it may take.
-    pub units: f32,
-    /// The operations, by their ids.
+    /// Number of gatekeepers; `u32::MAX` if unknown.
+    pub max_gatekeepers: u32,
+    /// Maximum units of a request; `f32::MAX` if unlimited.
+    pub max_units: f32,
+    /// Operations, indexed by `OperationId`.
     pub operations: Vec<OperationBounds>,
 }
 
-/// What a request for an operation may say.
+/// Limits on a request for an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct OperationBounds {
-    /// The longest time that its client waits.
+    /// Longest time that a client waits for an answer.
     pub integration_timeout: Span,
-    /// It may run again.
+    /// `true` if the operation may always be repeated.
     pub is_idempotent: bool,
 }
 
-/// Names in the order of the ids that stand for them.
+/// Names, indexed by the identifiers that stand for them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of operations.
+    /// Operations, indexed by `OperationId`.
     pub operations: Vec<String>,
-    /// Of plans.
+    /// Plans, indexed by `PlanId`.
     pub plans: Vec<String>,
-    /// Of zones.
+    /// Zones, indexed by `ZoneId`.
     pub zones: Vec<String>,
-    /// Of kinds of workers.
+    /// Kinds of workers, indexed by `KindId`.
     pub kinds: Vec<String>,
 }
 
-/// Time-outs of connections.
+/// Time-outs of connections and counter calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// How long a connection attempt may take.
+    /// Time limit for establishing a connection.
     pub connect: Span,
-    /// How long workers keep an idle connection open.
+    /// Time after which workers close an idle connection.
     pub idle: Span,
-    /// A call to the counter that takes longer is late.
+    /// Time after which a reply of the counter is late.
     pub counter: Span,
 }
 
-/// Settings that can't be read. Reading the same text again fails again.
+/// Error for settings that can't be parsed. It is permanent for the same text.
 #[derive(Debug)]
 pub struct SettingsError(serde_json::Error);
 
@@ -87,20 +87,20 @@
     }
 }
 
-/// Reads settings from their JSON text.
+/// Parses settings from JSON.
 pub fn read(text: &[u8]) -> Result<GatekeeperSettings, SettingsError> {
     let wire: Wire = serde_json::from_slice(text).map_err(SettingsError)?;
     let timeouts = timeouts(&wire);
     let operations: Vec<Operation> = wire.classes.iter().map(operation).collect();
     let bounds = bounds(&wire, &operations);
-    let decisions = decisions(&wire, operations, &timeouts);
+    let policy = policy_settings(&wire, operations, &timeouts);
     let names = Names {
         operations: wire.classes.into_iter().map(|class| class.name).collect(),
         plans: wire.packages.into_iter().map(|package| package.name).collect(),
         zones: wire.areas,
         kinds: wire.shapes,
     };
-    Ok(GatekeeperSettings { decisions, names, bounds, timeouts })
+    Ok(GatekeeperSettings { policy, names, bounds, timeouts })
 }
 
 fn timeouts(wire: &Wire) -> Timeouts {
@@ -118,18 +118,18 @@
         is_idempotent: operation.idempotency == Idempotency::Idempotent,
     };
     RequestBounds {
-        gatekeepers: if wire.balancers > 0 { wire.balancers } else { u32::MAX },
-        units: Some(wire.family_info.max_units).filter(|units| *units > 0.0).unwrap_or(f32::MAX),
+        max_gatekeepers: if wire.balancers > 0 { wire.balancers } else { u32::MAX },
+        max_units: Some(wire.family_info.max_units).filter(|units| *units > 0.0).unwrap_or(f32::MAX),
         operations: operations.iter().map(operation).collect(),
     }
 }
 
-fn decisions(wire: &Wire, operations: Vec<Operation>, timeouts: &Timeouts) -> Settings {
+fn policy_settings(wire: &Wire, operations: Vec<Operation>, timeouts: &Timeouts) -> Settings {
     Settings {
-        me: wire.me,
+        gatekeeper_number: wire.me,
         gatekeepers: wire.balancers,
         zone: ZoneId(wire.my_zone),
-        step: Span::from_nanos(wire.step),
+        time_resolution: Span::from_nanos(wire.step),
         operations,
         plans: wire.packages.iter().map(plan).collect(),
         has_counter: wire.family_info.may_count,
@@ -144,11 +144,11 @@
         max_retry_after: Span::from_nanos(wire.limits.max_retry_after),
         allows_hedging: wire.limits.second_copies,
         max_attempts: wire.limits.max_attempts,
-        cold_capacity: wire.rules.start_capacity,
+        initial_capacity: wire.rules.start_capacity,
         warm_up: Span::from_nanos(wire.rules.warm_within),
         overload_recovery: Span::from_nanos(wire.rules.fall),
         overload_multiple: wire.rules.fall_multiple,
-        load: wire.load_report.fields.iter().map(|field| load_field(field)).collect(),
+        load_fields: wire.load_report.fields.iter().map(|field| load_field(field)).collect(),
     }
 }
 
@@ -168,7 +168,7 @@
         ("dedup", "all") => Idempotency::Deduplicated(DedupScope::All, window),
         ("dedup", "zone") => Idempotency::Deduplicated(DedupScope::Zone, window),
         ("dedup", "cell") => Idempotency::Deduplicated(DedupScope::Cell, window),
-        // What is not known to bear a repeat gets none.
+        // Unknown values are treated as not safe to repeat.
         _ => Idempotency::NonIdempotent,
     };
     Operation {
@@ -186,8 +186,8 @@
         burst: package.depth,
         max_open: package.open,
         price: package.pays,
-        beyond_costs: package.beyond_costs,
-        beyond_earns: package.beyond_earns,
+        overage_cost: package.beyond_costs,
+        overage_revenue: package.beyond_earns,
         hard_limit_rate: package.hard_rate,
         hard_limit_burst: package.ceiling_burst,
     }
