--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -106,7 +106,7 @@
     /// Permits of all proxies together.
     total: u32,
     /// Share of this proxy.
-    part: PermitShare,
+    share: PermitShare,
     /// Times at which the permits in use were taken.
     taken: Vec<Time>,
     tokens: TokenBucket,
@@ -118,16 +118,16 @@
 impl WorkerPermits {
     fn has_free(&mut self, now: Time) -> bool {
         self.taken.retain(|at| now - *at < PERMIT_WINDOW);
-        self.taken.len() < self.part.permits as usize
+        self.taken.len() < self.share.permits as usize
     }
 
     /// Refills the bucket at the rate for the worker's state. Returns its level in tokens.
     fn refill(&mut self, now: Time, query: &WarmUpQuery) -> f64 {
-        let part = f64::from(self.part.permits);
+        let permits = f64::from(self.share.permits);
         let (rate, burst) = match query.state {
-            WarmUpState::Unknown => (part * UNKNOWN_RATE_PER_PERMIT, part * UNKNOWN_BURST_PER_PERMIT),
+            WarmUpState::Unknown => (permits * UNKNOWN_RATE_PER_PERMIT, permits * UNKNOWN_BURST_PER_PERMIT),
             _ => (
-                query.rate * USED_RATE_FRACTION * part / f64::from(self.part.group_total.max(1)),
+                query.rate * USED_RATE_FRACTION * permits / f64::from(self.share.group_total.max(1)),
                 WARMING_BURST,
             ),
         };
@@ -168,7 +168,7 @@
     pub fn set_membership(&mut self, membership: &ProxyMembership) {
         self.split = PermitSplit::new(membership, &self.zone, &self.node);
         for (worker, permits) in &mut self.workers {
-            permits.part = self.split.share(&permits.zone, worker, permits.total);
+            permits.share = self.split.share(&permits.zone, worker, permits.total);
         }
     }
 
@@ -240,15 +240,15 @@
     fn permits(&mut self, now: Time, query: &WarmUpQuery) -> &mut WorkerPermits {
         let total = (query.rate * self.overshoot + self.slack).max(0.0) as u32;
         if !self.workers.contains_key(query.worker) {
-            let part = self.split.share(query.zone, query.worker, total);
+            let share = self.split.share(query.zone, query.worker, total);
             // Staggers the first requests of proxies that learn of the worker at the same time.
-            let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - part.start_offset };
+            let level = if query.state == WarmUpState::Unknown { 1.0 } else { 1.0 - share.start_offset };
             let tokens = TokenBucket { level, refilled_at: now };
             let zone = query.zone.to_string();
             let new = WorkerPermits {
                 zone,
                 total,
-                part,
+                share,
                 taken: Vec::new(),
                 tokens,
                 sent_while_warming: 0,
@@ -259,7 +259,7 @@
         let permits = self.workers.get_mut(query.worker).expect("inserted above");
         if permits.total != total {
             permits.total = total;
-            permits.part = self.split.share(query.zone, query.worker, total);
+            permits.share = self.split.share(query.zone, query.worker, total);
         }
         permits
     }
