--- a/crates/proxy/src/cancellation.rs
+++ b/crates/proxy/src/cancellation.rs
@@ -1,4 +1,4 @@
-//! Tells whoever waits for a worker that nothing more is to be waited for.
+//! Cancellation of a request's wait for a worker.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
@@ -6,14 +6,14 @@
 use lynxstair_net::connection::Connection;
 use lynxstair_routing::attempt::StopReason;
 
-/// No cancellation yet.
+/// Not cancelled.
 const ACTIVE: u8 = 0;
-/// The process is about to end: the client still gets a response.
+/// The process is about to exit; the client still gets a response.
 const SHUTTING_DOWN: u8 = 1;
-/// The client has left: nobody waits for a response. It outweighs the other.
+/// The client has disconnected; takes precedence over `SHUTTING_DOWN`.
 const CLIENT_GONE: u8 = 2;
 
-/// Cancels what is done for one request.
+/// Cancels the attempts of one request.
 #[derive(Default)]
 pub struct CancelToken {
     state: AtomicU8,
@@ -21,17 +21,17 @@
 }
 
 impl CancelToken {
-    /// The connection whose reader is to be woken.
+    /// Sets the worker connection to wake on cancellation.
     pub(crate) fn watch(&self, connection: &Arc<Connection>) {
         *self.connection.lock().unwrap_or_else(|e| e.into_inner()) = Some(connection.clone());
     }
 
-    /// The client has left: what is out for it ends.
+    /// Cancels the request because its client has disconnected.
     pub fn cancel(&self) {
         self.set(CLIENT_GONE);
     }
 
-    /// The process is about to end: the request gets its response now, whatever is out for it.
+    /// Ends the wait for workers because the process is about to exit; the client still gets a response.
     pub fn shut_down(&self) {
         self.set(SHUTTING_DOWN);
     }
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Whether the client has left.
+    /// Returns `true` if the client has disconnected.
     pub fn is_cancelled(&self) -> bool {
         self.stop_reason() == Some(StopReason::ClientGone)
     }
 
-    /// Why nothing more is to be waited for, if so.
+    /// Returns why the wait for workers must end, or `None` if it goes on.
     pub fn stop_reason(&self) -> Option<StopReason> {
         match self.state.load(Ordering::Relaxed) {
             ACTIVE => None,
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its responses in order, and the requests that are being handled.
+//! State of one client connection: the order of its responses and its requests in flight.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,16 +11,17 @@
 use crate::cancellation::CancelToken;
 use crate::pipeline::{AfterRequest, ResponsePipeline, Turn};
 
-/// The advertised idle time-out of a connection is shorter than the real one by this margin.
+/// Margin by which the advertised idle time-out is shorter than the real one.
 const KEEP_ALIVE_MARGIN: Span = Span::from_millis(1_000);
 
 /// The requests of one connection.
 #[derive(Default)]
 pub struct Requests {
-    /// The order of the responses.
+    /// Order of the responses.
     pub pipeline: ResponsePipeline,
-    /// Those whose response is ready before its turn.
+    /// Coroutines that wait for the turn of their response, by request number.
     waiting: HashMap<u64, Arc<Blocker>>,
+    /// Requests being handled, by number.
     in_flight: HashMap<u64, InFlight>,
 }
 
@@ -30,31 +31,31 @@
     cancel: Arc<CancelToken>,
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct ClientConnection {
-    /// Its socket.
+    /// Socket and buffers.
     pub connection: Arc<Connection>,
     requests: Mutex<Requests>,
-    /// How long the connection may rest, as its client was last told, in nanoseconds.
-    advertised_idle: AtomicU64,
+    /// Idle time-out at the time of the last `Keep-Alive` header, in nanoseconds; 0 before the first one.
+    advertised_idle_ns: AtomicU64,
 }
 
 impl ClientConnection {
-    /// A new connection.
+    /// Wraps a connection without requests.
     pub fn new(connection: Connection) -> ClientConnection {
         ClientConnection {
             connection: Arc::new(connection),
             requests: Mutex::default(),
-            advertised_idle: AtomicU64::new(0),
+            advertised_idle_ns: AtomicU64::new(0),
         }
     }
 
-    /// Its requests, locked.
+    /// Locks the requests of the connection.
     pub fn requests(&self) -> MutexGuard<'_, Requests> {
         self.requests.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A request was read that is forwarded; its number.
+    /// Registers a request that was read and returns its number.
     pub fn begin_request(&self, is_last: bool, read_at: Time, cancel: &Arc<CancelToken>) -> u64 {
         let mut requests = self.requests();
         let number = requests.pipeline.on_request(is_last);
@@ -62,36 +63,37 @@
         number
     }
 
-    /// The process is about to end: whatever is in flight gets its response now.
+    /// Makes all requests in flight stop waiting for workers because the process is about to exit.
     pub fn shut_down(&self) {
         self.requests().in_flight.values().for_each(|request| request.cancel.shut_down());
     }
 
-    /// When each request that is being handled was read.
+    /// Returns the time at which each request in flight was read.
     pub fn read_times(&self) -> Vec<Time> {
         self.requests().in_flight.values().map(|request| request.read_at).collect()
     }
 
-    /// How long the client was told that the connection may rest.
+    /// Returns the idle time-out that was in force when the last `Keep-Alive` header was created; zero
+    /// before.
     pub fn advertised_idle(&self) -> Span {
-        Span::from_nanos(self.advertised_idle.load(Ordering::Relaxed))
+        Span::from_nanos(self.advertised_idle_ns.load(Ordering::Relaxed))
     }
 
-    /// The header lines that tell the client whether, and how long, the connection stays.
-    /// `idle_timeout`: how long it may rest; none where it closes after this response.
+    /// Returns the `Connection: close` or `Keep-Alive` header line of the next response.
+    /// `idle_timeout`: `None` if the connection closes after the response.
     pub fn connection_headers(&self, idle_timeout: Option<Span>) -> String {
         let Some(idle_timeout) = idle_timeout else {
             return "Connection: close\r\n".to_string();
         };
-        let told = idle_timeout.secs() - KEEP_ALIVE_MARGIN.secs();
-        if told < 1.0 {
+        let advertised_s = idle_timeout.secs() - KEEP_ALIVE_MARGIN.secs();
+        if advertised_s < 1.0 {
             return String::new();
         }
-        self.advertised_idle.store(idle_timeout.nanos(), Ordering::Relaxed);
-        format!("Keep-Alive: timeout={}\r\n", told.floor())
+        self.advertised_idle_ns.store(idle_timeout.nanos(), Ordering::Relaxed);
+        format!("Keep-Alive: timeout={}\r\n", advertised_s.floor())
     }
 
-    /// Waits until all requests before this one are answered; false where the connection has ended.
+    /// Waits until all earlier requests are answered. Returns `false` if the connection has ended.
     pub fn wait_for_turn(&self, number: u64) -> bool {
         loop {
             let blocker = {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// The handling of a request has ended, or could not begin.
+    /// Handles the end of a request, also if its handling could not start. Wakes the request whose response
+    /// is next.
     pub fn on_request_done(&self, number: u64, has_panicked: bool) {
         let mut requests = self.requests();
         requests.in_flight.remove(&number);
@@ -127,16 +130,16 @@
         drop(requests);
         match after {
             AfterRequest::Next(_) => {}
-            // What is not sent yet goes out first; the reader ends the connection then.
+            // Unsent bytes are sent first; the reader then closes the connection.
             AfterRequest::Finish if self.connection.unsent() > 0 || self.connection.is_closed() => {}
             AfterRequest::Finish => self.connection.shut_down_write(),
-            AfterRequest::Break => self.connection.close(),
+            AfterRequest::Abort => self.connection.close(),
         }
-        // The reader looks again: at what waits unread, or at its end.
+        // The reader must check for pipelined requests, or for the end of the connection.
         self.connection.wake();
     }
 
-    /// The connection has ended: nobody waits for what is in flight.
+    /// Closes the connection and cancels its requests in flight.
     pub fn disconnect(&self) {
         self.connection.close();
         let mut requests = self.requests();
--- a/crates/proxy/src/client_limits.rs
+++ b/crates/proxy/src/client_limits.rs
@@ -1,29 +1,31 @@
-//! What a client may send, and how long it may take.
+//! Size and time limits of client requests.
 
 use lynxstair::types::Span;
 use lynxstair_net::http::MAX_HEAD;
 
 use crate::routing_state::RoutingState;
 
-/// What is buffered of a client's requests: the longest body that is held, and a head.
-pub const MAX_BUFFER: usize = MAX_BODY + MAX_HEAD;
-const MAX_BODY: usize = 2 << 20;
-/// Before a configuration is known.
+/// Buffer size of a client connection: the longest body and head.
+pub const MAX_BUFFER_BYTES: usize = MAX_BODY_BYTES + MAX_HEAD;
+/// Longest body; the configuration can only set a lower limit.
+const MAX_BODY_BYTES: usize = 2 << 20;
+/// Header time-out before the first configuration.
 const DEFAULT_HEADER_TIMEOUT: Span = Span::from_millis(3_000);
+/// Idle time-out before the first configuration.
 const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(15_000);
 
-/// The limits in force.
+/// Limits of a client connection.
 pub struct Limits {
-    /// How long a head may take.
+    /// Maximum time from the first byte of a request to the end of its head.
     pub header_timeout: Span,
-    /// How long a connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Span,
-    /// The longest body, in bytes.
+    /// Longest body, in bytes.
     pub max_body: usize,
 }
 
 impl Limits {
-    /// By the configuration in force.
+    /// Returns the limits of the current configuration, or defaults if there is none.
     pub fn in_force(routing: &RoutingState) -> Limits {
         match routing.version() {
             Some(version) => {
@@ -31,13 +33,13 @@
                 Limits {
                     header_timeout: limits.header_timeout,
                     idle_timeout: limits.idle_timeout,
-                    max_body: limits.max_body_bytes.min(MAX_BODY),
+                    max_body: limits.max_body_bytes.min(MAX_BODY_BYTES),
                 }
             }
             None => Limits {
                 header_timeout: DEFAULT_HEADER_TIMEOUT,
                 idle_timeout: DEFAULT_IDLE_TIMEOUT,
-                max_body: MAX_BODY,
+                max_body: MAX_BODY_BYTES,
             },
         }
     }
--- a/crates/proxy/src/client_reader.rs
+++ b/crates/proxy/src/client_reader.rs
@@ -1,4 +1,4 @@
-//! Reads one client's requests and starts the handling of each.
+//! Accepts client connections, reads their requests, and starts a coroutine for each request.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -13,43 +13,43 @@
 
 use crate::cancellation::CancelToken;
 use crate::client_connection::ClientConnection;
-use crate::client_limits::{Limits, MAX_BUFFER};
+use crate::client_limits::{Limits, MAX_BUFFER_BYTES};
 use crate::local_response::LocalResponse;
 use crate::proxy::Proxy;
 use crate::request_handler::{ReadRequest, handle};
 
-/// How many requests of one connection are in flight at once; the rest waits unread.
-const MAX_PIPELINED: usize = 16;
-/// How much longer a body may take than a head.
+/// Maximum number of requests in flight on one connection; further ones stay in the receive buffer.
+const MAX_PIPELINED_REQUESTS: usize = 16;
+/// Time for a request's body, in addition to the header time-out.
 const BODY_TIMEOUT: Span = Span::from_millis(10_000);
-/// How long a connection stays open after its last response, for its client to close it.
+/// Time that a connection stays open after its last response so that the client can close it.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// What follows from a look at what was read.
+/// Next parse_next of the reader after a look at the receive buffer.
 enum ReadStep {
-    /// Wait for more.
+    /// Wait for more bytes.
     ReadMore,
-    /// Look again.
-    Again,
-    /// The last request is read: what still comes is discarded, until the client is gone.
+    /// Look for the next request in the buffer.
+    ParseNext,
+    /// The last request was read; discard further bytes until the client closes the connection.
     Drain,
-    /// The connection has ended.
+    /// The connection was closed.
     Done,
 }
 
-/// Accepts clients for ever; for a coroutine of its own.
+/// Accepts clients; never returns. Runs in its own coroutine.
 pub fn accept_clients(proxy: &Arc<Proxy>, listener: &CoIo<TcpListener>) {
     server::accept(listener, |stream| {
-        // Closed unread while the proxy is closing: its client knows that it may go elsewhere.
+        // Otherwise the connection is closed unread, so its client may safely retry at another proxy.
         if !proxy.clients.is_full() && !proxy.is_closing() {
             serve(proxy, stream);
         }
     });
 }
 
-/// Serves a new connection in a coroutine of its own.
+/// Serves a new connection in its own coroutine.
 fn serve(proxy: &Arc<Proxy>, stream: TcpStream) {
-    let Ok(connection) = Connection::new(stream, MAX_BUFFER) else { return };
+    let Ok(connection) = Connection::new(stream, MAX_BUFFER_BYTES) else { return };
     let client = Arc::new(ClientConnection::new(connection));
     let number = proxy.clients.add(&client);
     let (ended_client, ended_proxy) = (client.clone(), proxy.clone());
@@ -67,9 +67,9 @@
 struct ClientReader {
     proxy: Arc<Proxy>,
     client: Arc<ClientConnection>,
-    /// Since when nothing was in flight.
+    /// Time since which no request was in flight.
     idle_since: Time,
-    /// Since when a part of a request is there.
+    /// Time since which an incomplete request is in the buffer; `None` if there is none.
     partial_since: Option<Time>,
     has_sent_continue: bool,
 }
@@ -80,7 +80,7 @@
         ClientReader { proxy, client, idle_since, partial_since: None, has_sent_continue: false }
     }
 
-    /// Reads one request after another and starts each.
+    /// Reads requests and starts a coroutine for each, until the connection ends.
     fn run(mut self) {
         loop {
             let limits = self.limits();
@@ -89,13 +89,13 @@
                 None => self.idle_since + limits.idle_timeout,
             };
             self.proxy.alarms.wake_connection(wake_at, &self.client.connection);
-            // What is in flight goes on; only what is read next waits for room.
+            // Requests in flight continue meanwhile.
             if self.client.connection.read() != ReadOutcome::Bytes {
                 return self.client.disconnect();
             }
             loop {
-                match self.step(&limits) {
-                    ReadStep::Again => {}
+                match self.parse_next(&limits) {
+                    ReadStep::ParseNext => {}
                     ReadStep::ReadMore => break,
                     ReadStep::Drain => return self.drain(),
                     ReadStep::Done => return,
@@ -104,15 +104,16 @@
         }
     }
 
-    /// The limits for this client: what it was told holds, also where a new configuration grants less.
+    /// Returns the limits for this connection. An idle time-out already advertised to the client is not
+    /// shortened.
     fn limits(&self) -> Limits {
         let mut limits = Limits::in_force(&self.proxy.routing());
         limits.idle_timeout = limits.idle_timeout.max(self.client.advertised_idle());
         limits
     }
 
-    /// Looks at what was read, for one request.
-    fn step(&mut self, limits: &Limits) -> ReadStep {
+    /// Looks for one request in the receive buffer and starts or rejects it.
+    fn parse_next(&mut self, limits: &Limits) -> ReadStep {
         let now = self.proxy.alarms.now();
         let unanswered = {
             let mut requests = self.client.requests();
@@ -125,7 +126,7 @@
             requests.pipeline.unanswered() as usize
         };
         if self.proxy.has_ended() {
-            // What is read now would be lost: unread, its client knows that it may send it again.
+            // A request read now would get no response. Left unread, the client may safely retry it.
             self.client.disconnect();
             return ReadStep::Done;
         }
@@ -135,7 +136,7 @@
             drop(inbound);
             return self.on_empty(now, unanswered, limits);
         }
-        if unanswered >= MAX_PIPELINED {
+        if unanswered >= MAX_PIPELINED_REQUESTS {
             return ReadStep::ReadMore;
         }
         let bytes = inbound.bytes();
@@ -161,26 +162,27 @@
         }
     }
 
-    /// Nothing is there. A connection that rests for too long is closed.
+    /// Handles an empty receive buffer: closes the connection after the idle time-out or while the proxy is
+    /// closing.
     fn on_empty(&mut self, now: Time, unanswered: usize, limits: &Limits) -> ReadStep {
         self.partial_since = None;
         if unanswered > 0 || self.client.connection.unsent() > 0 {
-            // Also while the last response has not left: closed now, it would be cut short.
+            // A close before the last response is sent would cut it short.
             self.idle_since = now;
         } else if self.proxy.is_closing() || now - self.idle_since >= limits.idle_timeout {
-            // A process that was paused is late: a request that came meanwhile is there to be read.
+            // If the process was paused, a request may have arrived in time and not been read yet.
             if self.client.connection.try_read() == Some(ReadOutcome::Bytes) {
-                return ReadStep::Again;
+                return ReadStep::ParseNext;
             }
-            // At once, and nothing is read any more: a request that crosses this is reset unread, and its client knows
-            // that it may send it again.
+            // Closes in both directions without further reads: a request that crosses the close stays unread
+            // and its client gets a reset, so it may safely retry.
             self.client.connection.close();
             return ReadStep::Done;
         }
         ReadStep::ReadMore
     }
 
-    /// A part of a request is there. One that is not complete in time is rejected.
+    /// Handles an incomplete request: answers `Expect`, and rejects the request after its time-out.
     fn on_partial(
         &mut self,
         now: Time,
@@ -197,7 +199,7 @@
         }
         if now - since >= timeout {
             if self.client.connection.try_read() == Some(ReadOutcome::Bytes) {
-                return ReadStep::Again;
+                return ReadStep::ParseNext;
             }
             self.reject(HttpError::new(408, "not whole in time"));
             return ReadStep::Drain;
@@ -208,7 +210,7 @@
         ReadStep::ReadMore
     }
 
-    /// A complete request is there: it is handled in a coroutine of its own.
+    /// Starts the handling of a complete request in its own coroutine.
     fn start_request(&mut self, now: Time, bytes: Vec<u8>, extent: Extent) -> ReadStep {
         self.partial_since = None;
         self.has_sent_continue = false;
@@ -222,10 +224,10 @@
             move || handle(&proxy, &client, &request, &cancel),
             move |has_panicked| ended.on_request_done(number, has_panicked),
         );
-        if keep_alive { ReadStep::Again } else { ReadStep::Drain }
+        if keep_alive { ReadStep::ParseNext } else { ReadStep::Drain }
     }
 
-    /// What can't be read is answered in its turn, and the connection ends.
+    /// Answers a malformed or late request in its turn; the connection ends after that response.
     fn reject(&self, error: HttpError) {
         let number = self.client.requests().pipeline.on_request(true);
         let (client, ended) = (self.client.clone(), self.client.clone());
@@ -243,7 +245,8 @@
         );
     }
 
-    /// Discards what still comes, until the client is gone or the last response is long written.
+    /// Discards further bytes until the client closes the connection, or `LINGER_TIMEOUT` after the last
+    /// response.
     fn drain(&self) {
         let connection = &self.client.connection;
         let mut done_at = None;
--- a/crates/proxy/src/client_registry.rs
+++ b/crates/proxy/src/client_registry.rs
@@ -1,4 +1,4 @@
-//! All clients' connections, and how many there may be.
+//! Registry of all client connections, with a limit on their number.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,7 +8,7 @@
 
 use crate::client_connection::ClientConnection;
 
-/// Clients' connections by their numbers.
+/// Client connections by their numbers.
 pub struct ClientRegistry {
     max_open: usize,
     open: AtomicUsize,
@@ -16,17 +16,17 @@
     last_number: AtomicUsize,
 }
 
-/// What is in flight on all connections.
+/// Requests in flight on all connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlightSummary {
-    /// How many requests.
+    /// Number of requests.
     pub requests: usize,
-    /// When the one read last was read.
+    /// Time at which the newest of them was read.
     pub last_read_at: Option<Time>,
 }
 
 impl ClientRegistry {
-    /// `max_open`: how many connections there may be.
+    /// Creates an empty registry. `max_open`: limit of open connections.
     pub fn new(max_open: usize) -> ClientRegistry {
         ClientRegistry {
             max_open,
@@ -40,17 +40,17 @@
         self.connections.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// How many connections there are.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Whether there is room for no more.
+    /// Returns `true` if the connection limit is reached.
     pub fn is_full(&self) -> bool {
         self.count() >= self.max_open
     }
 
-    /// Adds a connection; its number.
+    /// Adds a connection and returns its number.
     pub fn add(&self, client: &Arc<ClientConnection>) -> usize {
         let number = self.last_number.fetch_add(1, Ordering::Relaxed);
         self.open.fetch_add(1, Ordering::Relaxed);
@@ -58,13 +58,13 @@
         number
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&self, number: usize) {
         self.connections().remove(&number);
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// What is in flight now.
+    /// Summarizes the requests in flight.
     pub fn in_flight(&self) -> InFlightSummary {
         let mut summary = InFlightSummary::default();
         for client in self.connections().values() {
@@ -75,21 +75,21 @@
         summary
     }
 
-    /// Has every request in flight get its response now.
+    /// Makes every request in flight stop waiting for its worker, so that it gets its response now.
     pub fn shut_down_all(&self) {
         for client in self.connections().values() {
             client.shut_down();
         }
     }
 
-    /// Whether every response has been handed to the kernel.
+    /// Returns `true` if no request is in flight and all responses were handed to the kernel.
     pub fn is_flushed(&self) -> bool {
         self.connections()
             .values()
             .all(|client| client.read_times().is_empty() && client.connection.unsent() == 0)
     }
 
-    /// Has every connection look whether it should end.
+    /// Wakes every connection to check whether it should close.
     pub fn wake_all(&self) {
         for client in self.connections().values() {
             client.connection.wake();
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -1,4 +1,4 @@
-//! The client of the control plane: subscribes to every controller, and takes over what they say.
+//! Client of the control plane: subscribes to every controller and applies the messages received.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use crate::proxy::Proxy;
 use crate::routing_state::HeartbeatAck;
 
-/// How often heartbeats are sent.
+/// Interval of heartbeats to controllers.
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
-/// A connection is closed if its heartbeats are not acknowledged for this long.
+/// A connection on which no message arrives for this long is closed; controllers acknowledge every heartbeat.
 const ACKNOWLEDGEMENT_TIMEOUT: Span = Span::from_millis(2_600);
-/// A controller may be a region away.
-const RECONNECT: ReconnectPolicy = ReconnectPolicy {
+/// The connect time-out allows for a controller in another region.
+const RECONNECT_POLICY: ReconnectPolicy = ReconnectPolicy {
     connect_timeout: Span::from_millis(350),
     min_delay: Span::from_millis(150),
     max_delay: Span::from_millis(200),
 };
 
-/// Subscribes to each of these controllers from now on. Returns whether one of them was not known.
+/// Keeps a subscription to each of these controllers from now on. Returns `true` if at least one was unknown.
 pub fn add_controllers(proxy: &Arc<Proxy>, controllers: &[SocketAddr]) -> bool {
     let now = proxy.alarms.now();
     let mut connections = proxy.control();
@@ -41,8 +41,8 @@
     has_new
 }
 
-/// Sends heartbeats and does the upkeep of connections, for ever; for a coroutine of its own. It begins after `offset`, so
-/// that not all proxies send at once.
+/// Sends heartbeats, drops unreachable controllers and reloads the settings; never returns. Runs in its own
+/// coroutine. `offset`: delay of the first heartbeat, so that proxies do not send at the same time.
 pub fn run(proxy: &Arc<Proxy>, offset: Span) {
     let mut due = proxy.alarms.now() + offset;
     loop {
@@ -54,14 +54,15 @@
     }
 }
 
-/// Looks at the settings file, which may change with a signal or without one: the seeds that it names are subscribed to.
+/// Checks the settings file and subscribes to the seeds that it names. An isolated proxy reads it even if
+/// unchanged.
 pub fn reload_settings(proxy: &Arc<Proxy>, trigger: ReloadTrigger) {
     let is_isolated = proxy.control().peer_set.poll_isolated(proxy.alarms.now());
     let mut reload = proxy.reload.lock().unwrap_or_else(|e| e.into_inner());
     reload.reload_seeds(trigger.or_isolated(is_isolated), |seeds| add_controllers(proxy, seeds));
 }
 
-/// Sends a heartbeat to every controller.
+/// Sends a heartbeat to every connected controller.
 pub fn send_heartbeats(proxy: &Proxy) {
     let now = proxy.alarms.now();
     let mut connections = proxy.control();
@@ -89,13 +90,14 @@
     }
 }
 
-/// Keeps a subscription to one controller, for as long as it is one of the peers.
+/// Keeps a subscription to one controller for as long as it is in the peer set.
 fn keep_subscribed(proxy: &Arc<Proxy>, controller: SocketAddr, connection: ConnectionId) {
     let address = SocketAddr::new(controller.ip(), proxy.settings.ports.0);
     let mut is_first = true;
     let is_wanted = || proxy.control().peer_set.is_current(controller, connection);
-    transport::keep_connected(&proxy.alarms, address, RECONNECT, is_wanted, |connection| {
-        // A proxy that begins needs all instances once; one that was cut off from a controller, what that one heard.
+    transport::keep_connected(&proxy.alarms, address, RECONNECT_POLICY, is_wanted, |connection| {
+        // A starting proxy needs one snapshot of all instances. After a reconnect it needs one from this
+        // controller, because it may have missed reports.
         let wants_instances = !is_first || !proxy.routing().has_instances();
         is_first = false;
         subscribe(proxy, connection, wants_instances);
@@ -113,14 +115,14 @@
     transport::write(connection, &transport::encode(&message), MAX_UNSENT_BYTES);
 }
 
-/// Handles what comes on a connection until it ends, or is silent for too long.
+/// Handles messages on a connection until it ends or `ACKNOWLEDGEMENT_TIMEOUT` passes without one.
 fn serve(proxy: &Arc<Proxy>, connection: &Arc<Connection>) {
-    let mut heard_at = proxy.alarms.now();
-    proxy.alarms.wake_connection(heard_at + ACKNOWLEDGEMENT_TIMEOUT, connection);
+    let mut last_received_at = proxy.alarms.now();
+    proxy.alarms.wake_connection(last_received_at + ACKNOWLEDGEMENT_TIMEOUT, connection);
     transport::read_while(connection, |message: Option<ToProxy>| {
         let now = proxy.alarms.now();
-        let Some(message) = message else { return now - heard_at < ACKNOWLEDGEMENT_TIMEOUT };
-        heard_at = now;
+        let Some(message) = message else { return now - last_received_at < ACKNOWLEDGEMENT_TIMEOUT };
+        last_received_at = now;
         handle_message(proxy, connection, now, message);
         true
     });
@@ -132,7 +134,8 @@
             if proxy.routing().apply_config(now, revision, &update.0) {
                 info!(revision = revision; "configuration applied");
             }
-            // So that the controller knows what is here, whether it fitted or not, and its next acknowledgement counts.
+            // Reports the held revision, whether the update was applied or not, so that the controller can
+            // send a fitting update and its next acknowledgement can renew the lease.
             send_heartbeat_on(proxy, connection);
         }
         ToProxy::Instances { instances, is_snapshot } => {
@@ -158,7 +161,7 @@
         ToProxy::Controllers { controllers, is_complete } => {
             add_controllers(proxy, &controllers);
             if is_complete {
-                proxy.control().set_named_by_leader(controllers);
+                proxy.control().set_leader_controllers(controllers);
             }
         }
     }
--- a/crates/proxy/src/control_connections.rs
+++ b/crates/proxy/src/control_connections.rs
@@ -1,4 +1,4 @@
-//! The connections of a proxy to controllers, and what each end knows of the other.
+//! Connections of a proxy to controllers, and the heartbeats sent on them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,57 +10,57 @@
 use lynxstair_protocol::messages::{ProxyHeartbeat, Readiness, TenantUsage, ToController};
 use lynxstair_transport as transport;
 
-/// A connection with more unsent bytes than this is closed: its other end does not read.
+/// A connection with more unsent bytes is closed because its controller does not read.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 /// A connection to one controller.
 struct ControlConnection {
     controller: SocketAddr,
     connection: Arc<Connection>,
-    /// It leads, as far as it has said.
+    /// Whether its last acknowledgement came from the leader.
     is_leader: bool,
-    /// The number of the last quota shares that it sent.
-    received_shares: u64,
-    /// It was told which shares of quotas are held here.
-    knows_held_shares: bool,
+    /// Highest number of the quota shares received on this connection.
+    last_shares_number: u64,
+    /// Whether the held quota shares were sent to it since it became the leader.
+    has_sent_held_shares: bool,
 }
 
-/// What of the proxy goes into heartbeats.
+/// State of the proxy that is reported in heartbeats.
 pub struct HeartbeatContents {
-    /// The revision that deltas may build on.
+    /// Configuration revision that deltas may build on; 0 if a snapshot is needed.
     pub revision: u64,
-    /// Whether clients may connect.
+    /// Whether clients may be directed to this proxy.
     pub readiness: Readiness,
-    /// The revision of the proxy membership that is held, as a controller is told.
+    /// Revision of the proxy membership; see `RoutingState::reported_membership`.
     pub membership: u64,
-    /// Usage since the last heartbeat to all.
+    /// Quota usage since the last heartbeat to all controllers.
     pub usage: Vec<TenantUsage>,
-    /// Shares of quotas that are held, where a leader needs to be told.
+    /// Held quota shares by tenant; `None` if no leader needs them.
     pub held_shares: Option<Vec<(String, f32)>>,
 }
 
 /// All connections to controllers.
 pub struct ControlConnections {
-    /// The controllers that connections are kept to.
+    /// Controllers to keep connections to.
     pub peer_set: PeerSet,
-    /// All controllers that there are, as the leader said last.
-    named_by_leader: Vec<SocketAddr>,
+    /// All controllers according to the last complete list of the leader.
+    leader_controllers: Vec<SocketAddr>,
     open: Vec<ControlConnection>,
     unreported: UnreportedUsage,
 }
 
-/// Usage that no leading controller was told of yet, with when it was counted.
+/// Quota usage not yet reported to a leader, with the time at which it was counted.
 #[derive(Default)]
 struct UnreportedUsage(VecDeque<(Time, Vec<TenantUsage>)>);
 
 impl UnreportedUsage {
-    /// Adds what was counted; what is older than a window of the quotas is dropped.
+    /// Adds usage and drops entries older than the quota window.
     fn add(&mut self, now: Time, usage: Vec<TenantUsage>, window: Span) {
         self.0.push_back((now, usage));
         self.0.retain(|(at, _)| now - *at < window);
     }
 
-    /// All of it, each with its age.
+    /// Removes and returns all usage, with the age of each entry.
     fn take(&mut self, now: Time) -> Vec<TenantUsage> {
         let with_age = |(at, usage): (Time, Vec<TenantUsage>)| {
             let age_ms = ((now - at).nanos() / 1_000_000) as u32;
@@ -74,7 +74,7 @@
     fn default() -> ControlConnections {
         ControlConnections {
             peer_set: PeerSet::new(Time::default()),
-            named_by_leader: Vec::new(),
+            leader_controllers: Vec::new(),
             open: Vec::new(),
             unreported: UnreportedUsage::default(),
         }
@@ -82,18 +82,18 @@
 }
 
 impl ControlConnections {
-    /// A connection was opened.
+    /// Registers an opened connection.
     pub fn on_opened(&mut self, controller: SocketAddr, connection: &Arc<Connection>) {
         self.open.push(ControlConnection {
             controller,
             connection: connection.clone(),
             is_leader: false,
-            received_shares: 0,
-            knows_held_shares: false,
+            last_shares_number: 0,
+            has_sent_held_shares: false,
         });
     }
 
-    /// A connection has ended.
+    /// Removes a closed connection.
     pub fn on_closed(&mut self, connection: &Arc<Connection>) {
         self.open.retain(|open| !Arc::ptr_eq(&open.connection, connection));
     }
@@ -102,55 +102,57 @@
         self.open.iter_mut().find(|open| Arc::ptr_eq(&open.connection, connection))
     }
 
-    /// A controller has acknowledged a heartbeat.
+    /// Records whether the controller that acknowledged a heartbeat is the leader.
     pub fn on_heartbeat_ack(&mut self, connection: &Arc<Connection>, is_leader: bool) {
         if let Some(connection) = self.find(connection) {
-            connection.knows_held_shares &= is_leader;
+            connection.has_sent_held_shares &= is_leader;
             connection.is_leader = is_leader;
         }
     }
 
-    /// A controller has sent quota shares.
+    /// Records the number of received quota shares.
     pub fn on_shares_received(&mut self, connection: &Arc<Connection>, number: u64) {
         if let Some(connection) = self.find(connection) {
-            connection.received_shares = connection.received_shares.max(number);
+            connection.last_shares_number = connection.last_shares_number.max(number);
         }
     }
 
-    /// The leader says which controllers there are.
-    pub fn set_named_by_leader(&mut self, controllers: Vec<SocketAddr>) {
-        self.named_by_leader = controllers;
+    /// Sets the list of all controllers received from the leader.
+    pub fn set_leader_controllers(&mut self, controllers: Vec<SocketAddr>) {
+        self.leader_controllers = controllers;
     }
 
-    /// Drops controllers that could not be reached for long, while another is, unless the leader names them.
+    /// Drops controllers without a connection for a long time, unless the leader lists them. Does nothing
+    /// while no controller is connected.
     pub fn drop_unreachable(&mut self, now: Time) {
         if self.open.is_empty() {
             return;
         }
         self.peer_set.on_connected(now);
         self.open.iter().for_each(|connection| self.peer_set.on_heard(now, connection.controller));
-        let named = &self.named_by_leader;
+        let named = &self.leader_controllers;
         self.peer_set.drop_unheard(now, |controller| named.contains(&controller));
     }
 
-    /// Whether a leader does not know yet which shares of quotas are held here.
+    /// Returns `true` if the held quota shares must still be sent to a leader.
     pub fn needs_held_shares(&self) -> bool {
-        self.open.iter().any(|connection| connection.is_leader && !connection.knows_held_shares)
+        self.open.iter().any(|connection| connection.is_leader && !connection.has_sent_held_shares)
     }
 
-    /// Sends a heartbeat on one connection.
+    /// Sends a heartbeat without usage on one connection.
     pub fn send_heartbeat(&mut self, now: Time, connection: &Arc<Connection>, contents: &HeartbeatContents) {
         if let Some(connection) = self.find(connection) {
             connection.send_heartbeat(now, contents, Vec::new());
         }
     }
 
-    /// Sends a heartbeat to every controller; usage goes to the one that leads, or waits for one.
+    /// Sends a heartbeat to every controller. Usage is sent only to the leader and kept while there is none.
     pub fn send_heartbeats(&mut self, now: Time, contents: &mut HeartbeatContents, window: Span) {
         self.unreported.add(now, std::mem::take(&mut contents.usage), window);
         let has_leader = self.open.iter().any(|connection| connection.is_leader);
         let mut usage = if has_leader { self.unreported.take(now) } else { Vec::new() };
-        // Of two that say that they lead, one has not heard yet that it does no more.
+        // While a leadership change is in progress, two controllers may claim to lead; only the first gets
+        // the usage.
         self.open.sort_by_key(|connection| (!connection.is_leader, connection.controller));
         for connection in &mut self.open {
             let usage = if connection.is_leader { std::mem::take(&mut usage) } else { Vec::new() };
@@ -161,16 +163,16 @@
 
 impl ControlConnection {
     fn send_heartbeat(&mut self, now: Time, contents: &HeartbeatContents, usage: Vec<TenantUsage>) {
-        let tells_shares = self.is_leader && !self.knows_held_shares;
-        self.knows_held_shares |= tells_shares;
+        let sends_held_shares = self.is_leader && !self.has_sent_held_shares;
+        self.has_sent_held_shares |= sends_held_shares;
         let heartbeat = ToController::Heartbeat(ProxyHeartbeat {
             clock: now.nanos(),
             revision: contents.revision,
             readiness: contents.readiness,
             membership: contents.membership,
-            received_shares: self.received_shares,
+            received_shares: self.last_shares_number,
             usage,
-            held_shares: if tells_shares { contents.held_shares.clone() } else { None },
+            held_shares: if sends_held_shares { contents.held_shares.clone() } else { None },
         });
         transport::write(&self.connection, &transport::encode(&heartbeat), MAX_UNSENT_BYTES);
     }
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -1,4 +1,5 @@
-//! One attempt of a request at one worker, on sockets: `lynxstair_routing::attempt` decides, this reports what happened.
+//! I/O of one attempt of a request at one worker. `lynxstair_routing::attempt` is the state machine that
+//! decides its result; this module reports events to it.
 
 use std::sync::Arc;
 
@@ -12,31 +13,31 @@
 
 use crate::cancellation::CancelToken;
 use crate::outgoing_request::OutgoingRequest;
-use crate::worker_pool::{WorkerConnection, WorkerPool, idle_time};
+use crate::worker_pool::{WorkerConnection, WorkerPool, max_idle_time};
 use crate::worker_reply::{FoundReply, WorkerReply, find_reply};
 
-/// What an attempt came to.
+/// Result of an attempt.
 pub struct AttemptResult {
-    /// Whether the request may have run.
+    /// Whether the request has run, or may have.
     pub execution: Execution,
-    /// What the decision module is told.
+    /// Outcome to report to the load balancer.
     pub outcome: Outcome,
-    /// The worker's reply, where it may be relayed.
+    /// Reply of the worker, if it may be relayed.
     pub reply: Option<WorkerReply>,
 }
 
-/// How long a reply is waited for, and for whom.
-struct Wait<'a> {
+/// Conditions that end the wait for a reply.
+struct ReplyWait<'a> {
     alarms: &'a Alarms,
     deadline: Time,
     cancel: &'a CancelToken,
 }
 
-impl Wait<'_> {
-    /// Why no more is waited for, as the connection stands.
-    fn stop_reason(&self, stop: StreamState) -> Option<StopReason> {
+impl ReplyWait<'_> {
+    /// Returns why the wait ends, or `None` if it goes on.
+    fn stop_reason(&self, stream: StreamState) -> Option<StopReason> {
         let cancelled = self.cancel.stop_reason();
-        match stop {
+        match stream {
             StreamState::Open if cancelled.is_some() => cancelled,
             StreamState::Open if self.alarms.now() >= self.deadline => Some(StopReason::DeadlineReached),
             StreamState::Open => None,
@@ -46,7 +47,7 @@
 }
 
 impl WorkerPool {
-    /// Makes one attempt of a request at a worker. It is given up at the deadline.
+    /// Makes one attempt of a request at a worker. It ends at the deadline or on cancellation at the latest.
     pub fn forward(
         &self,
         alarms: &Alarms,
@@ -56,20 +57,20 @@
         cancel: &CancelToken,
     ) -> AttemptResult {
         if let Some(reason) = cancel.stop_reason() {
-            return unsent(AttemptEvent::Stopped { reason, has_partial_reply: false });
+            return result_unsent(AttemptEvent::Stopped { reason, has_partial_reply: false });
         }
         let Some(opened) = self.connect(alarms, worker, deadline, cancel) else {
-            return unsent(match cancel.stop_reason() {
+            return result_unsent(match cancel.stop_reason() {
                 Some(reason) => AttemptEvent::Stopped { reason, has_partial_reply: false },
                 None => AttemptEvent::NoConnection,
             });
         };
         let WorkerConnection { connection, is_new } = opened;
-        // It may have taken long to come up, and this process may have been stalled.
+        // The connect may have taken long, or this process may have been paused meanwhile.
         let now = alarms.now();
         if now >= deadline || cancel.stop_reason().is_some() || !(request.may_forward)(now) {
             self.discard(&connection);
-            return unsent(AttemptEvent::Withheld);
+            return result_unsent(AttemptEvent::Withheld);
         }
         let mut attempt = Attempt::new(is_new);
         let time_left_ms = (deadline - now).nanos() / 1_000_000;
@@ -80,43 +81,43 @@
             Ok(())
         });
         let end = if written.is_err() && !is_complete {
-            // Too large for what may be buffered: nothing of it went out.
+            // The request does not fit into the send buffer; nothing was sent.
             attempt.on_event(AttemptEvent::NoConnection)
         } else {
             alarms.wake_connection(deadline, &connection);
-            let wait = Wait { alarms, deadline, cancel };
+            let wait = ReplyWait { alarms, deadline, cancel };
             match self.await_reply(&wait, worker, &connection, request.attempt_id, &mut attempt) {
                 Ok(result) => return result,
                 Err(event) => attempt.on_event(event),
             }
         };
         self.discard(&connection);
-        without_reply(end)
+        result_without_reply(end)
     }
 
-    /// Waits for the request's own reply. The error is what ended the attempt without one.
+    /// Waits for the reply to this attempt. The error is the event that ends the attempt without a reply.
     fn await_reply(
         &self,
-        wait: &Wait,
+        wait: &ReplyWait,
         worker: &Arc<Worker>,
         connection: &Arc<Connection>,
         attempt_id: &str,
         attempt: &mut Attempt,
     ) -> Result<AttemptResult, AttemptEvent> {
         loop {
-            let mut stop = stop_of(connection.read());
-            let reason = wait.stop_reason(stop);
+            let mut stream = stream_state(connection.read());
+            let reason = wait.stop_reason(stream);
             if reason.is_some() {
-                // A process that was paused is woken by the deadline before the reply that came in time: what the
-                // kernel holds is read before anything is concluded.
-                stop = read_all(connection).unwrap_or(stop);
+                // After a pause of the process, the deadline may wake it before a reply that arrived in time
+                // was read. So everything in the kernel's receive buffer is read first.
+                stream = read_all(connection).unwrap_or(stream);
             }
             if attempt.state() < AttemptState::Sent {
                 attempt.on_event(AttemptEvent::Taken { all: connection.unsent() == 0 });
             }
             loop {
-                // A statement of its own: the buffer is not locked any more when the reply is handled.
-                let found = find_reply(&mut connection.inbound(), attempt_id, stop)?;
+                // A separate statement, so that the buffer is unlocked before the reply is handled.
+                let found = find_reply(&mut connection.inbound(), attempt_id, stream)?;
                 let Some(found) = found else { break };
                 match attempt.on_event(AttemptEvent::Reply(found.head)) {
                     AttemptStep::Ended(end) => return Ok(self.finish(wait, worker, connection, found, end)),
@@ -133,16 +134,16 @@
         }
     }
 
-    /// The attempt has ended with a reply.
+    /// Builds the result of an attempt that ended with a reply.
     fn finish(
         &self,
-        wait: &Wait,
+        wait: &ReplyWait,
         worker: &Arc<Worker>,
         connection: &Arc<Connection>,
         found: FoundReply,
         end: AttemptEnd,
     ) -> AttemptResult {
-        let reusable_until = end.keep_connection.then(|| wait.alarms.now() + idle_time(found.keep_alive));
+        let reusable_until = end.keep_connection.then(|| wait.alarms.now() + max_idle_time(found.keep_alive));
         let reply = WorkerReply {
             connection: connection.clone(),
             worker: worker.clone(),
@@ -151,7 +152,7 @@
             remaining: found.remaining,
             reusable_until,
         };
-        let result = without_reply(AttemptStep::Ended(end));
+        let result = result_without_reply(AttemptStep::Ended(end));
         match end.execution {
             Execution::Ran | Execution::Failed => AttemptResult { reply: Some(reply), ..result },
             Execution::NeverRan | Execution::MayHaveRun => {
@@ -162,35 +163,36 @@
     }
 }
 
-fn stop_of(got: ReadOutcome) -> StreamState {
-    match got {
+fn stream_state(outcome: ReadOutcome) -> StreamState {
+    match outcome {
         ReadOutcome::Bytes => StreamState::Open,
         ReadOutcome::End => StreamState::Ended,
         ReadOutcome::Broken => StreamState::Broken,
     }
 }
 
-/// Reads all that the kernel holds; how the connection has ended, if it has.
+/// Reads everything in the kernel's receive buffer. Returns how the connection has ended, or `None` if it is
+/// open.
 fn read_all(connection: &Connection) -> Option<StreamState> {
-    while let Some(got) = connection.try_read() {
-        if got != ReadOutcome::Bytes {
-            return Some(stop_of(got));
+    while let Some(outcome) = connection.try_read() {
+        if outcome != ReadOutcome::Bytes {
+            return Some(stream_state(outcome));
         }
     }
     None
 }
 
-/// An attempt that ended without a reply to relay.
-fn without_reply(step: AttemptStep) -> AttemptResult {
+/// Result of an attempt without a reply to relay.
+fn result_without_reply(step: AttemptStep) -> AttemptResult {
     let (execution, outcome) = match step {
         AttemptStep::Ended(AttemptEnd { execution, outcome, .. }) => (execution, outcome),
-        // An attempt whose connection is given up has ended.
+        // Not reached: an attempt has always ended when its connection is discarded.
         AttemptStep::Continue | AttemptStep::SkipReply => (Execution::MayHaveRun, Outcome::Errored),
     };
     AttemptResult { execution, outcome, reply: None }
 }
 
-/// An attempt of which nothing was sent.
-fn unsent(event: AttemptEvent) -> AttemptResult {
-    without_reply(Attempt::new(true).on_event(event))
+/// Result of an attempt of which nothing was sent.
+fn result_unsent(event: AttemptEvent) -> AttemptResult {
+    result_without_reply(Attempt::new(true).on_event(event))
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,18 +1,20 @@
-//! The proxy: the data plane of the system, on every edge machine, as a library, so that its parts can be tested.
+//! The proxy, the data plane of the system, which runs on every edge machine. It is a library so that tests
+//! can use its parts.
 //!
-//! A request passes `client_reader` (read), `request_handler` (admitted by [`routing_state`], forwarded by `forwarding` over
-//! the [`worker_pool`], relayed by [`worker_reply`]) and leaves in the order of [`pipeline`]. `control_client` takes over
-//! what controllers say. Modules name each other downward only:
+//! `client_reader` reads a request. `request_handler` has it admitted by [`routing_state`] and forwarded by
+//! `forwarding` on a connection of the [`worker_pool`]. [`worker_reply`] relays the reply, and [`pipeline`]
+//! keeps the responses in order. `control_client` receives configuration and instances from the controllers.
+//! A module depends only on modules of its own or a lower layer:
 //!
-//! | layer | modules | what they know |
+//! | layer | modules | depends on |
 //! | --- | --- | --- |
-//! | start and end | [`startup`] | ties everything below together |
-//! | entry points | `client_reader`, `request_handler`, `control_client` | the proxy |
-//! | shared | [`proxy`] | all parts |
-//! | parts | [`routing_state`], `control_connections`, `client_registry`, `client_connection`, `client_limits`, [`pipeline`], [`local_response`], [`phase`] | their own state |
+//! | start and shutdown | [`startup`] | all layers below |
+//! | entry points | `client_reader`, `request_handler`, `control_client` | shared state |
+//! | shared | [`proxy`] | all components |
+//! | components | [`routing_state`], `control_connections`, `client_registry`, `client_connection`, `client_limits`, [`pipeline`], [`local_response`], [`phase`] | decision packages, connections |
 //! | workers | `forwarding`, [`worker_pool`], [`worker_reply`], [`outgoing_request`], [`cancellation`] | connections |
 //!
-//! Decisions are made in `lynxstair-routing` and `lynxstair-control-state`; this package does the I/O.
+//! The decision logic is in `lynxstair-routing` and `lynxstair-control-state`; this package does the I/O.
 #![deny(unsafe_code)]
 
 pub mod cancellation;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `lynxstair-proxy`: one proxy of the system.
+//! The `lynxstair-proxy` program.
 #![deny(unsafe_code)]
 
 use std::process::ExitCode;
@@ -9,13 +9,13 @@
 const PROGRAM: Program = Program {
     name: "lynxstair-proxy",
     version: env!("CARGO_PKG_VERSION"),
-    help: "lynxstair-proxy: the data plane. It admits clients' requests and forwards them to workers.
+    help: "lynxstair-proxy: the data plane. It admits client requests and forwards them to workers.
 
-  lynxstair-proxy               serves, by the settings file that LYNXSTAIR_BOOT names
-  lynxstair-proxy check FILE    reads a settings file and says what is wrong with it
+  lynxstair-proxy               runs the proxy with the settings file that LYNXSTAIR_BOOT names
+  lynxstair-proxy check FILE    checks a settings file and reports any error
   lynxstair-proxy --help | --version
 
-Exit codes: 0 ended when told to, or the file is good; 1 it can't serve; 2 the command line or the file is bad.",
+Exit codes: 0 normal exit or valid file; 1 failure to start; 2 invalid command line or settings file.",
 };
 
 fn main() -> ExitCode {
--- a/crates/proxy/src/outgoing_request.rs
+++ b/crates/proxy/src/outgoing_request.rs
@@ -1,4 +1,4 @@
-//! A request as it is forwarded to a worker.
+//! Serialization of a request for a worker.
 
 use std::io::{self, Write};
 
@@ -7,26 +7,27 @@
 use lynxstair_net::ring_buffer::RingBuffer;
 use lynxstair_routing::locality_balancer::Worker;
 
-/// Headers that the proxy writes itself. The attempt id is among them: a client may name it in `Connection`, and without
-/// it nobody could tell whose a reply is.
+/// Headers of the client that are not copied: the proxy sets them itself, except for `Authorization`, which
+/// workers never get. `Attempt-Id` is set explicitly because a client may list it in `Connection`, which
+/// would drop it.
 const OWN_HEADERS: [&str; 5] = ["attempt-id", "time-left-ms", "target-instance", "tenant", "authorization"];
 
-/// What is forwarded.
+/// A request to forward to a worker.
 pub struct OutgoingRequest<'a> {
-    /// The client's request.
+    /// Head of the client's request.
     pub head: &'a http::RequestHead<'a>,
-    /// Its body.
+    /// Body of the request.
     pub body: &'a [u8],
-    /// The tenant that its key belongs to.
+    /// Tenant that owns the API key, if the route needs one.
     pub tenant: Option<&'a str>,
-    /// The client's id of the attempt.
+    /// Attempt id chosen by the client.
     pub attempt_id: &'a str,
-    /// Asked right before the request is handed over: whether it may still go to this worker.
+    /// Returns `true` if the request may still go to this worker. Called right before it is sent.
     pub may_forward: &'a dyn Fn(Time) -> bool,
 }
 
 impl OutgoingRequest<'_> {
-    /// Writes the request unchanged, but for what concerns one connection, the key, and what the proxy adds.
+    /// Writes the request with the proxy's own headers, without hop-by-hop headers and without the API key.
     pub(crate) fn write(&self, out: &mut RingBuffer, worker: &Worker, time_left_ms: u64) -> io::Result<()> {
         let head = self.head;
         write!(
--- a/crates/proxy/src/phase.rs
+++ b/crates/proxy/src/phase.rs
@@ -1,17 +1,18 @@
-//! The phases of a proxy's process, from its start to its end. `docs/design/shutdown.md` says how long each lasts and why.
+//! Phases of a proxy process; `docs/design/shutdown.md` gives their durations.
 
-/// The phases of a process, in their order.
+/// Phase of a proxy process. A process only moves to later phases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Phase {
-    /// It serves.
+    /// Normal operation.
     Serving,
-    /// Told to end: no client is sent here any more, but those that come are served.
+    /// Shutdown has begun: the proxy reports that it is not ready, but still serves clients that connect.
     Draining,
-    /// Nothing more is admitted: connections that rest are closed, the others end with the response to their last request.
+    /// No request is admitted. Idle connections are closed, the others after the response to their last
+    /// request.
     Closing,
-    /// The process is about to end: every request that was read gets a response now, so that none is left without one.
+    /// Requests in flight stop waiting for workers, and each gets a response now.
     Answering,
-    /// The process ends: nothing more is read.
+    /// The process exits; nothing more is read.
     Ended,
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,27 +1,27 @@
-//! The response pipeline of one client's connection: one response for each request, in the order of the requests, and none
-//! after the last. A request that ends without its response ends the connection: whatever came next would be taken for its
-//! response. No I/O.
+//! Response order on one client connection: one response per request, in request order, and none after the
+//! last. If a request ends without a response, the connection is aborted, because the client would take the
+//! next response for the missing one. No I/O.
 
-/// Whether a response may be written.
+/// Turn of a response to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It is the next one.
+    /// The response is next.
     Now,
-    /// Those before it come first.
+    /// Earlier responses must be written first.
     Later,
-    /// The connection has ended.
+    /// The connection has ended; the response is never written.
     Never,
 }
 
-/// What follows when the handling of a request has ended.
+/// Step after the handling of a request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterRequest {
-    /// It is the turn of the response with this number, whenever it is there.
+    /// The response with this number is next.
     Next(u64),
-    /// Its response was the last one: the connection ends behind it.
+    /// The last response was written; the connection can be closed in order.
     Finish,
-    /// Its response was not written, or not completely: the connection breaks, so that its client can tell.
-    Break,
+    /// A response is missing or incomplete; the connection must be aborted so that the client notices.
+    Abort,
 }
 
 /// The order of responses on one connection.
@@ -29,15 +29,16 @@
 pub struct ResponsePipeline {
     received: u64,
     answered: u64,
-    /// The response with this number is the last one; nothing is read behind its request.
+    /// Number of the last response; no request after it is read.
     last: Option<u64>,
-    /// The newest response that told its client that the connection stays.
-    keeps_open: u64,
-    is_over: bool,
+    /// Number of the newest response that announced keep-alive.
+    last_keep_alive: u64,
+    has_ended: bool,
 }
 
 impl ResponsePipeline {
-    /// A request was read; `is_last`: it says itself that no other follows. Returns its number.
+    /// Registers a request and returns its number, starting at 1. `is_last`: no further request is read on this
+    /// connection.
     pub fn on_request(&mut self, is_last: bool) -> u64 {
         self.received += 1;
         if is_last {
@@ -46,73 +47,74 @@
         self.received
     }
 
-    /// The connection is closing: behind a request whose response is still to be begun, nothing is read. That response says
-    /// so, and its client sends elsewhere what it sent behind it. Where the client was told that the connection stays, what
-    /// it sends is read, and answered.
+    /// Stops reading after the newest request, if its response can still announce the close; the client then
+    /// sends later requests elsewhere. If the client was already promised keep-alive, its next request is
+    /// still read and answered.
     pub fn stop_reading(&mut self) {
-        if self.received > self.answered.max(self.keeps_open) && self.last.is_none() {
+        if self.received > self.answered.max(self.last_keep_alive) && self.last.is_none() {
             self.last = Some(self.received);
         }
     }
 
-    /// Whether more requests are read.
+    /// Returns `true` if further requests may be read.
     pub fn accepts_requests(&self) -> bool {
-        self.last.is_none() && !self.is_over
+        self.last.is_none() && !self.has_ended
     }
 
-    /// How many requests were read and not answered.
+    /// Returns the number of requests without a complete response.
     pub fn unanswered(&self) -> u64 {
         self.received - self.answered
     }
 
-    /// Whether a response may be written now.
+    /// Returns whether the response with this number may be written now.
     pub fn turn(&self, number: u64) -> Turn {
         match self.answered + 1 {
-            _ if self.is_over => Turn::Never,
+            _ if self.has_ended => Turn::Never,
             next if next == number => Turn::Now,
             _ => Turn::Later,
         }
     }
 
-    /// Right before a response is written: whether the connection ends with it. On a connection that is closing, requests
-    /// that were read behind it are still answered.
+    /// Returns `true` if the connection closes after this response. Must be called right before its head is
+    /// written. `is_closing`: the proxy closes its connections; requests that were already read are still
+    /// answered.
     pub fn closes_after(&mut self, number: u64, is_closing: bool) -> bool {
         if is_closing {
             self.stop_reading();
         }
         let closes = self.last == Some(number);
         if !closes {
-            self.keeps_open = number;
+            self.last_keep_alive = number;
         }
         closes
     }
 
-    /// A response was written completely.
+    /// Records that a response was written completely.
     pub fn on_answered(&mut self, number: u64) {
         if self.turn(number) == Turn::Now {
             self.answered = number;
         }
     }
 
-    /// The handling of a request has ended, or never began.
+    /// Records that the handling of a request has ended or could not start.
     pub fn on_request_done(&mut self, number: u64) -> AfterRequest {
         if self.answered < number {
-            self.is_over = true;
+            self.has_ended = true;
         }
         match self.last {
-            _ if self.is_over => AfterRequest::Break,
+            _ if self.has_ended => AfterRequest::Abort,
             Some(last) if last <= number => AfterRequest::Finish,
             _ => AfterRequest::Next(number + 1),
         }
     }
 
-    /// Nothing is left to write.
+    /// Returns `true` if no response is left to write.
     pub fn is_done(&self) -> bool {
-        self.is_over || self.answered >= self.last.unwrap_or(self.received)
+        self.has_ended || self.answered >= self.last.unwrap_or(self.received)
     }
 
-    /// The connection has ended: no response is written any more.
+    /// Records the end of the connection; no further response is written.
     pub fn on_disconnected(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! What the coroutines of a proxy share.
+//! State shared by the coroutines of a proxy.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,19 +15,19 @@
 use crate::routing_state::RoutingState;
 use crate::worker_pool::WorkerPool;
 
-/// One proxy: its state and its ports.
+/// Shared state of one proxy process.
 pub struct Proxy {
-    /// As read at the start.
+    /// Settings as read at start-up.
     pub settings: Settings,
-    /// What controllers are told of it.
+    /// Description of this proxy, sent to the controllers.
     pub info: ProxyInfo,
     /// Clock and timers.
     pub alarms: Arc<Alarms>,
-    /// Watches the settings file.
+    /// Reloads the controller seeds from the settings file.
     pub reload: Mutex<SettingsReload>,
-    /// Clients' connections.
+    /// Open client connections.
     pub clients: ClientRegistry,
-    /// Connections to workers.
+    /// Pool of worker connections.
     pub workers: WorkerPool,
     routing: Mutex<RoutingState>,
     control: Mutex<ControlConnections>,
@@ -35,7 +35,8 @@
 }
 
 impl Proxy {
-    /// A proxy that does not run yet. `max_clients`, `max_workers`: how many connections there may be to each.
+    /// Creates the state of a proxy. `max_clients`, `max_workers`: limits of open connections to clients and
+    /// workers.
     pub fn new(
         settings: Settings,
         info: ProxyInfo,
@@ -56,12 +57,12 @@
         }
     }
 
-    /// The routing state, locked. To be held for short, and over no wait.
+    /// Locks the routing state. The lock must not be held across a wait.
     pub fn routing(&self) -> MutexGuard<'_, RoutingState> {
         self.routing.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The connections to controllers, locked. Where both are, this one is locked first.
+    /// Locks the connections to controllers. A caller that needs both locks takes this one before `routing`.
     pub fn control(&self) -> MutexGuard<'_, ControlConnections> {
         self.control.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -70,23 +71,24 @@
         self.phase.load(Ordering::Relaxed) >= phase as u8
     }
 
-    /// Whether every connection ends with its last response.
+    /// Returns `true` from phase `Closing` on.
     pub fn is_closing(&self) -> bool {
         self.is_at_least(Phase::Closing)
     }
 
-    /// Whether nothing more is read.
+    /// Returns `true` in phase `Ended`.
     pub fn has_ended(&self) -> bool {
         self.is_at_least(Phase::Ended)
     }
 
-    /// Enters a phase. Every change of phase is made here.
+    /// Enters a phase and wakes the client connections that must react. The only place that changes the
+    /// phase.
     pub fn enter(&self, phase: Phase) {
         info!(phase = format!("{phase:?}"); "phase changed");
         self.phase.store(phase as u8, Ordering::Relaxed);
         self.routing().enter(phase);
         if phase >= Phase::Closing {
-            // Those that rest end, the others with their last response.
+            // Idle connections close now, the others after their last response.
             self.clients.wake_all();
         }
         if phase >= Phase::Answering {
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! From a request to its response: admission, attempts at workers, and the relay of the reply.
+//! Handling of one request: admission, attempts at workers, and relay of the worker's reply to the client.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -15,30 +15,30 @@
 use crate::routing_state::{AdmittedRequest, RequestInfo};
 use crate::worker_reply::WorkerReply;
 
-/// How long before the client's deadline the proxy itself responds.
+/// Time before the request's deadline at which the proxy stops waiting, to respond itself in time.
 const DEADLINE_MARGIN: Span = Span::from_millis(4);
-/// The longest attempt id, in bytes.
-const MAX_ATTEMPT_ID: usize = 128;
-/// The most bytes of a long response that wait for a client that reads slowly.
-const MAX_UNREAD_BYTES: usize = 256 << 10;
-/// How often it is checked whether the client has read on.
-const ROOM_INTERVAL: Span = Span::from_millis(5);
-/// How long after the request's deadline a long response may end.
+/// Maximum length of an attempt id.
+const MAX_ATTEMPT_ID_BYTES: usize = 128;
+/// Limit of unsent bytes on a client connection above which the relay of a long response is paused.
+const MAX_UNSENT_BYTES: usize = 256 << 10;
+/// Interval of checks whether a slow client has read more.
+const CLIENT_CHECK_INTERVAL: Span = Span::from_millis(5);
+/// Time after the request's deadline by which a long response must be relayed.
 const RELAY_GRACE: Span = Span::from_millis(500);
 
-/// A request as it was read.
+/// A complete request read from a client.
 pub struct ReadRequest {
-    /// Its number on its connection.
+    /// Number of the request on its connection.
     pub number: u64,
-    /// All of it.
+    /// Head and body.
     pub bytes: Vec<u8>,
-    /// Where its parts lie.
+    /// Positions of head and body in `bytes`.
     pub extent: Extent,
-    /// When it was read.
+    /// Time at which it was read.
     pub read_at: Time,
 }
 
-/// Handles one request; for a coroutine of its own.
+/// Handles one request; runs in its own coroutine.
 pub fn handle(
     proxy: &Arc<Proxy>,
     client: &ClientConnection,
@@ -71,7 +71,8 @@
     }
 }
 
-/// Forwards a request to a worker, and to another where that may be. The reply, or a response of the proxy itself.
+/// Forwards a request to a worker and retries at others if allowed. Returns the reply to relay, or the
+/// proxy's own response.
 fn forward(
     proxy: &Proxy,
     head: &http::RequestHead,
@@ -84,7 +85,7 @@
     let mut request = proxy.routing().admit(read_at, &info)?;
     request.deadline = request.deadline.saturating_sub(DEADLINE_MARGIN);
     let deadline = request.deadline;
-    // A worker's own failure of what may be retried: the client's response where no other worker takes it.
+    // Failure reply of the previous attempt, relayed if no retry is possible.
     let mut failure: Option<WorkerReply> = None;
     loop {
         let now = proxy.alarms.now();
@@ -113,24 +114,25 @@
     }
 }
 
-/// What routing needs of a head.
+/// Extracts from a request head what routing needs.
 fn read_head<'a>(head: &http::RequestHead<'a>, attempt_id: &str) -> Result<RequestInfo<'a>, LocalResponse> {
     let headers = &head.headers;
-    let only = |name| headers.single(name).map_err(|_: HttpError| LocalResponse::new(400, "a header twice"));
+    let single =
+        |name| headers.single(name).map_err(|_: HttpError| LocalResponse::new(400, "a header twice"));
     let path = head.target.split(['?', '#']).next().unwrap_or("");
-    let host = only("host")?.unwrap_or("");
-    let key = only("authorization")?.and_then(|value| value.split_once(' '));
+    let host = single("host")?.unwrap_or("");
+    let key = single("authorization")?.and_then(|value| value.split_once(' '));
     let key = key.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer"));
-    only("attempt-id")?;
-    let time_left_ms = only("time-left-ms")?.and_then(|value| value.parse::<f64>().ok());
-    if attempt_id.is_empty() || attempt_id.len() > MAX_ATTEMPT_ID {
+    single("attempt-id")?;
+    let time_left_ms = single("time-left-ms")?.and_then(|value| value.parse::<f64>().ok());
+    if attempt_id.is_empty() || attempt_id.len() > MAX_ATTEMPT_ID_BYTES {
         return Err(LocalResponse::new(400, "no Attempt-Id"));
     }
     let time_left = time_left_ms.map(|ms| Span::from_secs(ms / 1000.0));
     Ok(RequestInfo { host, path, key: key.map(|(_, key)| key.trim()), time_left })
 }
 
-/// Relays a worker's reply; false where it did not go out completely.
+/// Relays a worker's reply. Returns `false` if it could not be written completely.
 fn relay(
     proxy: &Proxy,
     client: &ClientConnection,
@@ -141,18 +143,19 @@
 ) -> bool {
     let mut is_complete = client.connection.write(|out| reply.write_head(out, connection)).is_ok();
     if is_complete && reply.remaining > 0 {
-        let wait_for_room = || {
-            while client.connection.unsent() > MAX_UNREAD_BYTES {
+        let wait_for_client = || {
+            while client.connection.unsent() > MAX_UNSENT_BYTES {
                 if client.connection.is_closed() || cancel.is_cancelled() || proxy.alarms.now() >= deadline {
                     return false;
                 }
-                proxy.alarms.sleep_until(proxy.alarms.now() + ROOM_INTERVAL);
+                proxy.alarms.sleep_until(proxy.alarms.now() + CLIENT_CHECK_INTERVAL);
             }
             true
         };
         let write = |piece: &[u8]| client.connection.write(|out| out.write_all(piece)).is_ok();
-        // Cut short of its length, the client can tell.
-        is_complete = reply.relay_rest(&proxy.alarms, deadline + RELAY_GRACE, cancel, wait_for_room, write);
+        // If the relay stops early, the client detects it by `Content-Length`.
+        is_complete =
+            reply.relay_remaining(&proxy.alarms, deadline + RELAY_GRACE, cancel, wait_for_client, write);
     }
     proxy.workers.release(reply);
     is_complete
--- a/crates/proxy/src/routing_state.rs
+++ b/crates/proxy/src/routing_state.rs
@@ -1,5 +1,5 @@
-//! The routing state of a proxy: what becomes of a request is decided here, in one place. No I/O, clock or thread; the
-//! proxy calls it under one short lock.
+//! The routing state of a proxy: admission of requests, choice of workers and retries. It does no I/O, reads
+//! no clock and starts no thread; [`Proxy`](crate::proxy::Proxy) keeps it behind one lock.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -26,65 +26,66 @@
 use crate::local_response::LocalResponse;
 use crate::phase::Phase;
 
-/// When a client may come back to a proxy that is not up to date, or knows no worker.
+/// `Retry-After` of a proxy without a configuration or with an outdated one.
 const NOT_READY_RETRY_AFTER: Span = Span::from_millis(300);
-/// When a client may go to another proxy that came to one that is shutting down: at once.
+/// `Retry-After` of a proxy that is shutting down; the client may use another proxy at once.
 const SHUTDOWN_RETRY_AFTER: Span = Span::from_millis(1);
-/// When a client may come back for whom no attempt may be made, as a fraction of the route's latency target.
-const RETRY_AFTER_PART: f64 = 0.25;
-/// A proxy is ready for clients if its configuration was confirmed within this time.
-const READY_FRESHNESS: Span = Span::from_millis(3_000);
-/// The heartbeat period that the registry of a proxy goes by. It is very long, so that silence alone never makes an instance
-/// unresponsive here: that is for the controllers to decide.
+/// `Retry-After` if no further attempt is allowed, as a fraction of the route's latency target.
+const RETRY_AFTER_FRACTION: f64 = 0.25;
+/// Maximum age of the last configuration confirmation of a ready proxy.
+const MAX_READY_CONFIRMATION_AGE: Span = Span::from_millis(3_000);
+/// Heartbeat period assumed by the instance registry. It is long enough that missing heartbeats never mark an
+/// instance unresponsive on a proxy; the controllers decide that.
 const REGISTRY_HEARTBEAT_PERIOD: Span = Span::from_millis(3_600_000);
 
-/// What a request asks for, as its head says.
+/// The parts of a request head that routing needs.
 pub struct RequestInfo<'a> {
-    /// The `Host` header.
+    /// Value of the `Host` header; empty if there is none.
     pub host: &'a str,
-    /// The path of its target.
+    /// Path of the request target, without query and fragment.
     pub path: &'a str,
-    /// Its API key.
+    /// API key.
     pub key: Option<&'a str>,
-    /// How long the client waits.
+    /// Time the client is still willing to wait.
     pub time_left: Option<Span>,
 }
 
 /// A controller's acknowledgement of a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatAck {
-    /// When the heartbeat was sent.
+    /// Time at which the proxy sent the heartbeat.
     pub sent_at: Time,
-    /// The newest revision committed as far as the controller knows.
+    /// Newest committed revision known to the controller.
     pub revision: u64,
-    /// How long before the heartbeat arrived it was certain that there was no newer one; None where it is not.
+    /// Age, when the heartbeat arrived, of the last confirmation that no newer revision was committed; `None`
+    /// if the controller has no confirmation.
     pub confirmed_ago: Option<Span>,
-    /// It leads.
+    /// Whether the controller is the leader.
     pub is_leader: bool,
-    /// It leads, and every instance that counts as ready is confirmed.
+    /// Whether the controller is the leader and every instance that it counts as ready is confirmed.
     pub knows_instances: bool,
 }
 
-/// A request that was admitted, with the version of the configuration that admitted it.
+/// An admitted request, with the configuration version that admitted it.
 pub struct AdmittedRequest {
     version: Arc<ConfigVersion>,
     service: String,
-    /// The tenant that its key belongs to.
+    /// Name of the tenant that owns the API key; `None` if the route needs no key.
     pub tenant: Option<String>,
-    /// What it does.
+    /// Kind of the route, which says whether the request is idempotent.
     pub kind: RouteKind,
-    target: Span,
-    /// When it has to be answered.
+    latency_target: Span,
+    /// Time by which the client must have its response.
     pub deadline: Time,
     max_attempts: usize,
-    /// Regions that it may be served in, by its route and by its tenant.
-    homes: Vec<Vec<String>>,
+    /// Home regions of the route and of the tenant; a worker's region must be in every list.
+    allowed_regions: Vec<Vec<String>>,
     tried: Vec<Arc<Worker>>,
-    /// What is known of all its attempts together.
+    /// Combined execution state of all attempts.
     execution: Execution,
 }
 
-/// All that a proxy decides by.
+/// State from which a proxy makes its routing decisions.
 pub struct RoutingState {
     settings: Settings,
     rng: Rng,
@@ -97,7 +98,7 @@
     balancer: LocalityBalancer,
     split: WeightedSplit,
     proxy_counts: ProxyCounts,
-    /// The revision of the proxy membership that is held, and since when.
+    /// Revision of the current proxy membership, and the time it was applied.
     membership: (u64, Time),
     has_instances: bool,
     snapshot_requests: SnapshotRequests,
@@ -105,7 +106,7 @@
 }
 
 impl RoutingState {
-    /// A proxy that knows nothing yet.
+    /// Creates the state of a proxy without configuration and instances.
     pub fn new(now: Time, settings: &Settings, seed: u64) -> RoutingState {
         let bounds = &settings.bounds;
         RoutingState {
@@ -135,16 +136,18 @@
 
     // ---- readiness ----
 
-    /// Whether clients may be sent here.
+    /// Returns `true` if clients may be directed to this proxy.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.phase == Phase::Serving && self.can_serve() && self.lease.is_fresh(now, READY_FRESHNESS)
+        self.phase == Phase::Serving
+            && self.can_serve()
+            && self.lease.is_fresh(now, MAX_READY_CONFIRMATION_AGE)
     }
 
     fn can_serve(&self) -> bool {
         self.has_instances && self.replica.version().is_some()
     }
 
-    /// Whether clients may be sent here, as the controllers are told.
+    /// Returns the readiness to report to the controllers.
     pub fn readiness(&self, now: Time) -> Readiness {
         if self.phase > Phase::Serving {
             Readiness::ShuttingDown
@@ -157,30 +160,31 @@
         }
     }
 
-    /// The process enters a phase of its shutdown.
+    /// Sets the phase of the process.
     pub fn enter(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
-    /// How long a revoked key may work on a proxy that is out of touch; None where that is not bounded.
+    /// Returns the maximum time a revoked key may stay valid on a proxy without controller contact; `None` if
+    /// there is no such bound.
     fn revoke_bound(&self) -> Option<Span> {
         let bounds = &self.settings.bounds;
         bounds.revoke_final.then_some(bounds.revoke)
     }
 
-    // ---- what controllers say ----
+    // ---- messages from controllers ----
 
-    /// What is in force.
+    /// Returns the current configuration version.
     pub fn version(&self) -> Option<Arc<ConfigVersion>> {
         self.replica.version()
     }
 
-    /// The revision that deltas may build on.
+    /// Returns the revision that deltas may build on; 0 if a snapshot is needed.
     pub fn delta_base(&self) -> u64 {
         self.replica.delta_base()
     }
 
-    /// Takes over a configuration; returns whether it is newer than what was in force.
+    /// Applies a configuration update. Returns `false` if it is not newer than the current configuration.
     pub fn apply_config(&mut self, now: Time, revision: u64, update: &[u8]) -> bool {
         if !self.replica.apply_update(now, revision, update) {
             return false;
@@ -208,19 +212,19 @@
         true
     }
 
-    /// The proxy membership that a controller is told of, by its revision: one that has been held for long enough that a
-    /// process that begins after this one finds it confirmed.
+    /// Returns the membership revision to report to controllers, or 0 if it was applied less than
+    /// `CONFIRMATION_AGE` ago. After that time, a restarted proxy can no longer confirm an older membership.
     pub fn reported_membership(&self, now: Time) -> u64 {
         let (revision, since) = self.membership;
         if now - since >= CONFIRMATION_AGE { revision } else { 0 }
     }
 
-    /// Whether any instance was heard of.
+    /// Returns `true` if at least one instance was ever reported.
     pub fn has_instances(&self) -> bool {
         self.has_instances
     }
 
-    /// Takes over what is said of instances; `is_snapshot`: of all that a controller knows.
+    /// Applies reported instances. `is_snapshot`: the report contains all instances known to the controller.
     pub fn apply_instances(&mut self, now: Time, instances: &[Instance], is_snapshot: bool) {
         if is_snapshot {
             self.contact.on_snapshot();
@@ -235,8 +239,8 @@
         }
     }
 
-    /// A controller has acknowledged a heartbeat. Returns whether a snapshot of all instances is wanted of it: what workers
-    /// said during a silence may have been missed.
+    /// Handles a heartbeat acknowledgement. Returns `true` if the proxy must request a snapshot of all
+    /// instances from this controller: after a loss of quorum contact, or while instances are unconfirmed.
     pub fn on_heartbeat_ack(&mut self, now: Time, ack: &HeartbeatAck) -> bool {
         let sent_at = ack.sent_at;
         if let Some(confirmed_ago) = ack.confirmed_ago {
@@ -259,34 +263,35 @@
         wants_instances
     }
 
-    /// Takes over shares of quotas.
+    /// Applies quota shares from a controller.
     pub fn apply_quota_shares(&mut self, now: Time, shares: &[QuotaShare]) {
         self.buckets.apply_shares(now, now, shares);
     }
 
-    /// The buckets, for the reports of usage.
+    /// Returns the quota buckets, to report usage and held shares.
     pub fn buckets(&mut self) -> &mut TokenBuckets {
         &mut self.buckets
     }
 
-    /// Takes over how many proxies there are in each zone.
+    /// Records the number of proxies in each zone.
     pub fn apply_proxy_counts(&mut self, now: Time, counts: &[(String, u32)]) {
         self.proxy_counts.record(now, counts);
-        self.share_with_proxies(now);
+        self.update_proxy_counts(now);
     }
 
-    /// How many proxies there may be in the own zone, 0 where that is not known.
+    /// Returns the number of proxies in the own zone; 0 if unknown.
     pub fn proxies_in_zone(&self) -> u32 {
         let zones = self.proxy_counts.zones();
         zones.iter().find(|(zone, _)| *zone == self.settings.zone).map_or(0, |(_, count)| *count)
     }
 
-    /// What went to workers that may be warming up, since the last call; None for nothing.
+    /// Returns the requests sent since the last call to workers that may be warming up; `None` if there were
+    /// none.
     pub fn take_warm_up_usage(&mut self) -> Option<WarmUpUsage> {
         self.balancer.take_warm_up_usage()
     }
 
-    fn share_with_proxies(&mut self, now: Time) {
+    fn update_proxy_counts(&mut self, now: Time) {
         let zones = self.proxy_counts.zones();
         let total = zones.iter().map(|(_, count)| count).sum();
         self.buckets.set_proxy_count(total);
@@ -294,18 +299,18 @@
         self.balancer.set_proxy_counts(now, &zones);
     }
 
-    /// The periodic upkeep.
+    /// Runs periodic maintenance.
     pub fn tick(&mut self, now: Time) {
         self.balancer.tick(now);
         if self.proxy_counts.expire(now) {
-            self.share_with_proxies(now);
+            self.update_proxy_counts(now);
         }
         self.registry.sweep(now, REGISTRY_HEARTBEAT_PERIOD);
     }
 
-    // ---- a request ----
+    // ---- requests ----
 
-    /// Route, key, lease, quota: whether a request is admitted.
+    /// Admits a request after checks of the phase, route, API key, configuration lease and quota.
     pub fn admit(&mut self, now: Time, request: &RequestInfo) -> Result<AdmittedRequest, LocalResponse> {
         if self.phase >= Phase::Closing {
             return Err(LocalResponse::retry_after(503, "shutting down", SHUTDOWN_RETRY_AFTER));
@@ -329,17 +334,17 @@
             service: self.draw_service(route),
             tenant: tenant.map(|t| t.name.clone()),
             kind: route.kind,
-            target: route.target,
+            latency_target: route.target,
             deadline: now + time_left,
             max_attempts: route.max_attempts as usize,
-            homes: homes.into_iter().flatten().filter(|h| !h.is_empty()).cloned().collect(),
+            allowed_regions: homes.into_iter().flatten().filter(|h| !h.is_empty()).cloned().collect(),
             tried: Vec::new(),
             execution: Execution::NeverRan,
             version: version.clone(),
         })
     }
 
-    /// The tenant of a request; None where its route needs no key.
+    /// Returns the tenant of a request; `None` if its route needs no API key.
     fn authenticate<'a>(
         &self,
         now: Time,
@@ -352,8 +357,8 @@
             return Ok(None);
         }
         let Some((_, tenant)) = key.and_then(|key| configuration.tenant(key)) else {
-            // It may be a key of a configuration that has not come here yet.
-            let is_fresh = self.lease.is_fresh(now, READY_FRESHNESS);
+            // The key may belong to a newer configuration that has not arrived yet.
+            let is_fresh = self.lease.is_fresh(now, MAX_READY_CONFIRMATION_AGE);
             return Err(if is_fresh { LocalResponse::new(401, "unknown key") } else { stale() });
         };
         if !self.lease.is_valid(now, self.revoke_bound()) {
@@ -362,7 +367,7 @@
         Ok(Some(tenant))
     }
 
-    /// One of a route's services, by their weights.
+    /// Chooses one of the route's services by weight.
     fn draw_service(&mut self, route: &Route) -> String {
         let services = &route.services[..];
         if let [(service, _)] = services {
@@ -372,7 +377,7 @@
         services[drawn].0.clone()
     }
 
-    /// The worker that a request goes to now, the first time or again; else the final response, at once.
+    /// Picks a worker for the first attempt or a retry. Returns the final response if no attempt is possible.
     pub fn pick(
         &mut self,
         now: Time,
@@ -385,7 +390,7 @@
             && now < request.deadline
             && self.may_serve(now, request);
         if !may_try || !is_first && !self.retry_budget.try_spend(&request.service) {
-            return Err(self.give_up(now, request, request.target.times(RETRY_AFTER_PART)));
+            return Err(self.give_up(now, request, request.latency_target.times(RETRY_AFTER_FRACTION)));
         }
         let version = self.newest_version(request);
         let settings = &self.settings;
@@ -393,7 +398,7 @@
         let query = EndpointQuery {
             service: &request.service,
             kind: request.kind,
-            target: request.target,
+            target: request.latency_target,
             deadline: request.deadline,
             is_zone_allowed: &|zone| is_zone_allowed(settings, &version, request, zone),
             tried: &request.tried,
@@ -411,17 +416,18 @@
         }
     }
 
-    /// What binds at the moment of forwarding is taken from the newest configuration, not from the one that admitted.
+    /// Returns the current configuration version, which governs forwarding even if an older one admitted the
+    /// request.
     fn newest_version(&self, request: &AdmittedRequest) -> Arc<ConfigVersion> {
         self.replica.version().unwrap_or_else(|| request.version.clone())
     }
 
-    /// Whether requests like this one may go to workers at all: a tenant's only while the lease holds.
+    /// Returns `true` if the request has no tenant or the configuration lease is valid.
     fn may_serve(&self, now: Time, request: &AdmittedRequest) -> bool {
         request.tenant.is_none() || self.lease.is_valid(now, self.revoke_bound())
     }
 
-    /// Whether a request may still go to the worker that was picked for it, right before it is handed over.
+    /// Returns `true` if the request may still go to the picked worker. Called right before it is sent.
     pub fn may_forward(&mut self, now: Time, request: &AdmittedRequest, picked: &PickedEndpoint) -> bool {
         let version = self.newest_version(request);
         let zone = &picked.worker.zone;
@@ -433,7 +439,7 @@
         self.balancer.may_hand_over(now, picked, knowledge)
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn on_attempt_ended(
         &mut self,
         now: Time,
@@ -446,7 +452,7 @@
         request.execution = request.execution.and(execution);
     }
 
-    /// The final response to a request that goes to no worker any more.
+    /// Returns the final response to a request that gets no further attempt.
     fn give_up(&mut self, now: Time, request: &AdmittedRequest, wait: Span) -> LocalResponse {
         if request.execution.may_claim_not_run() {
             if let Some(tenant) = &request.tenant {
@@ -461,7 +467,7 @@
     }
 }
 
-/// Whether workers of a zone may serve a request: by evacuations and by homes.
+/// Returns `true` if the zone is not evacuated and its region may serve the request.
 fn is_zone_allowed(
     settings: &Settings,
     version: &ConfigVersion,
@@ -469,7 +475,7 @@
     zone: &str,
 ) -> bool {
     let region = settings.region_of(zone).unwrap_or("");
-    !version.evacuated.contains(zone) && request.homes.iter().all(|h| h.iter().any(|r| r == region))
+    !version.evacuated.contains(zone) && request.allowed_regions.iter().all(|h| h.iter().any(|r| r == region))
 }
 
 fn warm_up_knowledge(
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,4 @@
-//! From the settings to a running proxy, and to its end.
+//! Start-up and graceful shutdown of a proxy process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,33 +19,37 @@
 use crate::proxy::Proxy;
 use crate::{client_reader, control_client};
 
-/// Descriptors that are kept back for control connections and files; what is left is split between clients and workers.
+/// File descriptors reserved for control connections and files; the rest is split between clients and
+/// workers.
 const RESERVED_DESCRIPTORS: usize = 300;
+/// Least number of descriptors for clients and workers together.
 const MIN_DESCRIPTORS: usize = 32;
-const CLIENTS_PART: f64 = 0.6;
-/// The part of the memory that the buffers of all connections may take: one half.
-const BUFFER_DIVISOR: usize = 2;
-/// How often the periodic upkeep is done.
-const UPKEEP_INTERVAL: Span = Span::from_millis(200);
-/// How often it is logged what went to workers that may be warming up.
+/// Fraction of these descriptors that clients may use.
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
+/// The buffers of all connections may take the memory limit divided by this.
+const BUFFER_MEMORY_DIVISOR: usize = 2;
+/// Interval of periodic maintenance.
+const MAINTENANCE_INTERVAL: Span = Span::from_millis(200);
+/// Interval at which requests to workers that may be warming up are logged.
 const USAGE_LOG_INTERVAL: Span = Span::from_millis(1_000);
-/// After SIGTERM clients still come for this part of the grace, as they learn of it late. What is admitted last has the time
-/// up to `ANSWERING_PART` to be answered by its worker.
-const DRAINING_PART: f64 = 0.48;
-/// After this part no worker is waited for any more: what has no reply gets a response of the proxy's own,
-const ANSWERING_PART: f64 = 0.9;
-/// and after this part the process ends, before the platform ends it.
-const END_PART: f64 = 0.95;
-/// How often a proxy that is closing looks whether its clients are gone.
+/// End of `Draining` after SIGTERM, as a fraction of the grace period: clients learn of the shutdown with a
+/// delay. A request admitted last has until `ANSWERING_START_FRACTION` to get the worker's reply.
+const DRAINING_END_FRACTION: f64 = 0.48;
+/// Start of `Answering`, as a fraction of the grace period: requests without a reply get the proxy's own
+/// response.
+const ANSWERING_START_FRACTION: f64 = 0.9;
+/// Exit of the process, as a fraction of the grace period, before the platform kills it.
+const EXIT_FRACTION: f64 = 0.95;
+/// Interval of checks during shutdown whether clients have disconnected.
 const CLOSING_INTERVAL: Span = Span::from_millis(20);
-/// The first heartbeat is sent at a random time after the start: no earlier than this,
+/// Shortest delay of the first heartbeat.
 const MIN_HEARTBEAT_OFFSET_MS: u64 = 200;
-/// and within this time from then on, so that proxies that start together do not send together.
-const HEARTBEAT_SPREAD_MS: u64 = 800;
-/// Limits of the readiness address.
+/// Range of the jitter added to it, so that proxies started together do not send at the same time.
+const HEARTBEAT_JITTER_MS: u64 = 800;
+/// Limits of the readiness server; the body limit is in bytes.
 const READINESS_LIMITS: ServerLimits = ServerLimits { max_body: 1024, max_connections: 64 };
 
-/// Serves until the process is told to end.
+/// Runs the proxy until SIGTERM and then shuts it down gracefully.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     configure_runtime();
     let clock = Clock::start();
@@ -54,16 +58,16 @@
     let alarms = Arc::new(Alarms::new(clock).map_err(|e| StartError::System("timer", e))?);
     let proxy = Arc::new(new_proxy(settings, front, alarms));
     spawn_coroutines(&proxy, front)?;
-    let (reloaded, ended) = (proxy.clone(), proxy);
-    let reload = || control_client::reload_settings(&reloaded, ReloadTrigger::Signal);
-    signals.run_until_shutdown(reload, move || shut_down(&ended));
+    let (reload_proxy, shutdown_proxy) = (proxy.clone(), proxy);
+    let reload = || control_client::reload_settings(&reload_proxy, ReloadTrigger::Signal);
+    signals.run_until_shutdown(reload, move || shut_down(&shutdown_proxy));
     Ok(())
 }
 
 fn new_proxy(settings: Settings, front: SocketAddr, alarms: Arc<Alarms>) -> Proxy {
-    limit_buffer_memory((settings.limits.memory_mb << 20) as usize / BUFFER_DIVISOR);
+    limit_buffer_memory((settings.limits.memory_mb << 20) as usize / BUFFER_MEMORY_DIVISOR);
     let descriptors = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS);
-    let max_clients = (descriptors as f64 * CLIENTS_PART) as usize;
+    let max_clients = (descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize;
     let start = alarms.now().nanos() ^ u64::from(std::process::id()) << 40;
     let info = ProxyInfo {
         node: settings.node.clone(),
@@ -75,7 +79,7 @@
     Proxy::new(settings, info, alarms, max_clients, descriptors - max_clients)
 }
 
-/// Starts everything that runs beside the main thread.
+/// Starts all coroutines of the proxy.
 fn spawn_coroutines(proxy: &Arc<Proxy>, front: SocketAddr) -> Result<(), StartError> {
     let front = server::listen(front)?;
     let readiness = proxy.settings.readiness.map(server::listen).transpose()?;
@@ -83,10 +87,10 @@
     let shared = proxy.clone();
     spawn("alarms", move || shared.alarms.run());
     let shared = proxy.clone();
-    spawn("upkeep", move || do_upkeep(&shared));
+    spawn("upkeep", move || run_maintenance(&shared));
     control_client::add_controllers(proxy, &proxy.settings.seeds);
     let shared = proxy.clone();
-    let offset = MIN_HEARTBEAT_OFFSET_MS + proxy.info.incarnation % HEARTBEAT_SPREAD_MS;
+    let offset = MIN_HEARTBEAT_OFFSET_MS + proxy.info.incarnation % HEARTBEAT_JITTER_MS;
     spawn("heartbeats", move || control_client::run(&shared, Span::from_millis(offset)));
     if let Some(readiness) = readiness {
         let (shared, alarms) = (proxy.clone(), proxy.alarms.clone());
@@ -98,7 +102,7 @@
     Ok(())
 }
 
-fn do_upkeep(proxy: &Proxy) {
+fn run_maintenance(proxy: &Proxy) {
     let mut usage_logged_at = proxy.alarms.now();
     loop {
         let now = proxy.alarms.now();
@@ -108,11 +112,11 @@
             usage_logged_at = now;
             log_warm_up_usage(proxy);
         }
-        proxy.alarms.sleep_until(now + UPKEEP_INTERVAL);
+        proxy.alarms.sleep_until(now + MAINTENANCE_INTERVAL);
     }
 }
 
-/// A line for each second in which workers that may be warming up got requests: who sent what is not seen anywhere else.
+/// Logs the requests that this proxy sent to workers that may be warming up since the last call.
 fn log_warm_up_usage(proxy: &Proxy) {
     let (usage, proxies) = {
         let mut routing = proxy.routing();
@@ -135,27 +139,28 @@
     }
 }
 
-/// Graceful shutdown, from SIGTERM to the end.
+/// Shuts down gracefully: drains, closes connections, and answers the remaining requests.
 fn shut_down(proxy: &Proxy) {
     let grace = proxy.settings.bounds.grace;
-    let began = proxy.alarms.now();
+    let started_at = proxy.alarms.now();
     proxy.enter(Phase::Draining);
     control_client::send_heartbeats(proxy);
-    proxy.alarms.sleep_until(began + grace.times(DRAINING_PART));
+    proxy.alarms.sleep_until(started_at + grace.times(DRAINING_END_FRACTION));
     proxy.enter(Phase::Closing);
-    let has_ended = wait_until(proxy, began + grace.times(ANSWERING_PART), || proxy.clients.count() == 0);
+    let has_ended =
+        wait_until(proxy, started_at + grace.times(ANSWERING_START_FRACTION), || proxy.clients.count() == 0);
     if !has_ended {
         proxy.enter(Phase::Answering);
-        wait_until(proxy, began + grace.times(END_PART), || proxy.clients.is_flushed());
+        wait_until(proxy, started_at + grace.times(EXIT_FRACTION), || proxy.clients.is_flushed());
     }
-    // No other coroutine runs between the last look and this: what comes now stays unread.
+    // No other coroutine runs between the last check and this, so requests that arrive now stay unread.
     proxy.enter(Phase::Ended);
-    log_end(proxy, began);
+    log_stopped(proxy, started_at);
 }
 
-/// Looks again and again whether it is so, until then.
-fn wait_until(proxy: &Proxy, deadline: Time, is_so: impl Fn() -> bool) -> bool {
-    while !is_so() {
+/// Polls a condition until it holds. Returns `false` if the deadline passes first.
+fn wait_until(proxy: &Proxy, deadline: Time, condition: impl Fn() -> bool) -> bool {
+    while !condition() {
         let now = proxy.alarms.now();
         if now >= deadline {
             return false;
@@ -165,10 +170,11 @@
     true
 }
 
-/// Whoever asks why a client got no answer finds here how many did not, and how long after SIGTERM the last of them came.
-fn log_end(proxy: &Proxy, began: Time) {
+/// Logs how many requests are left without a response, and how long after SIGTERM the newest of them was
+/// read.
+fn log_stopped(proxy: &Proxy, started_at: Time) {
     let in_flight = proxy.clients.in_flight();
-    let last_read_ms = in_flight.last_read_at.map(|at| (at - began).nanos() / 1_000_000);
+    let last_read_ms = in_flight.last_read_at.map(|at| (at - started_at).nanos() / 1_000_000);
     info!(
         connections = proxy.clients.count(), unanswered = in_flight.requests,
         last_read_ms = last_read_ms;
--- a/crates/proxy/src/worker_pool.rs
+++ b/crates/proxy/src/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to workers.
+//! Pool of connections to workers.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,38 +13,39 @@
 use crate::cancellation::CancelToken;
 use crate::worker_reply::WorkerReply;
 
-/// What a connection holds of a request that the kernel has not taken: as much as a client may send, and its head.
-const MAX_BUFFER: usize = (2 << 20) + 2 * MAX_HEAD;
-/// A connection attempt that takes longer leads to no worker that is there.
+/// Buffer size of a worker connection: the longest body that a client may send, and its head.
+const MAX_BUFFER_BYTES: usize = (2 << 20) + 2 * MAX_HEAD;
+/// Time-out of a connect to a worker.
 const CONNECT_TIMEOUT: Span = Span::from_millis(400);
-/// An idle connection is reused no later than this,
+/// Longest time that an idle connection may be reused.
 const MAX_IDLE: Span = Span::from_millis(6_000);
-/// or than the worker says, less this margin.
+/// Margin subtracted from the worker's announced idle time-out.
 const IDLE_MARGIN: Span = Span::from_millis(1_200);
 
 struct IdleConnection {
     connection: Arc<Connection>,
-    until: Time,
+    reusable_until: Time,
 }
 
-/// Connections to workers.
+/// Pool of connections to workers, with a limit on open connections.
 #[derive(Default)]
 pub struct WorkerPool {
-    /// By the instance's id, the one used last at the end.
+    /// Idle connections by instance id, the most recently used one last.
     idle: Mutex<HashMap<String, Vec<IdleConnection>>>,
+    /// Number of open connections, idle ones included.
     open: AtomicUsize,
     max_open: usize,
 }
 
-/// A connection to send one request on.
+/// A connection reserved for one request.
 pub(crate) struct WorkerConnection {
     pub connection: Arc<Connection>,
-    /// It carried no request yet.
+    /// Whether it has carried no request yet.
     pub is_new: bool,
 }
 
 impl WorkerPool {
-    /// `max_open`: how many connections may be open, idle ones included.
+    /// Creates an empty pool. `max_open`: limit of open connections, idle ones included.
     pub fn new(max_open: usize) -> WorkerPool {
         WorkerPool { max_open, ..WorkerPool::default() }
     }
@@ -53,12 +54,12 @@
         self.idle.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The idle connection used last that is still good.
+    /// Takes the most recently used idle connection that is still usable.
     fn take_idle(&self, now: Time, worker: &Worker) -> Option<Arc<Connection>> {
         let mut idle = self.idle();
         let connections = idle.get_mut(&worker.id)?;
         while let Some(found) = connections.pop() {
-            if now < found.until && !found.connection.is_stale() {
+            if now < found.reusable_until && !found.connection.is_stale() {
                 return Some(found.connection);
             }
             self.discard(&found.connection);
@@ -66,27 +67,27 @@
         None
     }
 
-    /// Ends a connection.
+    /// Closes a connection and removes it from the count of open ones.
     pub(crate) fn discard(&self, connection: &Connection) {
         connection.close();
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes idle connections that may no longer be reused.
     pub fn expire(&self, now: Time) {
         let mut idle = self.idle();
         idle.retain(|_, connections| {
             connections.retain(|idle| {
-                if idle.until <= now {
+                if idle.reusable_until <= now {
                     self.discard(&idle.connection);
                 }
-                now < idle.until
+                now < idle.reusable_until
             });
             !connections.is_empty()
         });
     }
 
-    /// Whether a connection may be opened; where there are too many, an idle one gives way.
+    /// Returns `true` if a connection may be opened; closes an idle one if the limit is reached.
     fn make_room(&self) -> bool {
         if self.open.load(Ordering::Relaxed) < self.max_open {
             return true;
@@ -99,7 +100,8 @@
         true
     }
 
-    /// A connection to the worker: an idle one, or a new one.
+    /// Returns an idle or a new connection to the worker. Returns `None` if the limit is reached, or if the
+    /// connect fails, times out or is cancelled.
     pub(crate) fn connect(
         &self,
         alarms: &Alarms,
@@ -115,7 +117,7 @@
         if !self.make_room() {
             return None;
         }
-        let connection = Arc::new(Connection::open(worker.address, MAX_BUFFER).ok()?);
+        let connection = Arc::new(Connection::open(worker.address, MAX_BUFFER_BYTES).ok()?);
         self.open.fetch_add(1, Ordering::Relaxed);
         cancel.watch(&connection);
         let connect_by = (now + CONNECT_TIMEOUT).min(deadline);
@@ -128,13 +130,13 @@
         Some(WorkerConnection { connection, is_new: true })
     }
 
-    /// A reply is done with: its connection goes back into the pool, or ends.
+    /// Returns the connection of a finished reply to the pool, or closes it if it cannot be reused.
     pub fn release(&self, reply: WorkerReply) {
         let WorkerReply { connection, worker, extent, remaining, reusable_until, .. } = reply;
         match reusable_until {
-            Some(until) if remaining == 0 => {
+            Some(reusable_until) if remaining == 0 => {
                 connection.inbound().consume(extent.total);
-                let idle = IdleConnection { connection, until };
+                let idle = IdleConnection { connection, reusable_until };
                 self.idle().entry(worker.id.clone()).or_default().push(idle);
             }
             _ => self.discard(&connection),
@@ -142,8 +144,8 @@
     }
 }
 
-/// How long an idle connection may be reused, where the worker says how long it keeps it.
-pub(crate) fn idle_time(keep_alive: Option<Span>) -> Span {
-    let told = keep_alive.map(|k| Span::from_nanos(k.nanos().saturating_sub(IDLE_MARGIN.nanos())));
-    told.unwrap_or(MAX_IDLE).min(MAX_IDLE)
+/// Returns how long an idle connection may be reused. `keep_alive`: the worker's announced idle time-out.
+pub(crate) fn max_idle_time(keep_alive: Option<Span>) -> Span {
+    let announced = keep_alive.map(|k| Span::from_nanos(k.nanos().saturating_sub(IDLE_MARGIN.nanos())));
+    announced.unwrap_or(MAX_IDLE).min(MAX_IDLE)
 }
--- a/crates/proxy/src/worker_reply.rs
+++ b/crates/proxy/src/worker_reply.rs
@@ -1,4 +1,4 @@
-//! Replies of workers: finding them in what came in, and relaying them to clients.
+//! Replies of workers: detection in the receive buffer, and relay to clients.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -13,69 +13,72 @@
 
 use crate::cancellation::CancelToken;
 
-/// A reply with a body up to this long is held until it is complete; a longer one is relayed as it comes.
-const MAX_HELD_BODY: usize = 64 << 10;
-/// What is held of a reply that does not tell its length, until it is complete.
-const MAX_HELD_UNSIZED: usize = (1 << 20) + MAX_HEAD;
+/// Longest body with a declared length that is buffered until the reply is complete; a longer one is relayed
+/// as it arrives.
+const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
+/// Longest body without a declared length that is buffered until the reply is complete.
+const MAX_BUFFERED_UNSIZED_BYTES: usize = (1 << 20) + MAX_HEAD;
 
-/// A worker's reply that may be relayed.
+/// A worker's reply that may be relayed to the client.
 pub struct WorkerReply {
     pub(crate) connection: Arc<Connection>,
     pub(crate) worker: Arc<Worker>,
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
     pub(crate) extent: Extent,
-    /// So many bytes of the body are still to come.
+    /// Number of body bytes that are not yet in the receive buffer.
     pub remaining: usize,
-    /// Until when the connection may be reused; None where it ends.
+    /// Time until which the connection may be reused; `None` if it must be closed.
     pub(crate) reusable_until: Option<Time>,
 }
 
-/// A reply at the front of what came in.
+/// A reply at the start of the receive buffer.
 pub(crate) struct FoundReply {
     pub head: ReplyHead,
     pub extent: Extent,
-    /// So many bytes of the body are still to come.
+    /// Number of body bytes that are not yet in the receive buffer.
     pub remaining: usize,
-    /// How long the worker keeps the connection, where it says so.
+    /// Idle time-out announced by the worker's `Keep-Alive` header.
     pub keep_alive: Option<Span>,
 }
 
-/// The head of a reply as the search goes by it.
+/// The parsed head of a reply.
 struct ParsedHead {
     reply: ReplyHead,
-    bytes: usize,
-    /// The length of a body that is relayed as it comes.
+    length: usize,
+    /// Length of a body that is relayed as it arrives; `None` if the reply is buffered until complete.
     long_body: Option<usize>,
     keep_alive: Option<Span>,
 }
 
-/// The reply at the front, once it is complete, or, where it is long, once its head is.
+/// Returns the first reply in the buffer if it is complete, or, for a long body, if its head is complete.
 pub(crate) fn find_reply(
     inbound: &mut RingBuffer,
     attempt_id: &str,
-    stop: StreamState,
+    stream: StreamState,
 ) -> Result<Option<FoundReply>, AttemptEvent> {
     if inbound.is_empty() {
         return Ok(None);
     }
     let bytes = inbound.bytes();
-    let Some(ParsedHead { mut reply, bytes: head, long_body, keep_alive }) = parse_head(bytes, attempt_id)?
+    let Some(ParsedHead { mut reply, length: head, long_body, keep_alive }) = parse_head(bytes, attempt_id)?
     else {
         return Ok(None);
     };
-    let here = bytes.len() - head;
-    match (http::response_extent(bytes, stop, MAX_HELD_UNSIZED), long_body) {
+    let received = bytes.len() - head;
+    match (http::response_extent(bytes, stream, MAX_BUFFERED_UNSIZED_BYTES), long_body) {
         (Ok(Some(extent)), _) => {
-            reply.is_clean = extent.keep_alive && extent.total == inbound.len() && stop == StreamState::Open;
+            reply.is_clean =
+                extent.keep_alive && extent.total == inbound.len() && stream == StreamState::Open;
             Ok(Some(FoundReply { head: reply, extent, remaining: 0, keep_alive }))
         }
-        // A long one is relayed as it comes, once it is known to be the right one.
+        // The caller checks the attempt id in the head before it relays a long body.
         (Ok(None) | Err(HttpError { status: 413, .. }), Some(length))
-            if stop == StreamState::Open && length > here =>
+            if stream == StreamState::Open && length > received =>
         {
-            let extent = Extent { head, body: head..head + here, total: head + here, keep_alive: false };
-            Ok(Some(FoundReply { head: reply, extent, remaining: length - here, keep_alive }))
+            let extent =
+                Extent { head, body: head..head + received, total: head + received, keep_alive: false };
+            Ok(Some(FoundReply { head: reply, extent, remaining: length - received, keep_alive }))
         }
         (Ok(None), _) => Ok(None),
         (Err(_), _) => Err(AttemptEvent::Garbled),
@@ -83,12 +86,12 @@
 }
 
 fn parse_head(bytes: &[u8], attempt_id: &str) -> Result<Option<ParsedHead>, AttemptEvent> {
-    let (answer, head) = match http::parse_response_head(bytes) {
+    let (response, head) = match http::parse_response_head(bytes) {
         Ok(Some(found)) => found,
         Ok(None) => return Ok(None),
         Err(_) => return Err(AttemptEvent::Garbled),
     };
-    let headers = &answer.headers;
+    let headers = &response.headers;
     let has = |name| headers.get(name).is_some();
     let owner = match headers.single("attempt-id") {
         Ok(Some(id)) if id == attempt_id => ReplyOwner::Own,
@@ -100,30 +103,31 @@
     Ok(Some(ParsedHead {
         reply: ReplyHead {
             owner,
-            status: answer.status,
+            status: response.status,
             says_not_run: has("not-run"),
             is_sealed: has("server-seal"),
             is_encoded: has("content-encoding"),
             is_clean: false,
         },
-        bytes: head,
-        long_body: length.filter(|l| *l > MAX_HELD_BODY && !has("transfer-encoding")),
+        length: head,
+        long_body: length.filter(|l| *l > MAX_BUFFERED_BODY_BYTES && !has("transfer-encoding")),
         keep_alive: headers.get("keep-alive").and_then(keep_alive_timeout),
     }))
 }
 
-/// How long a worker keeps an idle connection, by its `Keep-Alive` header.
+/// Parses the `timeout` parameter of a `Keep-Alive` header.
 fn keep_alive_timeout(value: &str) -> Option<Span> {
     let timeout = value.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
     Some(Span::from_secs(timeout.parse().ok()?))
 }
 
 impl WorkerReply {
-    /// Writes the head and what is here of the body.
-    pub fn write_head(&self, out: &mut RingBuffer, connection: &str) -> io::Result<()> {
+    /// Writes the head and the received part of the body. `connection_headers`: header lines about the client
+    /// connection.
+    pub fn write_head(&self, out: &mut RingBuffer, connection_headers: &str) -> io::Result<()> {
         let mut inbound = self.connection.inbound();
         let bytes = inbound.bytes();
-        let Ok(Some((answer, _))) = http::parse_response_head(&bytes[..self.extent.head]) else {
+        let Ok(Some((response, _))) = http::parse_response_head(&bytes[..self.extent.head]) else {
             return Err(io::ErrorKind::InvalidData.into());
         };
         let body = &bytes[self.extent.body.clone()];
@@ -132,29 +136,30 @@
         if !has_no_body {
             write!(out, "Content-Length: {}\r\n", body.len() + self.remaining)?;
         }
-        out.write_all(connection.as_bytes())?;
-        for (name, value) in answer.headers.end_to_end() {
+        out.write_all(connection_headers.as_bytes())?;
+        for (name, value) in response.headers.end_to_end() {
             http::write_header(out, name, value)?;
         }
         out.write_all(b"\r\n")?;
         out.write_all(body)
     }
 
-    /// Relays the rest of a long body, a piece whenever there is room for it; false where it broke off.
-    pub fn relay_rest(
+    /// Relays the remaining part of a long body as it arrives. Returns `false` if it could not be relayed
+    /// completely.
+    pub fn relay_remaining(
         &mut self,
         alarms: &Alarms,
         deadline: Time,
         cancel: &CancelToken,
-        mut wait_for_room: impl FnMut() -> bool,
+        mut wait_for_client: impl FnMut() -> bool,
         mut write: impl FnMut(&[u8]) -> bool,
     ) -> bool {
         self.connection.inbound().consume(self.extent.total);
         self.extent = Extent::default();
         alarms.wake_connection(deadline, &self.connection);
         while self.remaining > 0 {
-            // Waited for with no lock held.
-            if !wait_for_room() {
+            // No lock is held during the wait.
+            if !wait_for_client() {
                 return false;
             }
             {
@@ -169,14 +174,15 @@
                     continue;
                 }
             }
-            // What the kernel holds already counts, however late we look.
+            // Bytes already in the kernel's receive buffer are relayed even after the deadline or a
+            // cancellation.
             let is_over = cancel.is_cancelled() || alarms.now() >= deadline;
-            let got = if is_over {
+            let outcome = if is_over {
                 self.connection.try_read().unwrap_or(ReadOutcome::Broken)
             } else {
                 self.connection.read()
             };
-            if got != ReadOutcome::Bytes && self.connection.inbound().is_empty() {
+            if outcome != ReadOutcome::Bytes && self.connection.inbound().is_empty() {
                 return false;
             }
         }
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -88,7 +88,7 @@
                     text.extend_from_slice(piece);
                     true
                 };
-                let is_whole = answer.relay_rest(&alarms, until, &cancel, || true, &mut more);
+                let is_whole = answer.relay_remaining(&alarms, until, &cancel, || true, &mut more);
                 came += &format!(" {} {}", answer.status, brief(&text));
                 came += if is_whole { "" } else { " cut" };
                 workers.release(answer);
--- a/crates/proxy/tests/pipeline.rs
+++ b/crates/proxy/tests/pipeline.rs
@@ -43,7 +43,7 @@
                         Stand::Working if (pick / 1200).is_multiple_of(40) => {
                             // It ends without an answer: a panic, no room for it, a stream cut short.
                             stands[at] = Stand::Ended;
-                            assert_eq!(pipeline.on_request_done(number), AfterRequest::Break, "seed {seed}");
+                            assert_eq!(pipeline.on_request_done(number), AfterRequest::Abort, "seed {seed}");
                             over = true;
                         }
                         Stand::Working if pipeline.turn(number) == Turn::Now => {
@@ -69,7 +69,7 @@
                                     );
                                     finished += 1;
                                 }
-                                AfterRequest::Break => assert!(over, "seed {seed}"),
+                                AfterRequest::Abort => assert!(over, "seed {seed}"),
                             }
                         }
                         _ => {}
