--- a/crates/proxy/src/client_reader.rs
+++ b/crates/proxy/src/client_reader.rs
@@ -25,7 +25,7 @@
 /// Time that a connection stays open after its last response so that the client can close it.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// Next parse_next of the reader after a look at the receive buffer.
+/// Next step of the reader after a look at the receive buffer.
 enum ReadStep {
     /// Wait for more bytes.
     ReadMore,
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! One attempt at a worker through real sockets: `docs/design/attempts.md` has the same rows. The worker is played here,
-//! byte by byte. Nothing sleeps: both sides wait in reads that end with what the other does.
+//! Attempts at a worker over real sockets; `docs/design/attempts.md` has a table of the same cases. The test
+//! acts as the worker and controls each byte. It does not sleep: both sides wait in reads.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -24,86 +24,88 @@
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All coroutines share one thread, and one test stops it: the tests come one after another.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the tests: all coroutines share one thread, and one test blocks it.
+static SERIAL: Mutex<()> = Mutex::new(());
 
-struct Rig {
-    _alone: MutexGuard<'static, ()>,
+/// A pool with one worker, played by the test.
+struct AttemptFixture {
+    _guard: MutexGuard<'static, ()>,
     alarms: Arc<Alarms>,
     workers: Arc<WorkerPool>,
     listener: TcpListener,
     worker: Arc<Worker>,
 }
 
-impl Rig {
-    fn new() -> Rig {
-        let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
+impl AttemptFixture {
+    fn new() -> AttemptFixture {
+        let _guard = SERIAL.lock().unwrap_or_else(|e| e.into_inner());
         configure_runtime();
         let alarms = Arc::new(Alarms::new(Clock::start()).expect("alarms"));
-        let a = alarms.clone();
-        spawn("alarms", move || a.run());
+        let timers = alarms.clone();
+        spawn("alarms", move || timers.run());
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
         let [id, service, zone] = ["i-1", "s", "z"].map(str::to_string);
         let worker = Arc::new(Worker { id, address, service, zone, number: WorkerId(1) });
-        Rig { _alone, alarms, workers: Arc::new(WorkerPool::new(100)), listener, worker }
+        AttemptFixture { _guard, alarms, workers: Arc::new(WorkerPool::new(100)), listener, worker }
     }
 
     fn after(&self, ms: u64) -> Time {
         self.alarms.now() + Span::from_millis(ms)
     }
 
-    /// Begins a try that may go or not when it comes to it. What it comes to is said once: the verdict, the outcome,
-    /// the answer's status and body as its client gets them.
+    /// Starts an attempt. The receiver gets its result once: execution, outcome, and the status and body
+    /// relayed to the client. `may_forward`: whether the request may still be sent once it is connected.
+    /// `body`: length of the body.
     fn send(
         &self,
-        may: bool,
+        may_forward: bool,
         id: &str,
         body: usize,
-        until: Time,
+        deadline: Time,
         cancel: &Arc<CancelToken>,
     ) -> Receiver<String> {
-        let (said, heard) = channel();
+        let (sender, result) = channel();
         let (alarms, workers, worker) = (self.alarms.clone(), self.workers.clone(), self.worker.clone());
         let (id, cancel) = (id.to_string(), cancel.clone());
-        spawn("a try", move || {
+        spawn("attempt", move || {
             let text = format!("POST /a HTTP/1.1\r\nHost: h\r\nAttempt-Id: {id}\r\n\r\n");
-            let (head, _) = http::parse_request_head(text.as_bytes()).expect("good").expect("whole");
+            let (head, _) = http::parse_request_head(text.as_bytes()).expect("valid").expect("complete");
             let body = vec![b'b'; body];
-            let out = OutgoingRequest {
+            let outgoing = OutgoingRequest {
                 head: &head,
                 body: &body,
                 tenant: None,
                 attempt_id: &id,
-                may_forward: &|_| may,
+                may_forward: &|_| may_forward,
             };
-            let tried = workers.forward(&alarms, &worker, &out, until, &cancel);
-            let mut came = format!("{:?} {:?}", tried.execution, tried.outcome);
-            if let Some(mut answer) = tried.reply {
+            let attempt = workers.forward(&alarms, &worker, &outgoing, deadline, &cancel);
+            let mut summary = format!("{:?} {:?}", attempt.execution, attempt.outcome);
+            if let Some(mut reply) = attempt.reply {
                 let mut ring = RingBuffer::new(4 << 20);
-                answer.write_head(&mut ring, "").expect("put");
+                reply.write_head(&mut ring, "").expect("written");
                 let head = ring.bytes().windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
                 let mut text = ring.bytes()[head..].to_vec();
                 let mut more = |piece: &[u8]| {
                     text.extend_from_slice(piece);
                     true
                 };
-                let is_whole = answer.relay_remaining(&alarms, until, &cancel, || true, &mut more);
-                came += &format!(" {} {}", answer.status, brief(&text));
-                came += if is_whole { "" } else { " cut" };
-                workers.release(answer);
+                let is_complete = reply.relay_remaining(&alarms, deadline, &cancel, || true, &mut more);
+                summary += &format!(" {} {}", reply.status, summarize_body(&text));
+                summary += if is_complete { "" } else { " cut" };
+                workers.release(reply);
             }
-            let _ = said.send(came);
+            let _ = sender.send(summary);
         });
-        heard
+        result
     }
 
-    /// Lets the other side's one thread come round: what was written before is read, in all likelihood.
-    fn turns(&self) {
+    /// Lets all coroutines run a few times, so that they have most likely read what was written before.
+    fn run_coroutines(&self) {
         for _ in 0..3 {
-            let (said, heard) = channel();
-            spawn("a turn", move || said.send(()).expect("heard"));
-            heard.recv_timeout(WAIT_TIMEOUT).expect("a turn");
+            let (sender, run) = channel();
+            spawn("turn", move || sender.send(()).expect("test is running"));
+            run.recv_timeout(WAIT_TIMEOUT).expect("coroutines run");
         }
     }
 
@@ -114,20 +116,21 @@
         stream
     }
 
-    /// One whole exchange, on that connection or on the next that comes, which stays or does not.
-    fn exchange(&self, on: Option<TcpStream>, headers: &str) -> TcpStream {
-        let heard = self.send(true, "plain", 0, self.after(20_000), &Arc::default());
-        let connection = on.unwrap_or_else(|| self.accept());
-        assert_eq!(request(&connection).as_deref(), Some("plain"));
-        let said = answer(&format!("200 plain seal {headers} :p"), "");
-        (&connection).write_all(said.as_bytes()).expect("written");
-        assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 p"));
+    /// Makes one complete exchange on the given connection, or on a newly accepted one. `headers`: further
+    /// reply headers.
+    fn exchange(&self, connection: Option<TcpStream>, headers: &str) -> TcpStream {
+        let result = self.send(true, "plain", 0, self.after(20_000), &Arc::default());
+        let connection = connection.unwrap_or_else(|| self.accept());
+        assert_eq!(read_request_id(&connection).as_deref(), Some("plain"));
+        let reply = reply_text(&format!("200 plain seal {headers} :p"), "");
+        (&connection).write_all(reply.as_bytes()).expect("written");
+        assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 p"));
         connection
     }
 }
 
-/// A long body of one letter by its length, another one as it is.
-fn brief(body: &[u8]) -> String {
+/// Returns a body as text; a long one of one repeated letter as the letter and its length.
+fn summarize_body(body: &[u8]) -> String {
     match body.first() {
         Some(first) if body.len() > 50 && body.iter().all(|b| b == first) => {
             format!("{}x{}", *first as char, body.len())
@@ -136,15 +139,15 @@
     }
 }
 
-/// Reads a whole request; its id.
-fn request(stream: &TcpStream) -> Option<String> {
+/// Reads a complete request and returns its id; `None` if the connection ends first.
+fn read_request_id(stream: &TcpStream) -> Option<String> {
     let message = HttpMessage::read(&mut BufReader::with_capacity(1, stream))?;
     Some(message.header("attempt-id").to_string())
 }
 
-/// An answer in short: its status; the ids that it carries, `me` for `id`; its other headers; `:` and its body, or a
-/// letter and how many of it.
-fn answer(short: &str, id: &str) -> String {
+/// Returns the text of a reply in the notation of `CASES`: a status; the attempt ids, with `me` for `id`;
+/// further headers by short names; the body after `:`, or as a letter and its number of repetitions.
+fn reply_text(short: &str, id: &str) -> String {
     let (mut head, mut body, mut has_length) = (String::new(), String::new(), true);
     for word in short.split_whitespace() {
         head += &match word.split_at(1) {
@@ -176,169 +179,175 @@
     format!("{head}{length}\r\n{body}")
 }
 
-fn reset(stream: &TcpStream) {
+/// Makes the connection end with a reset when it is dropped.
+fn reset_on_drop(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// What happens; on a new connection, on one that carried a request before, or on both; what the worker says (`+`
-/// without a pause, `;` with one, `/n` only so many bytes and then, after a pause or never, the rest); what follows;
-/// what the try comes to; whether the connection is used again.
-const ROWS: &str = "
-answered                           | both | 200 me seal :yes                         |         | Ran Succeeded 200 yes | kept
-answered in pieces, in the head    | both | 200 me seal :yes /30 rest                |         | Ran Succeeded 200 yes | kept
-answered in pieces, in the body    | both | 200 me seal :yes /75 rest                |         | Ran Succeeded 200 yes | kept
-answered, and closed               | both | 200 me seal :yes                         | closes  | Ran Succeeded 200 yes |
-go on, and answered                | both | 100 ; 200 me seal :yes                   |         | Ran Succeeded 200 yes | kept
-failed                             | both | 500 me :no                               |         | Failed Errored 500 no | kept
-not found there                    | both | 404 me :no                               |         | Ran Succeeded 404 no  | kept
-not run                            | both | 503 me not-run                           |         | NeverRan Full         | kept
-not this worker                    | both | 421 me                                   |         | NeverRan Full         | kept
-not run, another's; then ours      | both | 503 other not-run ; 200 me seal :yes     |         | Ran Succeeded 200 yes |
-not run, another's and ours        | both | 503 other not-run + 503 me not-run       |         | NeverRan Full         |
-not run, another's; silence        | both | 503 other not-run                        | silence | MayHaveRun TimedOut   |
-not run, another's; reset          | both | 503 other not-run                        | resets  | MayHaveRun Reset      |
-not run, nobody's; then ours       | both | 503 not-run ; 200 me seal :yes           |         | Ran Succeeded 200 yes |
-not run, nobody's; closed          | both | 503 not-run                              | closes  | MayHaveRun Reset      |
-not run, two ids                   | both | 503 me other not-run                     |         | MayHaveRun Errored    |
-no id: 400 on a new connection     | new  | 400 not-run                              |         | NeverRan Full         |
-no id: 400 on a kept one           | kept | 400 not-run                              | silence | MayHaveRun TimedOut   |
-no id: 400 behind another's        | new  | 503 other not-run + 400 not-run          | silence | MayHaveRun TimedOut   |
-no id: 421                         | both | 421 ; 200 me seal :yes                   |         | Ran Succeeded 200 yes |
-no id: a success                   | both | 200 seal :bad ; 200 me seal :yes         |         | Ran Succeeded 200 yes |
-surplus first                      | both | 200 other seal :bad + 200 me seal :yes   |         | Ran Succeeded 200 yes |
-surplus first, then silence        | both | 200 other seal :bad                      | silence | MayHaveRun TimedOut   |
-surplus behind                     | both | 200 me seal :yes + 200 me seal :bad      |         | Ran Succeeded 200 yes |
-surplus behind, in part            | both | 200 me seal :yes + 200 /3                |         | Ran Succeeded 200 yes |
-two ids                            | both | 200 me other seal :bad                   |         | MayHaveRun Errored    |
-a success that says not run        | both | 200 me seal not-run :bad                 |         | MayHaveRun Errored    |
-503 that does not say not run      | both | 503 me                                   |         | MayHaveRun Errored    |
-429 that does not say not run      | both | 429 me                                   |         | MayHaveRun Errored    |
-408 that does not say not run      | both | 408 me                                   |         | MayHaveRun Errored    |
-no seal                            | both | 200 me :bad                              |         | MayHaveRun Errored    |
-encoded                            | both | 200 me seal encoded :bad                 |         | MayHaveRun Errored    |
-no answer at all                   | both | what? :bad                               |         | MayHaveRun Errored    |
+/// Columns: case; connection (new, reused, or both in turn); replies of the worker (`+` joins replies without
+/// a pause, `;` with one, `/n` cuts after n bytes, with `rest` sent after a pause); event after that;
+/// expected result of the attempt; whether the connection is reused.
+const CASES: &str = "
+complete reply                     | both | 200 me seal :yes                         |         | Ran Succeeded 200 yes | kept
+reply split in its head            | both | 200 me seal :yes /30 rest                |         | Ran Succeeded 200 yes | kept
+reply split in its body            | both | 200 me seal :yes /75 rest                |         | Ran Succeeded 200 yes | kept
+reply, then close                  | both | 200 me seal :yes                         | closes  | Ran Succeeded 200 yes |
+100 Continue, then reply           | both | 100 ; 200 me seal :yes                   |         | Ran Succeeded 200 yes | kept
+500                                | both | 500 me :no                               |         | Failed Errored 500 no | kept
+404                                | both | 404 me :no                               |         | Ran Succeeded 404 no  | kept
+503 with Not-Run                   | both | 503 me not-run                           |         | NeverRan Full         | kept
+421                                | both | 421 me                                   |         | NeverRan Full         | kept
+Not-Run of other id, then reply    | both | 503 other not-run ; 200 me seal :yes     |         | Ran Succeeded 200 yes |
+Not-Run of other id and own one    | both | 503 other not-run + 503 me not-run       |         | NeverRan Full         |
+Not-Run of other id, then silence  | both | 503 other not-run                        | silence | MayHaveRun TimedOut   |
+Not-Run of other id, then reset    | both | 503 other not-run                        | resets  | MayHaveRun Reset      |
+Not-Run without id, then reply     | both | 503 not-run ; 200 me seal :yes           |         | Ran Succeeded 200 yes |
+Not-Run without id, then close     | both | 503 not-run                              | closes  | MayHaveRun Reset      |
+Not-Run with two ids               | both | 503 me other not-run                     |         | MayHaveRun Errored    |
+400 without id, new connection     | new  | 400 not-run                              |         | NeverRan Full         |
+400 without id, reused connection  | kept | 400 not-run                              | silence | MayHaveRun TimedOut   |
+400 without id after other id      | new  | 503 other not-run + 400 not-run          | silence | MayHaveRun TimedOut   |
+421 without id                     | both | 421 ; 200 me seal :yes                   |         | Ran Succeeded 200 yes |
+200 without id                     | both | 200 seal :bad ; 200 me seal :yes         |         | Ran Succeeded 200 yes |
+surplus reply, then own reply      | both | 200 other seal :bad + 200 me seal :yes   |         | Ran Succeeded 200 yes |
+surplus reply, then silence        | both | 200 other seal :bad                      | silence | MayHaveRun TimedOut   |
+own reply, then surplus reply      | both | 200 me seal :yes + 200 me seal :bad      |         | Ran Succeeded 200 yes |
+own reply, then partial surplus    | both | 200 me seal :yes + 200 /3                |         | Ran Succeeded 200 yes |
+200 with two ids                   | both | 200 me other seal :bad                   |         | MayHaveRun Errored    |
+200 with Not-Run                   | both | 200 me seal not-run :bad                 |         | MayHaveRun Errored    |
+503 without Not-Run                | both | 503 me                                   |         | MayHaveRun Errored    |
+429 without Not-Run                | both | 429 me                                   |         | MayHaveRun Errored    |
+408 without Not-Run                | both | 408 me                                   |         | MayHaveRun Errored    |
+200 without seal                   | both | 200 me :bad                              |         | MayHaveRun Errored    |
+encoded body                       | both | 200 me seal encoded :bad                 |         | MayHaveRun Errored    |
+malformed reply                    | both | what? :bad                               |         | MayHaveRun Errored    |
 silence                            | both |                                          | silence | MayHaveRun TimedOut   |
-closed                             | both |                                          | closes  | MayHaveRun Reset      |
+close                              | both |                                          | closes  | MayHaveRun Reset      |
 reset                              | both |                                          | resets  | MayHaveRun Reset      |
-client gone                        | both |                                          | leaves  | MayHaveRun Cancelled  |
-closed in the head                 | both | 200 me seal :yes /30                     | closes  | MayHaveRun Reset      |
-closed in the body                 | both | 200 me seal :yes /75                     | closes  | MayHaveRun Reset      |
+client disconnect                  | both |                                          | leaves  | MayHaveRun Cancelled  |
+close in the head                  | both | 200 me seal :yes /30                     | closes  | MayHaveRun Reset      |
+close in the body                  | both | 200 me seal :yes /75                     | closes  | MayHaveRun Reset      |
 reset in the body                  | both | 200 me seal :yes /75                     | resets  | MayHaveRun Reset      |
-silent in the body                 | both | 200 me seal :yes /75                     | silence | MayHaveRun TimedOut   |
-client gone in the body            | both | 200 me seal :yes /75                     | leaves  | MayHaveRun Cancelled  |
-no length, closed                  | both | 200 me seal endless :yes                 | closes  | Ran Succeeded 200 yes |
+silence in the body                | both | 200 me seal :yes /75                     | silence | MayHaveRun TimedOut   |
+client disconnect in the body      | both | 200 me seal :yes /75                     | leaves  | MayHaveRun Cancelled  |
+no length, close                   | both | 200 me seal endless :yes                 | closes  | Ran Succeeded 200 yes |
 no length, reset                   | both | 200 me seal endless :yes                 | resets  | MayHaveRun Reset      |
-long                               | both | 200 me seal x100000 /70000 rest          |         | Ran Succeeded 200 xx100000 |
-long, another's, then ours         | both | 200 other seal x100000 ; 200 me seal :yes |        | Ran Succeeded 200 yes |
-long, closed midway                | both | 200 me seal x100000 /70000               | closes  | Ran Succeeded 200 xx69922 cut |
-longer than a buffer               | both | 200 me seal y3000000                     |         | Ran Succeeded 200 yx3000000 |
+long body                          | both | 200 me seal x100000 /70000 rest          |         | Ran Succeeded 200 xx100000 |
+long body of other id, then own    | both | 200 other seal x100000 ; 200 me seal :yes |        | Ran Succeeded 200 yes |
+long body, close midway            | both | 200 me seal x100000 /70000               | closes  | Ran Succeeded 200 xx69922 cut |
+body longer than the buffer        | both | 200 me seal y3000000                     |         | Ran Succeeded 200 yx3000000 |
 ";
 
 #[test]
-fn attempts_end_as_the_table_says() {
-    let rig = Rig::new();
-    let mut wrong = Vec::new();
-    for (number, row) in ROWS.lines().skip(1).enumerate() {
+fn attempt_results_match_the_table() {
+    let fixture = AttemptFixture::new();
+    let mut failures = Vec::new();
+    for (number, row) in CASES.lines().skip(1).enumerate() {
         let cells: Vec<&str> = row.split('|').map(str::trim).collect();
-        let [what, on, says, then, came, kept] = cells[..] else { panic!("{row}") };
+        let [case, connections, replies, event, expected, reuse] = cells[..] else { panic!("{row}") };
         let id = format!("id-{number:03}");
-        for is_kept in [false, true].into_iter().filter(|k| on == "both" || (on == "kept") == *k) {
-            // Where this test had no core in time, the time was up before the request went out: once more, and longer.
-            let tries = [150, 600, 3_000].map(|ms| if then == "silence" { ms } else { 20_000 });
-            let (connection, heard, cancel) = tries
+        for is_kept in
+            [false, true].into_iter().filter(|k| connections == "both" || (connections == "kept") == *k)
+        {
+            // On a busy machine the time may be up before the request is sent; then retries with a longer
+            // time.
+            let deadlines_ms = [150, 600, 3_000].map(|ms| if event == "silence" { ms } else { 20_000 });
+            let (connection, result, cancel) = deadlines_ms
                 .into_iter()
                 .find_map(|ms| {
-                    let connection = is_kept.then(|| rig.exchange(None, ""));
+                    let connection = is_kept.then(|| fixture.exchange(None, ""));
                     let cancel = Arc::new(CancelToken::default());
-                    let heard = rig.send(true, &id, 4, rig.after(ms), &cancel);
-                    let connection = connection.unwrap_or_else(|| rig.accept());
-                    let read = request(&connection);
-                    assert!(read.is_none() || read.as_ref() == Some(&id), "{what}: {read:?}");
-                    read.map(|_| (connection, heard, cancel))
+                    let result = fixture.send(true, &id, 4, fixture.after(ms), &cancel);
+                    let connection = connection.unwrap_or_else(|| fixture.accept());
+                    let read = read_request_id(&connection);
+                    assert!(read.is_none() || read.as_ref() == Some(&id), "{case}: {read:?}");
+                    read.map(|_| (connection, result, cancel))
                 })
                 .expect("the request");
-            for part in says.split(';').filter(|p| !p.is_empty()) {
-                let all: String = part.split('+').map(|p| piece(p, &id).0).collect();
+            for part in replies.split(';').filter(|p| !p.is_empty()) {
+                let all: String = part.split('+').map(|p| split_reply(p, &id).0).collect();
                 let _ = (&connection).write_all(all.as_bytes());
-                rig.turns();
-                let _ = (&connection).write_all(piece(part, &id).1.as_bytes());
-                rig.turns();
+                fixture.run_coroutines();
+                let _ = (&connection).write_all(split_reply(part, &id).1.as_bytes());
+                fixture.run_coroutines();
             }
-            match then {
+            match event {
                 "closes" => connection.shutdown(Shutdown::Write).expect("closed"),
-                "resets" => reset(&connection),
+                "resets" => reset_on_drop(&connection),
                 "leaves" => cancel.cancel(),
                 _ => {}
             }
-            let connection = (then != "resets").then_some(connection);
-            let got = heard.recv_timeout(WAIT_TIMEOUT).expect("it ends");
-            // A connection that is kept carries the next request; any other one is ended from the other side.
-            let next = rig.send(true, "next", 0, rig.after(20_000), &Arc::default());
+            let connection = (event != "resets").then_some(connection);
+            let summary = result.recv_timeout(WAIT_TIMEOUT).expect("it ends");
+            // A reusable connection carries the next request; otherwise the proxy opens a new one.
+            let next = fixture.send(true, "next", 0, fixture.after(20_000), &Arc::default());
             let is_reused = connection.as_ref().is_some_and(|c| matches!(c.peek(&mut [0]), Ok(1)));
-            let over = connection.filter(|_| is_reused).unwrap_or_else(|| rig.accept());
-            assert_eq!(request(&over).as_deref(), Some("next"), "{what}");
-            (&over).write_all(answer("200 next seal close :n", "").as_bytes()).expect("written");
-            assert_eq!(next.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 n"), "{what}");
-            if (&got[..], is_reused) != (came, kept == "kept") {
-                wrong.push(format!("{what}, kept {is_kept}: {got}, reused {is_reused}"));
+            let next_connection = connection.filter(|_| is_reused).unwrap_or_else(|| fixture.accept());
+            assert_eq!(read_request_id(&next_connection).as_deref(), Some("next"), "{case}");
+            (&next_connection)
+                .write_all(reply_text("200 next seal close :n", "").as_bytes())
+                .expect("written");
+            assert_eq!(next.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 n"), "{case}");
+            if (&summary[..], is_reused) != (expected, reuse == "kept") {
+                failures.push(format!("{case}, kept {is_kept}: {summary}, reused {is_reused}"));
             }
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// What is said of an answer before and after a pause.
-fn piece(short: &str, id: &str) -> (String, String) {
+/// Returns the text of a reply to send before and after a pause.
+fn split_reply(short: &str, id: &str) -> (String, String) {
     if short.trim().is_empty() {
         return Default::default();
     }
-    let Some((short, cut)) = short.split_once('/') else { return (answer(short, id), String::new()) };
+    let Some((short, cut)) = short.split_once('/') else { return (reply_text(short, id), String::new()) };
     let (n, rest) = cut.trim().split_once(' ').unwrap_or((cut.trim(), ""));
-    let mut text = answer(short, id);
+    let mut text = reply_text(short, id);
     let after = text.split_off(n.parse().expect("a number"));
     (text, if rest.is_empty() { String::new() } else { after })
 }
 
-/// More than the kernel takes while the worker reads nothing, and its segments are small.
-const TOO_MUCH: usize = 2 << 20;
+/// A body larger than the kernel buffers while the worker does not read.
+const LARGE_BODY_BYTES: usize = 2 << 20;
 
-/// How much of a request was handed over decides, where no answer came; and what goes out is all that may.
+/// Without a reply, the result depends on how much of the request the kernel has taken.
 #[test]
-fn requests_count_as_run_once_the_kernel_took_them() {
-    let mut rig = Rig::new();
-    let [gone, there] = [Arc::new(CancelToken::default()), Arc::default()];
-    gone.cancel();
-    // Nothing of it: the connection comes up and brings no byte, or does not come up.
-    for (may, ms, cancel, came) in [
-        (false, 20_000, &there, "NeverRan Cancelled"),
-        (true, 0, &there, "NeverRan ConnectFailed"),
-        (true, 20_000, &gone, "NeverRan Cancelled"),
+fn a_request_may_have_run_once_the_kernel_took_all_of_it() {
+    let mut fixture = AttemptFixture::new();
+    let [cancelled, active] = [Arc::new(CancelToken::default()), Arc::default()];
+    cancelled.cancel();
+    // Nothing sent: the request is withheld, or no connection is made.
+    for (may_forward, ms, cancel, expected) in [
+        (false, 20_000, &active, "NeverRan Cancelled"),
+        (true, 0, &active, "NeverRan ConnectFailed"),
+        (true, 20_000, &cancelled, "NeverRan Cancelled"),
     ] {
-        let heard = rig.send(may, "unsent", 0, rig.after(ms), cancel);
-        assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok(came));
+        let result = fixture.send(may_forward, "unsent", 0, fixture.after(ms), cancel);
+        assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok(expected));
     }
     let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let [id, service, zone] = ["i-2", "s", "z"].map(str::to_string);
-    let nobody = Arc::new(Worker { id, address, service, zone, number: WorkerId(2) });
-    let listens = std::mem::replace(&mut rig.worker, nobody);
-    let heard = rig.send(true, "nobody", 0, rig.after(20_000), &there);
-    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("NeverRan ConnectFailed"), "nobody listens");
-    rig.worker = listens;
+    let unreachable = Arc::new(Worker { id, address, service, zone, number: WorkerId(2) });
+    let reachable = std::mem::replace(&mut fixture.worker, unreachable);
+    let result = fixture.send(true, "nobody", 0, fixture.after(20_000), &active);
+    assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("NeverRan ConnectFailed"), "nobody listens");
+    fixture.worker = reachable;
 
-    // All of it, whether the worker has read it or not: it was with the kernel.
-    let heard = rig.send(true, "unread", 10, rig.after(20_000), &there);
-    // The connections of those that were withheld came up and brought nothing.
-    let brings = |connection: &TcpStream| matches!(connection.peek(&mut [0]), Ok(1));
-    let connection = std::iter::repeat_with(|| rig.accept()).find(brings).expect("the request");
-    reset(&connection);
+    // All of it was taken by the kernel, whether the worker has read it or not.
+    let result = fixture.send(true, "unread", 10, fixture.after(20_000), &active);
+    // The connections of the withheld requests were accepted too, but carry no bytes.
+    let has_bytes = |connection: &TcpStream| matches!(connection.peek(&mut [0]), Ok(1));
+    let connection = std::iter::repeat_with(|| fixture.accept()).find(has_bytes).expect("the request");
+    reset_on_drop(&connection);
     drop(connection);
-    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("MayHaveRun Reset"), "unread");
+    assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("MayHaveRun Reset"), "unread");
 
-    // A part of it: its last byte never left. Who answers before the end has not waited for it.
-    let socket = socket2::SockRef::from(&rig.listener);
+    // Only a part of it was sent. A worker that replies nevertheless may have run it.
+    let socket = socket2::SockRef::from(&fixture.listener);
     socket.set_recv_buffer_size(4096).expect("set");
     socket.set_tcp_mss(600).expect("set");
-    for (then, says, came) in [
+    for (event, reply, expected) in [
         ("resets", "", "NeverRan ConnectFailed"),
         ("silence", "", "NeverRan ConnectFailed"),
         ("leaves", "", "NeverRan Cancelled"),
@@ -346,140 +355,141 @@
         ("closes", "200 me :bad /30", "MayHaveRun Reset"),
     ] {
         let cancel = Arc::new(CancelToken::default());
-        let until = rig.after(if then == "silence" { 600 } else { 20_000 });
-        let heard = rig.send(true, "part", TOO_MUCH, until, &cancel);
-        let connection = rig.accept();
-        assert!(brings(&connection));
-        (&connection).write_all(piece(says, "part").0.as_bytes()).expect("written");
-        match then {
-            "resets" => reset(&connection),
+        let deadline = fixture.after(if event == "silence" { 600 } else { 20_000 });
+        let result = fixture.send(true, "part", LARGE_BODY_BYTES, deadline, &cancel);
+        let connection = fixture.accept();
+        assert!(has_bytes(&connection));
+        (&connection).write_all(split_reply(reply, "part").0.as_bytes()).expect("written");
+        match event {
+            "resets" => reset_on_drop(&connection),
             "leaves" => cancel.cancel(),
             "closes" => connection.shutdown(Shutdown::Write).expect("closed"),
             _ => {}
         }
-        let connection = (then != "resets").then_some(connection);
-        assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok(came), "{then}");
+        let connection = (event != "resets").then_some(connection);
+        assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok(expected), "{event}");
         drop(connection);
     }
 }
 
-/// A process that is about to end waits for no worker any more, and claims no more than it knows. A reply that is here by then
-/// still counts.
+/// During shutdown, attempts stop waiting and report whether the request may have run. A reply that has
+/// already arrived is still used.
 #[test]
-fn a_process_that_ends_waits_no_more() {
-    let rig = Rig::new();
-    let ending = || Arc::new(CancelToken::default());
-    // Nothing was sent: not begun, or given up while the connection came up.
-    let cancel = ending();
+fn shutdown_ends_the_wait_for_workers() {
+    let fixture = AttemptFixture::new();
+    let token = || Arc::new(CancelToken::default());
+    // Shutdown before the attempt: nothing is sent.
+    let cancel = token();
     cancel.shut_down();
-    let heard = rig.send(true, "unsent", 0, rig.after(20_000), &cancel);
-    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("NeverRan Cancelled"));
-    // The worker has it, and has not answered.
-    let cancel = ending();
-    let heard = rig.send(true, "at-work", 0, rig.after(20_000), &cancel);
-    let connection = rig.accept();
-    assert_eq!(request(&connection).as_deref(), Some("at-work"));
+    let result = fixture.send(true, "unsent", 0, fixture.after(20_000), &cancel);
+    assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("NeverRan Cancelled"));
+    // Shutdown while the worker has the request and has not replied.
+    let cancel = token();
+    let result = fixture.send(true, "at-work", 0, fixture.after(20_000), &cancel);
+    let connection = fixture.accept();
+    assert_eq!(read_request_id(&connection).as_deref(), Some("at-work"));
     cancel.shut_down();
-    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("MayHaveRun Cancelled"));
-    // The client's leaving outweighs it, whichever comes first.
+    assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("MayHaveRun Cancelled"));
+    // A client disconnect takes precedence over shutdown.
     cancel.cancel();
     cancel.shut_down();
     assert!(cancel.is_cancelled());
-    // Its reply lies with the kernel when the process hears that it ends.
-    let cancel = ending();
-    let heard = rig.send(true, "answered", 0, rig.after(20_000), &cancel);
-    let connection = rig.accept();
-    assert_eq!(request(&connection).as_deref(), Some("answered"));
-    (&connection).write_all(answer("200 answered seal :a", "").as_bytes()).expect("written");
-    rig.turns();
+    // Shutdown while the reply is in the kernel's receive buffer.
+    let cancel = token();
+    let result = fixture.send(true, "answered", 0, fixture.after(20_000), &cancel);
+    let connection = fixture.accept();
+    assert_eq!(read_request_id(&connection).as_deref(), Some("answered"));
+    (&connection).write_all(reply_text("200 answered seal :a", "").as_bytes()).expect("written");
+    fixture.run_coroutines();
     cancel.shut_down();
-    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 a"));
+    assert_eq!(result.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 a"));
 }
 
-/// What comes on a connection that rests is nobody's: no request is put on it any more.
+/// Bytes on an idle connection belong to no request, so the connection must not be reused.
 #[test]
 fn idle_connections_with_surplus_bytes_are_not_reused() {
-    let rig = Rig::new();
-    for says in ["200 plain seal :late", "503 other not-run", "400 not-run", ""] {
-        let connection = rig.exchange(None, "");
-        (&connection).write_all(piece(says, "").0.as_bytes()).expect("written");
-        if says.is_empty() {
+    let fixture = AttemptFixture::new();
+    for surplus in ["200 plain seal :late", "503 other not-run", "400 not-run", ""] {
+        let connection = fixture.exchange(None, "");
+        (&connection).write_all(split_reply(surplus, "").0.as_bytes()).expect("written");
+        if surplus.is_empty() {
             connection.shutdown(Shutdown::Write).expect("closed");
         }
-        let next = rig.send(true, "next", 0, rig.after(20_000), &Arc::default());
-        assert!(!matches!(connection.peek(&mut [0]), Ok(1)), "{says}");
-        let over = rig.accept();
-        assert_eq!(request(&over).as_deref(), Some("next"));
-        (&over).write_all(answer("200 next seal close :n", "").as_bytes()).expect("written");
-        assert_eq!(next.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 n"), "{says}");
+        let next = fixture.send(true, "next", 0, fixture.after(20_000), &Arc::default());
+        assert!(!matches!(connection.peek(&mut [0]), Ok(1)), "{surplus}");
+        let next_connection = fixture.accept();
+        assert_eq!(read_request_id(&next_connection).as_deref(), Some("next"));
+        (&next_connection).write_all(reply_text("200 next seal close :n", "").as_bytes()).expect("written");
+        assert_eq!(next.recv_timeout(WAIT_TIMEOUT).as_deref(), Ok("Ran Succeeded 200 n"), "{surplus}");
     }
 }
 
-/// The proxy stands still, the time goes by, the answer comes before or after that, the proxy goes on: what
-/// the kernel holds by then stands, in whichever order it hears of the two.
+/// The process is paused past the deadline. After it resumes, a reply that arrived before the deadline must
+/// be used, even if the deadline is noticed first.
 #[test]
-fn a_stalled_process_reads_replies_that_came_in_time() {
-    let rig = Rig::new();
+fn a_paused_process_uses_replies_that_arrived_in_time() {
+    let fixture = AttemptFixture::new();
     let mut in_time = 0;
-    // Whole, or a long one that has begun to be passed on.
+    // A short reply, and a long one whose relay has begun.
     let kinds = [("200 me seal :yes", 0, "yes"), ("200 me seal x100000", 70_000, "xx100000")];
-    for (number, (short, begun, body)) in kinds.iter().cycle().take(40).enumerate() {
+    for (number, (short, relayed, body)) in kinds.iter().cycle().take(40).enumerate() {
         if in_time == 8 {
             break;
         }
-        let until = rig.after(150);
-        let heard = rig.send(true, "still", 0, until, &Arc::default());
-        let connection = rig.accept();
-        if request(&connection).is_none() {
+        let deadline = fixture.after(150);
+        let result = fixture.send(true, "still", 0, deadline, &Arc::default());
+        let connection = fixture.accept();
+        if read_request_id(&connection).is_none() {
             continue;
         }
-        let text = answer(short, "still");
-        let (before, after) = text.as_bytes().split_at(*begun);
+        let text = reply_text(short, "still");
+        let (before, after) = text.as_bytes().split_at(*relayed);
         (&connection).write_all(before).expect("written");
-        rig.turns();
-        // All coroutines wait for this one, as all would for a process that is stopped.
-        let ((stood, stands), (wake, woken)) = (channel(), channel::<()>());
-        spawn("stands still", move || {
-            stood.send(()).expect("heard");
-            let _ = woken.recv();
+        fixture.run_coroutines();
+        // This coroutine blocks the only thread, like a pause of the process.
+        let ((pause, paused), (resume, resumed)) = (channel(), channel::<()>());
+        spawn("pause", move || {
+            pause.send(()).expect("test is running");
+            let _ = resumed.recv();
         });
-        stands.recv_timeout(WAIT_TIMEOUT).expect("it stands");
+        paused.recv_timeout(WAIT_TIMEOUT).expect("paused");
         let is_late = number % 4 >= 2;
         if !is_late {
             (&connection).write_all(after).expect("written");
         }
-        let is_in_time = rig.alarms.now() < until;
-        while rig.alarms.now() < until + Span::from_millis(5) {
+        let is_in_time = fixture.alarms.now() < deadline;
+        while fixture.alarms.now() < deadline + Span::from_millis(5) {
             thread::yield_now();
         }
         if is_late {
             (&connection).write_all(after).expect("written");
         }
-        wake.send(()).expect("heard");
-        let came = heard.recv_timeout(WAIT_TIMEOUT).expect("it ends");
-        // Where this test itself had no core in time, the round says nothing.
+        resume.send(()).expect("paused");
+        let summary = result.recv_timeout(WAIT_TIMEOUT).expect("it ends");
+        // On a busy machine the test itself may miss the deadline; such a round is not counted.
         if is_in_time {
             in_time += 1;
-            assert_eq!(came, format!("Ran Succeeded 200 {body}"), "{number}");
+            assert_eq!(summary, format!("Ran Succeeded 200 {body}"), "{number}");
         }
     }
     assert_eq!(in_time, 8);
 }
 
-/// Many attempts at once over kept connections, from clients that leave, at a worker that answers too much, too late,
-/// in pieces, with what belongs to others, or breaks off: each gets its own answer or none, and what is said not to
-/// have run has not.
+/// Concurrent attempts over reused connections, with client disconnects, at a worker that sends surplus,
+/// late, split or wrong replies or resets the connection. Each client must get its own reply or none, and a
+/// request reported as `NeverRan` must not have run.
 #[test]
 fn no_client_gets_the_reply_of_another() {
-    let rig = Rig::new();
+    let fixture = AttemptFixture::new();
     let ran: Arc<Mutex<Vec<String>>> = Arc::default();
     let tokens: Arc<Mutex<HashMap<String, Arc<CancelToken>>>> = Arc::default();
-    let (listener, r, c) = (rig.listener.try_clone().expect("cloned"), ran.clone(), tokens.clone());
+    let (listener, worker_ran, worker_tokens) =
+        (fixture.listener.try_clone().expect("cloned"), ran.clone(), tokens.clone());
     thread::spawn(move || {
         for (number, stream) in listener.incoming().flatten().enumerate() {
             stream.set_nodelay(true).expect("set");
-            let (ran, tokens) = (r.clone(), c.clone());
-            thread::spawn(move || play(number as u64, &stream, &ran, &tokens));
+            let (ran, tokens) = (worker_ran.clone(), worker_tokens.clone());
+            thread::spawn(move || serve_with_faults(number as u64, &stream, &ran, &tokens));
         }
     });
     let mut rng = Rng::new(7);
@@ -490,25 +500,26 @@
                 let id = format!("id-{round}-{n}");
                 let cancel = Arc::new(CancelToken::default());
                 tokens.lock().expect("tokens").insert(id.clone(), cancel.clone());
-                let heard = rig.send(true, &id, rng.next_u32() as usize % 40, rig.after(20_000), &cancel);
-                (id, heard)
+                let result =
+                    fixture.send(true, &id, rng.next_u32() as usize % 40, fixture.after(20_000), &cancel);
+                (id, result)
             })
             .collect();
-        for (id, heard) in all {
-            let came = heard.recv_timeout(WAIT_TIMEOUT).expect("it ends");
+        for (id, result) in all {
+            let summary = result.recv_timeout(WAIT_TIMEOUT).expect("it ends");
             let has_run = ran.lock().expect("ran").contains(&id);
-            let (verdict, _) = came.split_once(' ').expect("two words");
-            let is_own = came == format!("Ran Succeeded 200 for-{id}");
-            assert!(is_own || verdict != "Ran", "{id}: {came}");
-            assert!(verdict != "NeverRan" || !has_run, "{id} has run: {came}");
-            *counts.entry(verdict.to_string()).or_insert(0) += 1;
+            let (execution, _) = summary.split_once(' ').expect("two words");
+            let is_own = summary == format!("Ran Succeeded 200 for-{id}");
+            assert!(is_own || execution != "Ran", "{id}: {summary}");
+            assert!(execution != "NeverRan" || !has_run, "{id} has run: {summary}");
+            *counts.entry(execution.to_string()).or_insert(0) += 1;
         }
     }
     assert!(["NeverRan", "MayHaveRun", "Ran"].iter().all(|v| counts[*v] > 50), "{counts:?}");
 }
 
-/// A worker's connection, with a fault now and then.
-fn play(
+/// Serves one worker connection, with random faults.
+fn serve_with_faults(
     seed: u64,
     stream: &TcpStream,
     ran: &Mutex<Vec<String>>,
@@ -519,31 +530,31 @@
     let mut before = "none".to_string();
     while let Some(message) = HttpMessage::read(&mut reader) {
         let id = message.header("attempt-id").to_string();
-        let what = rng.next_u32() % 12;
-        if what != 0 {
+        let fault = rng.next_u32() % 12;
+        if fault != 0 {
             ran.lock().expect("ran").push(id.clone());
         }
-        let own = answer(&format!("200 me seal :for-{id}"), &id);
-        let late = answer(&format!("200 me seal :for-{before}"), &before);
-        let full = |id: &str| answer("503 me not-run", id);
-        let said = match what {
+        let own = reply_text(&format!("200 me seal :for-{id}"), &id);
+        let late = reply_text(&format!("200 me seal :for-{before}"), &before);
+        let full = |id: &str| reply_text("503 me not-run", id);
+        let reply = match fault {
             0 => full(&id),
             1 => full(&before) + &own,
             2 => late + &own,
             3 => own.clone() + &own,
             4 => own + &full(&id),
             5 => full(&before),
-            6 => answer("200 seal :x", ""),
+            6 => reply_text("200 seal :x", ""),
             _ => own,
         };
-        if what == 7 {
+        if fault == 7 {
             tokens.lock().expect("tokens")[&id].cancel();
         }
-        let (first, rest) = said.split_at(rng.next_u32() as usize % said.len());
+        let (first, rest) = reply.split_at(rng.next_u32() as usize % reply.len());
         let _ = (&mut &*stream).write_all(first.as_bytes());
         let _ = (&mut &*stream).write_all(rest.as_bytes());
-        if what == 5 || what == 6 {
-            return reset(stream);
+        if fault == 5 || fault == 6 {
+            return reset_on_drop(stream);
         }
         before = id;
     }
--- a/crates/proxy/tests/support/scene.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -1,4 +1,4 @@
-//! One proxy that serves, and a worker that does what the ids of requests tell it.
+//! A system with one proxy, and a worker whose behaviour depends on the attempt id.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,44 +11,46 @@
 
 use super::{System, call};
 
-/// A client's connection to the proxy.
+/// Opens a client connection to the proxy.
 pub fn connect(system: &System) -> TcpStream {
-    let stream = TcpStream::connect(system.fronts[0]).expect("connected");
+    let stream = TcpStream::connect(system.proxy_addresses[0]).expect("connected");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     stream
 }
 
+/// Returns the text of a request with this path and attempt id.
 pub fn request(id: &str) -> String {
     format!(
         "POST /{id} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nTime-Left-Ms: 20000\r\nContent-Length: 0\r\n\r\n"
     )
 }
 
-/// What lets each request that is held go on.
+/// Senders that release the requests held by the worker, in order of arrival.
 pub type Held = Arc<Mutex<Vec<Sender<()>>>>;
 
-/// A worker: answers at once with the id. Ids that begin with "held" it says it has and answers when told; those that begin
-/// with "watched" it says it has, and says so again when their connection has ended; those with "echo" it answers with the head
-/// that it received.
-fn worker(at: SocketAddr, controllers: Vec<SocketAddr>, has: Sender<String>, held: Held) -> Sender<()> {
+/// Starts a worker that answers each request with its id, and its heartbeats. Ids that begin with "held" are
+/// reported and answered once released. Ids that begin with "watched" are reported, and again when their
+/// connection ends. Ids that begin with "echo" are answered with the received headers. The heartbeats stop
+/// when the result is dropped.
+fn worker(at: SocketAddr, controllers: Vec<SocketAddr>, reporter: Sender<String>, held: Held) -> Sender<()> {
     let listener = TcpListener::bind(at).expect("bound");
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (has, held) = (has.clone(), held.clone());
+            let (reporter, held) = (reporter.clone(), held.clone());
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
                 while let Some(message) = HttpMessage::read(&mut reader) {
                     let id = message.header("attempt-id");
                     if id.starts_with("held") {
-                        let (go, told) = channel();
-                        held.lock().expect("held").push(go);
-                        has.send(id.to_string()).expect("heard");
-                        let _ = told.recv();
+                        let (release, released) = channel();
+                        held.lock().expect("held").push(release);
+                        reporter.send(id.to_string()).expect("test is running");
+                        let _ = released.recv();
                     }
                     if id.starts_with("watched") {
-                        has.send(id.to_string()).expect("heard");
+                        reporter.send(id.to_string()).expect("test is running");
                         let _ = reader.read(&mut [0]);
-                        has.send(format!("gone {id}")).expect("heard");
+                        reporter.send(format!("gone {id}")).expect("test is running");
                         return;
                     }
                     let body = if id.starts_with("echo") { head_of(&message) } else { id.to_string() };
@@ -61,25 +63,25 @@
             });
         }
     });
-    let (stop, stopped): (Sender<()>, Receiver<()>) = channel();
+    let (heartbeat_guard, dropped): (Sender<()>, Receiver<()>) = channel();
     thread::spawn(move || {
         for seq in 1.. {
             let body = format!(
                 r#"{{"service":"s","address":"{at}","zone":"z1","capacity":6,"state":"ready","cold-left-s":0,"call-seq":{seq}}}"#
             );
-            let taken = |controller: &&SocketAddr| {
+            let accepts = |controller: &&SocketAddr| {
                 call(**controller, "PUT /instances/i-1 HTTP/1.1", &body).is_some_and(|m| m.status() == 200)
             };
-            controllers.iter().cycle().skip(seq % 3).take(3).find(taken);
-            if stopped.recv_timeout(Duration::from_millis(300)) != Err(RecvTimeoutError::Timeout) {
+            controllers.iter().cycle().skip(seq % 3).take(3).find(accepts);
+            if dropped.recv_timeout(Duration::from_millis(300)) != Err(RecvTimeoutError::Timeout) {
                 return;
             }
         }
     });
-    stop
+    heartbeat_guard
 }
 
-/// A line for each header, sorted.
+/// Returns one line per header, sorted.
 fn head_of(message: &HttpMessage) -> String {
     let mut lines: Vec<String> =
         message.headers.iter().map(|(name, value)| format!("{name}: {value}")).collect();
@@ -93,58 +95,58 @@
     "services":{"columns":["name","max-conns"],"rows":[["s",100]]},
     "tenants":{"columns":["name","api-keys","rate-per-s","burst"],"rows":[]}}"#;
 
-/// A system whose proxy serves, with a worker that holds what it is told to hold.
-pub struct Scene {
+/// A system whose proxy serves, with one worker.
+pub struct Fixture {
     pub system: System,
-    /// Ids of the requests that the worker holds, as they reach it.
-    pub heard: Receiver<String>,
+    /// Ids reported by the worker, in order.
+    pub reports: Receiver<String>,
     pub held: Held,
     _heartbeats: Sender<()>,
 }
 
-impl Scene {
+impl Fixture {
     /// `net`: see [`System::start`].
-    pub fn start(net: u32, grace_s: u32) -> Scene {
+    pub fn start(net: u32, grace_s: u32) -> Fixture {
         let system = System::start(net, 1, grace_s);
-        let (has, heard) = channel();
+        let (reporter, reports) = channel();
         let held = Held::default();
-        let heartbeats = worker(system.worker_address(1), system.controllers.clone(), has, held.clone());
+        let heartbeats = worker(system.worker_address(1), system.controllers.clone(), reporter, held.clone());
         let put = wait_until("a configuration", || {
             let put = |h: &SocketAddr| call(*h, "PUT /config HTTP/1.1", CONFIGURATION);
             system.controllers.iter().find_map(|h| put(h).filter(|m| m.status() == 200))
         });
         assert_eq!(put.status(), 200);
         wait_until("served", || {
-            call(system.fronts[0], "POST /warm HTTP/1.1\r\nAttempt-Id: warm", "")
+            call(system.proxy_addresses[0], "POST /warm HTTP/1.1\r\nAttempt-Id: warm", "")
                 .filter(|m| m.status() == 200)
         });
-        Scene { system, heard, held, _heartbeats: heartbeats }
+        Fixture { system, reports, held, _heartbeats: heartbeats }
     }
 
-    /// A connection on which a request was served, and that rests.
-    pub fn resting_connection(&self) -> TcpStream {
-        let rests = connect(&self.system);
-        send(&rests, &request("rests"));
-        assert_eq!(HttpMessage::read(&mut BufReader::new(&rests)).expect("an answer").body, b"rests");
-        rests
+    /// Returns an idle connection on which one request was served.
+    pub fn idle_connection(&self) -> TcpStream {
+        let idle = connect(&self.system);
+        send(&idle, &request("idle"));
+        assert_eq!(HttpMessage::read(&mut BufReader::new(&idle)).expect("a response").body, b"idle");
+        idle
     }
 
-    /// Waits until so many requests are at the worker.
+    /// Waits until the worker has reported `count` requests. Returns their ids, sorted.
     pub fn wait_for_held(&self, count: usize) -> Vec<String> {
-        let mut at_work: Vec<String> =
-            (0..count).map(|_| self.heard.recv_timeout(WAIT_TIMEOUT).expect("at the worker")).collect();
-        at_work.sort();
-        at_work
+        let mut ids: Vec<String> =
+            (0..count).map(|_| self.reports.recv_timeout(WAIT_TIMEOUT).expect("at the worker")).collect();
+        ids.sort();
+        ids
     }
 
-    /// Waits until the proxy has ended by itself.
-    pub fn wait_for_end(&mut self) {
+    /// Waits until the proxy process has exited successfully.
+    pub fn wait_for_exit(&mut self) {
         let status = self.system.children.get_mut("proxy1").expect("runs").wait().expect("ended");
         assert!(status.success(), "{status}");
     }
 }
 
-/// Writes to a connection.
+/// Writes text to a connection.
 pub fn send(stream: &TcpStream, text: &str) {
     (&mut &*stream).write_all(text.as_bytes()).expect("written");
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! The system's programs on loopback, and plain HTTP calls to them.
+//! The system's programs as processes on loopback, and plain HTTP calls to them.
 #![allow(dead_code, reason = "each test uses a part")]
 
-pub mod scene;
+pub mod fixture;
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -13,10 +13,10 @@
 use lynxstair_fakes::{HttpMessage, wait_until};
 use tempfile::TempDir;
 
-/// The controllers of each system.
+/// Number of controllers of a system.
 const CONTROLLERS: usize = 3;
 
-/// Makes one HTTP call on a connection of its own. `head`: the request line and headers.
+/// Makes one HTTP call on a new connection. `head`: request line and headers.
 pub fn call(to: SocketAddr, head: &str, body: &str) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
@@ -29,14 +29,14 @@
     HttpMessage::read(&mut BufReader::new(stream))
 }
 
-/// Three controllers and some proxies, as processes that end with the test.
+/// Three controllers and some proxies, as processes that are killed on drop.
 pub struct System {
     pub folder: TempDir,
     pub children: HashMap<String, Child>,
-    /// The control addresses of the controllers.
+    /// Control addresses of the controllers.
     pub controllers: Vec<SocketAddr>,
-    /// Where clients connect to the proxies.
-    pub fronts: Vec<SocketAddr>,
+    /// Client addresses of the proxies.
+    pub proxy_addresses: Vec<SocketAddr>,
     net: String,
     grace_s: u32,
 }
@@ -51,30 +51,31 @@
 }
 
 impl System {
-    /// Starts everything. `net`: the second number of the loopback addresses, another one for each test program.
+    /// Starts all programs. `net`: second octet of the loopback addresses, different for each test.
     pub fn start(net: u32, proxies: usize, grace_s: u32) -> System {
         let process = std::process::id();
         let net = format!("127.{}.{}", net + process % 50, process / 50 % 250);
         let at =
             |n: usize, port: u16| -> SocketAddr { format!("{net}.{n}:{port}").parse().expect("an address") };
         let controllers: Vec<SocketAddr> = (1..=CONTROLLERS).map(|n| at(n, 8383)).collect();
-        let fronts: Vec<SocketAddr> = (1..=proxies).map(|n| at(10 + n, 8389)).collect();
+        let proxy_addresses: Vec<SocketAddr> = (1..=proxies).map(|n| at(10 + n, 8389)).collect();
         let folder = tempfile::tempdir().expect("a folder");
-        let mut system = System { folder, children: HashMap::new(), controllers, fronts, net, grace_s };
+        let mut system =
+            System { folder, children: HashMap::new(), controllers, proxy_addresses, net, grace_s };
         for n in 1..=CONTROLLERS {
-            system.start_one(&format!("controller{n}"), true);
+            system.start_program(&format!("controller{n}"), true);
         }
         for n in 1..=proxies {
-            system.start_one(&format!("proxy{n}"), true);
+            system.start_program(&format!("proxy{n}"), true);
         }
         system
     }
 
     /// Starts `controllerN` or `proxyN`.
-    pub fn start_one(&mut self, name: &str, bootstrap: bool) {
+    pub fn start_program(&mut self, name: &str, bootstrap: bool) {
         let (kind, n) = name.split_at(name.len() - 1);
         let n: usize = n.parse().expect("a number");
-        let own = if kind == "controller" { self.controllers[n - 1] } else { self.fronts[n - 1] };
+        let own = if kind == "controller" { self.controllers[n - 1] } else { self.proxy_addresses[n - 1] };
         let ip = own.ip();
         let bind = if kind == "controller" {
             format!("  control: \"{own}\"\n  directory: \"{ip}:8385\"\n")
@@ -98,14 +99,14 @@
         self.children.insert(name.to_string(), child.expect("started"));
     }
 
-    /// The address of a worker.
+    /// Returns the address reserved for a worker.
     pub fn worker_address(&self, n: usize) -> SocketAddr {
         format!("{}.{}:9000", self.net, 20 + n).parse().expect("an address")
     }
 
-    /// The readiness address of a proxy.
+    /// Returns the readiness address of a proxy.
     pub fn readiness(&self, proxy: usize) -> SocketAddr {
-        SocketAddr::new(self.fronts[proxy].ip(), 8384)
+        SocketAddr::new(self.proxy_addresses[proxy].ip(), 8384)
     }
 
     /// Kills a process.
@@ -115,13 +116,14 @@
         child.wait().expect("ended");
     }
 
-    /// Tells a process to end (SIGTERM).
+    /// Sends SIGTERM to a process.
     pub fn terminate(&self, name: &str) {
         let process = self.children.get(name).expect("runs").id().to_string();
         assert!(Command::new("kill").args(["-TERM", &process]).status().expect("told").success());
     }
 
-    /// The operator's call, to any controller; redirected, and repeated until the answer is clear.
+    /// Makes an operator call to any controller, follows a redirect to the leader, and repeats it until the
+    /// status is below 500.
     pub fn operator_call(&self, head: &str, body: &str) -> HttpMessage {
         wait_until(head, || {
             self.controllers.iter().find_map(|controller| {
