--- a/crates/proxy/src/routing_state.rs
+++ b/crates/proxy/src/routing_state.rs
@@ -26,7 +26,7 @@
 use crate::local_response::LocalResponse;
 use crate::phase::Phase;
 
-/// `Retry-After` of a proxy without a configuration or with an outdated one.
+/// `Retry-After` of a proxy without a configuration or with an unconfirmed one.
 const NOT_READY_RETRY_AFTER: Span = Span::from_millis(300);
 /// `Retry-After` of a proxy that is shutting down; the client may use another proxy at once.
 const SHUTDOWN_RETRY_AFTER: Span = Span::from_millis(1);
@@ -46,7 +46,7 @@
     pub path: &'a str,
     /// API key.
     pub key: Option<&'a str>,
-    /// Time the client is still willing to wait.
+    /// Time the client is still willing to wait; `None` if the request does not state it.
     pub time_left: Option<Span>,
 }
 
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -142,20 +142,20 @@
 /// Shuts down gracefully: drains, closes connections, and answers the remaining requests.
 fn shut_down(proxy: &Proxy) {
     let grace = proxy.settings.bounds.grace;
-    let started_at = proxy.alarms.now();
+    let sigterm_at = proxy.alarms.now();
     proxy.enter(Phase::Draining);
     control_client::send_heartbeats(proxy);
-    proxy.alarms.sleep_until(started_at + grace.times(DRAINING_END_FRACTION));
+    proxy.alarms.sleep_until(sigterm_at + grace.times(DRAINING_END_FRACTION));
     proxy.enter(Phase::Closing);
     let has_ended =
-        wait_until(proxy, started_at + grace.times(ANSWERING_START_FRACTION), || proxy.clients.count() == 0);
+        wait_until(proxy, sigterm_at + grace.times(ANSWERING_START_FRACTION), || proxy.clients.count() == 0);
     if !has_ended {
         proxy.enter(Phase::Answering);
-        wait_until(proxy, started_at + grace.times(EXIT_FRACTION), || proxy.clients.is_flushed());
+        wait_until(proxy, sigterm_at + grace.times(EXIT_FRACTION), || proxy.clients.is_flushed());
     }
     // No other coroutine runs between the last check and this, so requests that arrive now stay unread.
     proxy.enter(Phase::Ended);
-    log_stopped(proxy, started_at);
+    log_stopped(proxy, sigterm_at);
 }
 
 /// Polls a condition until it holds. Returns `false` if the deadline passes first.
@@ -172,9 +172,9 @@
 
 /// Logs how many requests are left without a response, and how long after SIGTERM the newest of them was
 /// read.
-fn log_stopped(proxy: &Proxy, started_at: Time) {
+fn log_stopped(proxy: &Proxy, sigterm_at: Time) {
     let in_flight = proxy.clients.in_flight();
-    let last_read_ms = in_flight.last_read_at.map(|at| (at - started_at).nanos() / 1_000_000);
+    let last_read_ms = in_flight.last_read_at.map(|at| (at - sigterm_at).nanos() / 1_000_000);
     info!(
         connections = proxy.clients.count(), unanswered = in_flight.requests,
         last_read_ms = last_read_ms;
