--- a/crates/control-state/tests/golden.rs
+++ b/crates/control-state/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The names and forms of stored state: files that the build of 2026-12-02 wrote, read and written again. A
-//! field that is renamed keeps its stored name. `WRITE_GOLDEN=1` writes files that are missing.
+//! The serialized form of stored and sent state: golden files of an earlier build are decoded and encoded
+//! again. A renamed field must keep its serialized name. `WRITE_GOLDEN=1` writes missing files.
 
 use std::path::PathBuf;
 
@@ -18,16 +18,16 @@
 const SECOND: &str = r#"{"generation":"00000005","base-version":"00000003",
     "upsert":{"tenants":{"columns":["name","rate-per-s"],"rows":[["u",9]]}},"remove":{"routes":["p"]}}"#;
 
-fn stored(name: &str, written: &[u8]) -> Vec<u8> {
+fn golden_file(name: &str, written: &[u8]) -> Vec<u8> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.cbor"));
     if !path.exists() && std::env::var_os("WRITE_GOLDEN").is_some() {
-        std::fs::create_dir_all(path.parent().expect("a folder")).expect("made");
-        std::fs::write(&path, written).expect("written");
+        std::fs::create_dir_all(path.parent().expect("a parent directory")).expect("create directory");
+        std::fs::write(&path, written).expect("write file");
     }
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn take(store: &ConfigStore, change: Operation) -> ConfigStore {
+fn accept(store: &ConfigStore, change: Operation) -> ConfigStore {
     let zones = [("z".into(), "r".into())];
     match store.apply(&Command::new(change), &zones) {
         CommandOutcome::Accepted(store) => *store,
@@ -35,11 +35,11 @@
     }
 }
 
-/// Three states, one after the other.
+/// Three consecutive states.
 fn stores() -> [ConfigStore; 3] {
-    let first = take(&ConfigStore::default(), Operation::Put(FIRST.into()));
-    let second = take(&first, Operation::Patch(SECOND.into()));
-    let third = take(&second, Operation::Evacuate("z".into()));
+    let first = accept(&ConfigStore::default(), Operation::Put(FIRST.into()));
+    let second = accept(&first, Operation::Patch(SECOND.into()));
+    let third = accept(&second, Operation::Evacuate("z".into()));
     [first, second, third]
 }
 
@@ -47,11 +47,11 @@
 fn stored_configurations_keep_their_names() {
     for (n, store) in stores().into_iter().enumerate() {
         let name = format!("configuration-{}", n + 1);
-        let stored = stored(&name, &store.encode());
-        assert_eq!(store.encode(), stored, "{name}: written otherwise than it is stored");
+        let stored = golden_file(&name, &store.encode());
+        assert_eq!(store.encode(), stored, "{name}: the encoding differs from the golden file");
         let read = ConfigStore::decode(&stored).expect("readable");
         assert_eq!(read, store, "{name}");
-        // What was accepted then is known when it is sent again.
+        // Retries of the commands accepted before are recognized.
         assert!(read.has_applied(&Command::new(Operation::Put(FIRST.into()))), "{name}");
         assert_eq!(read.has_applied(&Command::new(Operation::Patch(SECOND.into()))), n > 0, "{name}");
     }
@@ -60,21 +60,21 @@
 #[test]
 fn configuration_updates_keep_their_names() {
     let [first, second, third] = stores();
-    let mut steps = DeltaLog::default();
-    steps.record(&first, &second);
-    steps.record(&second, &third);
-    let pages = [
-        ("snapshot", steps.encode_update(&first, 0), first.revision),
-        ("delta", steps.encode_update(&third, first.revision), third.revision),
+    let mut log = DeltaLog::default();
+    log.record(&first, &second);
+    log.record(&second, &third);
+    let updates = [
+        ("snapshot", log.encode_update(&first, 0), first.revision),
+        ("delta", log.encode_update(&third, first.revision), third.revision),
     ];
     let mut replica = ConfigReplica::default();
-    for (name, written, number) in pages {
-        let stored = stored(&format!("feed-{name}"), &written);
-        assert_eq!(written, stored, "{name}: written otherwise than it is stored");
-        assert!(replica.apply_update(Time::default(), number, &stored), "{name}");
-        assert_eq!(replica.delta_base(), number, "{name}");
+    for (name, written, revision) in updates {
+        let stored = golden_file(&format!("feed-{name}"), &written);
+        assert_eq!(written, stored, "{name}: the encoding differs from the golden file");
+        assert!(replica.apply_update(Time::default(), revision, &stored), "{name}");
+        assert_eq!(replica.delta_base(), revision, "{name}");
     }
-    let version = replica.version().expect("one is in force");
+    let version = replica.version().expect("a version");
     assert_eq!((version.configuration.generation, version.evacuated.contains("z")), (5, true));
 }
 
@@ -82,22 +82,26 @@
     [("z".to_string(), names.iter().map(|name| name.to_string()).collect())].into()
 }
 
-/// With proxies that hold permits, and a change of them under way.
+/// A state with a proxy membership that has a change in progress.
 #[test]
 fn a_stored_membership_keeps_its_names() {
     let [first, ..] = stores();
     let store = first.with_membership(ProxyMembership::new(0, members(&["e-2", "e-1"])));
     let changing = store.with_membership(store.membership.changed_to(members(&["e-1", "e-3"])));
-    let encoded = stored("configuration-membership", &changing.encode());
-    assert_eq!(changing.encode(), encoded, "written otherwise than it is stored");
+    let encoded = golden_file("configuration-membership", &changing.encode());
+    assert_eq!(changing.encode(), encoded, "the encoding differs from the golden file");
     assert_eq!(ConfigStore::decode(&encoded).expect("readable"), changing);
 
-    let mut steps = DeltaLog::default();
-    steps.record(&store, &changing);
+    let mut log = DeltaLog::default();
+    log.record(&store, &changing);
     let mut replica = ConfigReplica::default();
-    assert!(replica.apply_update(Time::default(), store.revision, &steps.encode_update(&store, 0)));
-    let delta = stored("feed-delta-membership", &steps.encode_update(&changing, store.revision));
-    assert_eq!(steps.encode_update(&changing, store.revision), delta, "written otherwise than it is stored");
+    assert!(replica.apply_update(Time::default(), store.revision, &log.encode_update(&store, 0)));
+    let delta = golden_file("feed-delta-membership", &log.encode_update(&changing, store.revision));
+    assert_eq!(
+        log.encode_update(&changing, store.revision),
+        delta,
+        "the encoding differs from the golden file"
+    );
     assert!(replica.apply_update(Time::default(), changing.revision, &delta));
-    assert_eq!(replica.version().expect("one is in force").membership, changing.membership);
+    assert_eq!(replica.version().expect("a version").membership, changing.membership);
 }
--- a/crates/control-state/tests/instance_registry.rs
+++ b/crates/control-state/tests/instance_registry.rs
@@ -1,4 +1,4 @@
-//! The instance registry: what is news of an instance, and what stands after it.
+//! The instance registry: which reports change an instance, and its resulting state.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_control_state::instance_registry::InstanceRegistry;
@@ -23,12 +23,13 @@
     }
 }
 
-/// Late words, ends and cold spells: what is news, and what stands after it.
+/// Outdated reports, deregistration and warm-up: whether a report changes anything for proxies, and the
+/// resulting state.
 #[test]
-fn late_heartbeats_ends_and_warm_up() {
+fn outdated_reports_deregistration_and_warm_up() {
     use InstanceState::{Deregistered, Draining, Ready, Unresponsive};
     let mut registry = InstanceRegistry::default();
-    // When, what is said; whether it is news, and how the instance stands then.
+    // Time, report, whether it is a change for proxies, and the resulting state.
     let cases = [
         (0, instance(4, Ready, 3000), true, Ready),
         (1500, instance(5, Ready, 1500), false, Ready),
@@ -43,17 +44,17 @@
         (7000, instance(9, Deregistered, 0), true, Deregistered),
         (7100, instance(12, Ready, 0), false, Deregistered),
     ];
-    for (ms, instance, news, state) in cases {
+    for (ms, instance, is_changed, state) in cases {
         let case = format!("{ms} {instance:?}");
-        assert_eq!(registry.update(at(ms), &instance), news, "{case}");
+        assert_eq!(registry.update(at(ms), &instance), is_changed, "{case}");
         assert_eq!(registry.instances()["i-1"].state, state, "{case}");
     }
 }
 
-/// What was known before a start stands for a while, is silent unless it speaks, and never goes before a
-/// heartbeat.
+/// Restored instances are kept for a while, become unresponsive without a heartbeat, and never replace a
+/// newer heartbeat.
 #[test]
-fn restored_instances_stand_for_a_while() {
+fn restored_instances_are_kept_for_a_while() {
     let heartbeat = Span::from_millis(1500);
     let mut registry = InstanceRegistry::default();
     registry.update(at(0), &instance(9, InstanceState::Draining, 0));
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn unresponsive_instances_are_reported_once_and_ended_ones_forgotten() {
+fn unresponsive_instances_are_reported_once_and_ended_ones_removed() {
     let mut registry = InstanceRegistry::default();
     let heartbeat = Span::from_millis(1500);
     registry.update(at(0), &instance(1, InstanceState::Ready, 0));
@@ -87,8 +88,8 @@
     assert!(registry.instances().is_empty());
 }
 
-/// What a controller's disk held of a worker says nothing of how it is now: its next heartbeat does, also
-/// where that says the same, and so is told to proxies.
+/// A restored instance may be warming up: it is unconfirmed until its next heartbeat, which is a change for
+/// proxies even if it reports the same state.
 #[test]
 fn a_restored_instance_is_unconfirmed_until_it_sends_a_heartbeat() {
     let now = Time::from_nanos(10_000_000_000);
@@ -99,10 +100,10 @@
     assert!(registry.get(now, "i-1").expect("known").is_unconfirmed);
     assert!(
         registry.update(now, &Instance { call_seq: 5, ..stored.clone() }),
-        "this changes what proxies act on"
+        "the confirmation is a change for proxies"
     );
     assert!(!registry.has_unconfirmed());
-    assert!(!registry.update(now, &Instance { call_seq: 6, ..stored }), "and this does not");
+    assert!(!registry.update(now, &Instance { call_seq: 6, ..stored }), "an unchanged heartbeat is not");
 }
 
 #[test]
@@ -114,9 +115,9 @@
         assert!(registry.update(now, &named(id)));
     }
     registry.mark_unconfirmed(|_| true);
-    // Another controller that knows nothing newer knows that it is confirmed, or that it is not.
+    // A report with the same sequence number can confirm an instance or mark it as unconfirmed.
     assert!(registry.update(now, &named("i-1")));
-    assert!(registry.has_unconfirmed(), "i-2 is");
+    assert!(registry.has_unconfirmed(), "i-2 is unconfirmed");
     assert!(registry.update(now, &named("i-2")));
     assert!(!registry.has_unconfirmed());
     assert!(registry.update(now, &Instance { is_unconfirmed: true, ..named("i-2") }));
--- a/crates/control-state/tests/quota_sum.rs
+++ b/crates/control-state/tests/quota_sum.rs
@@ -1,5 +1,5 @@
-//! The quota allocator and the token buckets of all proxies together, on a virtual clock: the sum stays
-//! within the quota, and the quota is given.
+//! The quota allocator and the token buckets of all proxies on a virtual clock: the total usage stays within
+//! the quota and its tolerance, and the quota can be used.
 
 use std::collections::HashMap;
 
@@ -10,8 +10,8 @@
 use lynxstair_protocol::messages::QuotaShare;
 use lynxstair_routing::token_buckets::TokenBuckets;
 
-/// What the operators' rule grants.
-const GRANT: QuotaTolerance = QuotaTolerance { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
+const TOLERANCE: QuotaTolerance =
+    QuotaTolerance { window: Span::from_millis(5000), slack: 20.0, overshoot: 0.1 };
 
 fn tenant(rate: f64) -> Tenant {
     Tenant { name: "t".into(), priority: None, rate, burst: rate, homes: vec![] }
@@ -21,38 +21,39 @@
     Time::from_nanos((100_000 + ms) * 1_000_000)
 }
 
-/// Proxies and the allocator, ten milliseconds a step, each with a second of its own for its ping; answers
-/// take 60 ms, and a share of pings and answers is lost.
-struct World {
+/// Proxies and the allocator in steps of 10 ms. Each proxy sends a heartbeat at its own time in each second;
+/// responses take 60 ms, and a fraction of heartbeats and responses is lost.
+struct Simulation {
     tenant: Tenant,
     allocator: QuotaAllocator,
     proxies: Vec<TokenBuckets>,
     received: Vec<u64>,
+    /// Time of arrival, proxy, sequence number, time of sending, and shares.
     in_flight: Vec<(u64, usize, u64, u64, Vec<QuotaShare>)>,
     admitted: Vec<u64>,
     rejected: u64,
     rng: Rng,
-    lost: f64,
+    loss: f64,
 }
 
-impl World {
-    fn new(rate: f64, n: usize, seed: u64) -> World {
+impl Simulation {
+    fn new(rate: f64, n: usize, seed: u64) -> Simulation {
         let mut proxies: Vec<TokenBuckets> = (0..n).map(|_| TokenBuckets::new(20.0, 0.1)).collect();
         proxies.iter_mut().for_each(|r| r.set_proxy_count(n as u32));
-        World {
+        Simulation {
             tenant: tenant(rate),
-            allocator: QuotaAllocator::new(GRANT),
+            allocator: QuotaAllocator::new(TOLERANCE),
             proxies,
             received: vec![0; n],
             in_flight: Vec::new(),
             admitted: Vec::new(),
             rejected: 0,
             rng: Rng::new(seed),
-            lost: 0.0,
+            loss: 0.0,
         }
     }
 
-    /// `load`: requests a second at each proxy.
+    /// `load` gives the requests per second at each proxy.
     fn step(&mut self, ms: u64, load: &dyn Fn(usize) -> f64) {
         let now = at(ms);
         for n in 0..self.proxies.len() {
@@ -64,9 +65,9 @@
                     Err(_) => self.rejected += 1,
                 }
             }
-            let own = 10 * (n as u64 * 37 % 100);
-            if ms % 1000 == own && self.rng.next_f64() >= self.lost {
-                let (counts, received) = (self.proxies[n].take_usage(), self.received[n]);
+            let heartbeat_ms = 10 * (n as u64 * 37 % 100);
+            if ms % 1000 == heartbeat_ms && self.rng.next_f64() >= self.loss {
+                let (usage, received) = (self.proxies[n].take_usage(), self.received[n]);
                 let tenants = std::slice::from_ref(&self.tenant);
                 self.allocator.on_proxy_seen(now, &n.to_string(), "z", true);
                 if ms < 2000 {
@@ -76,7 +77,7 @@
                     now,
                     &n.to_string(),
                     "z",
-                    &UsageReport { usage: &counts, received_shares: received },
+                    &UsageReport { usage: &usage, received_shares: received },
                     tenants,
                 );
                 if !blocked.is_empty() {
@@ -88,84 +89,89 @@
                 self.in_flight.push((ms + 60, n, number, ms, shares));
             }
         }
-        let due: Vec<_> = self.in_flight.extract_if(.., |(when, ..)| *when <= ms).collect();
-        for (_, n, number, sent, shares) in due {
-            if self.rng.next_f64() >= self.lost {
-                self.proxies[n].renew_shares(at(sent));
-                self.proxies[n].apply_shares(now, at(sent), &shares);
+        let due: Vec<_> = self.in_flight.extract_if(.., |(arrives_at, ..)| *arrives_at <= ms).collect();
+        for (_, n, number, sent_ms, shares) in due {
+            if self.rng.next_f64() >= self.loss {
+                self.proxies[n].renew_shares(at(sent_ms));
+                self.proxies[n].apply_shares(now, at(sent_ms), &shares);
                 self.received[n] = self.received[n].max(number);
             }
         }
     }
 
-    /// The most that was let through in any window, over what is granted.
-    fn worst(&self) -> f64 {
-        let granted = (self.tenant.rate * 5.0 + self.tenant.burst) * 1.1 + 20.0;
+    /// Returns the maximum usage in any window as a fraction of the quota with its tolerance.
+    fn max_usage(&self) -> f64 {
+        let limit = (self.tenant.rate * 5.0 + self.tenant.burst) * 1.1 + 20.0;
         let mut by_ms: HashMap<u64, u64> = HashMap::new();
         self.admitted.iter().for_each(|ms| *by_ms.entry(*ms / 10).or_default() += 1);
         let end = self.admitted.last().copied().unwrap_or(0) / 10;
         let sum = |from: u64| (from..from + 500).filter_map(|m| by_ms.get(&m)).sum::<u64>();
-        (0..=end).step_by(5).map(|from| sum(from) as f64 / granted).fold(0.0, f64::max)
+        (0..=end).step_by(5).map(|from| sum(from) as f64 / limit).fold(0.0, f64::max)
     }
 }
 
-/// A tenant that all at once sends many times its usual, at few or many proxies, small or large.
+/// A tenant whose load suddenly rises eightfold, with few or many proxies and small or large quotas.
 #[test]
-fn a_hot_tenant_stays_within_its_quota() {
+fn a_tenant_with_a_load_spike_stays_within_its_quota() {
     for (n, rate) in [(8, 43.0), (11, 5.0), (89, 3.0), (89, 18.0), (89, 40.0), (89, 90.0), (89, 170.0)] {
-        let mut world = World::new(rate, n, rate as u64);
+        let mut simulation = Simulation::new(rate, n, rate as u64);
         let usual = rate / 1.6 / n as f64;
         for ms in (0..20_000).step_by(10) {
-            let hot = if (8_000..16_000).contains(&ms) { 8.0 } else { 1.0 };
-            world.step(ms, &|_| usual * hot);
+            let load_factor = if (8_000..16_000).contains(&ms) { 8.0 } else { 1.0 };
+            simulation.step(ms, &|_| usual * load_factor);
         }
-        let worst = world.worst();
-        assert!(worst <= 1.0, "{n} proxies, {rate} a second: {worst:.3} of what is granted");
+        let max_usage = simulation.max_usage();
+        assert!(max_usage <= 1.0, "{n} proxies, {rate} per second: {max_usage:.3} of the limit");
     }
 }
 
-/// Over drawn stories of load that moves and answers that are lost the sum stays within what is granted.
+/// Random loads that shift between proxies, lost messages and a restarted proxy.
 #[test]
-fn the_sum_stays_within_the_quota() {
+fn total_usage_stays_within_the_quota() {
     for seed in 0..40 {
-        let mut world = World::new(40.0, 6, seed);
-        world.lost = 0.15;
+        let mut simulation = Simulation::new(40.0, 6, seed);
+        simulation.loss = 0.15;
         let mut load = [0.0; 6];
         for ms in (0..25_000).step_by(10) {
             if ms % 2000 == 0 {
-                load = std::array::from_fn(|_| 30.0 * world.rng.next_f64());
+                load = std::array::from_fn(|_| 30.0 * simulation.rng.next_f64());
             }
-            world.step(ms, &|n| load[n]);
+            simulation.step(ms, &|n| load[n]);
             if ms == 9_000 {
-                // One starts anew.
-                world.proxies[2] = TokenBuckets::new(20.0, 0.1);
-                world.proxies[2].set_proxy_count(6);
+                // One proxy restarts.
+                simulation.proxies[2] = TokenBuckets::new(20.0, 0.1);
+                simulation.proxies[2].set_proxy_count(6);
             }
         }
-        let worst = world.worst();
-        assert!(worst <= 1.0, "seed {seed}: {worst:.3} of what is granted");
+        let max_usage = simulation.max_usage();
+        assert!(max_usage <= 1.0, "seed {seed}: {max_usage:.3} of the limit");
     }
 }
 
-/// A tenant whose requests come in unevenly, or thinly at many proxies, still gets its quota.
+/// A tenant with load spread unevenly, or thinly over many proxies, can use its quota.
 #[test]
 fn a_granted_quota_can_be_used() {
-    // Proxies, rate, and the part of the load that two of them get.
+    // Number of proxies, rate, and the fraction of the load at the first two proxies.
     for (n, rate, at_two) in
         [(8, 40.0, 0.9), (8, 40.0, 0.25), (11, 6.0, 0.2), (89, 18.0, 0.03), (89, 3.0, 0.03)]
     {
-        let mut world = World::new(rate, n, n as u64);
-        let all = rate / 1.6;
-        let load = |m: usize| if m < 2 { all * at_two / 2.0 } else { all * (1.0 - at_two) / (n - 2) as f64 };
+        let mut simulation = Simulation::new(rate, n, n as u64);
+        let total_load = rate / 1.6;
+        let load = |m: usize| {
+            if m < 2 { total_load * at_two / 2.0 } else { total_load * (1.0 - at_two) / (n - 2) as f64 }
+        };
         let mut before = (0, 0);
         for ms in (0..40_000).step_by(10) {
             if ms == 10_000 {
-                before = (world.admitted.len(), world.rejected);
+                before = (simulation.admitted.len(), simulation.rejected);
             }
-            world.step(ms, &load);
+            simulation.step(ms, &load);
         }
-        let (admitted, rejected) = (world.admitted.len() - before.0, world.rejected - before.1);
-        let share = rejected as f64 / (admitted as u64 + rejected) as f64;
-        assert!(share < 0.04, "{n} proxies, {rate} a second: {share:.3} rejected with room left");
+        let (admitted, rejected) = (simulation.admitted.len() - before.0, simulation.rejected - before.1);
+        let rejected_fraction = rejected as f64 / (admitted as u64 + rejected) as f64;
+        assert!(
+            rejected_fraction < 0.04,
+            "{n} proxies, {rate} per second: {rejected_fraction:.3} of requests rejected below the quota"
+        );
     }
 }
--- a/crates/control-state/tests/stack.rs
+++ b/crates/control-state/tests/stack.rs
@@ -1,4 +1,4 @@
-//! Orders are read and ruled on, and stores read, in coroutines: on a stack of 128 kB, whatever their size.
+//! Commands and states of any size are processed on the 128 KiB stack of a coroutine.
 
 use std::thread;
 
@@ -8,7 +8,7 @@
 use lynxstair_control_state::config_store::{CommandOutcome, ConfigStore};
 use lynxstair_control_state::delta_log::DeltaLog;
 
-const STACK: usize = 128 << 10;
+const STACK_BYTES: usize = 128 << 10;
 
 #[test]
 fn a_large_command_needs_no_large_stack() {
@@ -21,7 +21,7 @@
     );
     let patch = body.replace("00000000", "00000005").replacen("00000005", "00000006", 1);
     let patch = patch.replacen("\"routes\"", "\"upsert\":{\"routes\"", 1) + "}";
-    let all = move || {
+    let run = move || {
         let (mut store, mut deltas, mut replica) =
             (ConfigStore::default(), DeltaLog::default(), ConfigReplica::default());
         for change in [Operation::Put(body.into_bytes()), Operation::Patch(patch.into_bytes())] {
@@ -41,6 +41,6 @@
             ));
         }
     };
-    let done = thread::Builder::new().stack_size(STACK).spawn(all).expect("begun").join();
-    assert!(done.is_ok());
+    let result = thread::Builder::new().stack_size(STACK_BYTES).spawn(run).expect("spawn").join();
+    assert!(result.is_ok());
 }
