--- a/crates/control-state/src/failure_detector.rs
+++ b/crates/control-state/src/failure_detector.rs
@@ -153,9 +153,9 @@
         changed.iter().filter_map(|instance| self.registry.get(now, &instance.id)).collect()
     }
 
-    /// Returns the instances that have become unresponsive. Only the leader detects them, and only the time
-    /// since it became leader counts: controllers that acknowledge a heartbeat pass it on to the leader, so
-    /// an instance that is silent for the leader is silent for all controllers.
+    /// Removes expired instances. Returns those that have become unresponsive. Only the leader detects them,
+    /// and only the time since it became leader counts: controllers that acknowledge a heartbeat pass it on
+    /// to the leader, so an instance that is silent for the leader is silent for all controllers.
     pub fn detect_unresponsive(&mut self, now: Time) -> Vec<Instance> {
         self.registry.expire(now, self.heartbeat_period);
         let Some(since) = self.leader_since else { return Vec::new() };
--- a/crates/control-state/src/peer_set.rs
+++ b/crates/control-state/src/peer_set.rs
@@ -64,7 +64,7 @@
     }
 
     /// Adds a peer. Returns the id of the connection that is to be kept to it, or `None` if it is already
-    /// known or the set is full.
+    /// known, or if the set is full and no peer can be replaced.
     pub fn add(&mut self, now: Time, peer: SocketAddr) -> Option<ConnectionId> {
         if self.peers.contains_key(&peer) {
             return None;
--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 struct QuotaConsumer {
     zone: String,
-    last_report_at: Time,
+    last_heartbeat_at: Time,
     /// Estimated demand by tenant, in requests per second.
     demand: HashMap<String, f64>,
     /// Largest share of each tenant's quota that the proxy may hold, from its reports, its acknowledgements
@@ -86,7 +86,7 @@
 impl QuotaConsumer {
     /// Returns `true` if the proxy may still spend its share, even if it is silent.
     fn may_spend_share(&self, now: Time) -> bool {
-        now - self.last_report_at < SHARE_RETENTION
+        now - self.last_heartbeat_at < SHARE_RETENTION
     }
 
     fn is_settled(&self) -> bool {
@@ -155,14 +155,15 @@
     }
 
     /// Records that a heartbeat of a proxy was received. If `is_allocating` is false, another controller
-    /// allocates the quotas: only the presence of the proxy is kept, and its demand and shares are reset.
+    /// allocates the quotas: only the presence of the proxy is
+    /// recorded, and its demand and unacknowledged shares are reset.
     pub fn on_proxy_seen(&mut self, now: Time, node: &str, zone: &str, is_allocating: bool) {
         let before = now.saturating_sub(FIRST_REPORT_GAP);
-        let new = || QuotaConsumer { last_report_at: before, ..QuotaConsumer::default() };
+        let new = || QuotaConsumer { last_heartbeat_at: before, ..QuotaConsumer::default() };
         let consumer = self.consumers.entry(node.to_string()).or_insert_with(new);
         consumer.zone = zone.to_string();
         if !is_allocating {
-            consumer.last_report_at = now;
+            consumer.last_heartbeat_at = now;
             consumer.has_reported_shares = false;
             consumer.reports = 0;
             consumer.demand.clear();
@@ -194,9 +195,9 @@
         // After a lost connection, a proxy reports the usage of each second since then.
         let has_backlog = usage.iter().any(|usage| usage.age_ms > 0);
         let max_gap = if has_backlog { MAX_BACKLOG_GAP_S } else { MAX_REPORT_GAP_S };
-        let gap_s = (now - consumer.last_report_at).secs().clamp(MIN_REPORT_GAP_S, max_gap);
+        let gap_s = (now - consumer.last_heartbeat_at).secs().clamp(MIN_REPORT_GAP_S, max_gap);
         consumer.zone = zone.to_string();
-        consumer.last_report_at = now;
+        consumer.last_heartbeat_at = now;
         if report.received_shares >= consumer.sent_number {
             consumer.held.extend(consumer.sent.drain());
         }
@@ -219,7 +220,7 @@
     }
 
     fn expire_consumers(&mut self, now: Time) {
-        self.consumers.retain(|_, consumer| now - consumer.last_report_at < PROXY_RETENTION);
+        self.consumers.retain(|_, consumer| now - consumer.last_heartbeat_at < PROXY_RETENTION);
     }
 
     /// Returns the number of known proxies in each zone, sorted by zone.
@@ -236,8 +237,8 @@
     }
 
     /// Returns the changed shares of one proxy and their sequence number, or `None` if none have changed.
-    /// The shares held by all proxies never sum to more than the quota: a share grows only after others have
-    /// acknowledged smaller ones.
+    /// The shares held by all proxies never sum to more than the quota: a share grows only as far as the
+    /// shares that the others may hold leave room.
     pub fn allocate(&mut self, now: Time, node: &str, tenants: &[Tenant]) -> Option<(u64, Vec<QuotaShare>)> {
         // Shares stay unchanged until all active proxies have reported their shares and their demand.
         let is_settled = self.consumers.values().all(|c| c.is_settled() || !c.may_spend_share(now));
--- a/crates/control-state/tests/stack.rs
+++ b/crates/control-state/tests/stack.rs
@@ -1,4 +1,4 @@
-//! Commands and states of any size are processed on the 128 KiB stack of a coroutine.
+//! Large commands and states are processed on a stack of 128 KiB, as in coroutines.
 
 use std::thread;
 
