--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -155,8 +155,8 @@
     }
 
     /// Records that a heartbeat of a proxy was received. If `is_allocating` is false, another controller
-    /// allocates the quotas: only the presence of the proxy is
-    /// recorded, and its demand and unacknowledged shares are reset.
+    /// allocates the quotas: only the presence of the proxy is recorded, and its demand and unacknowledged
+    /// shares are reset.
     pub fn on_proxy_seen(&mut self, now: Time, node: &str, zone: &str, is_allocating: bool) {
         let before = now.saturating_sub(FIRST_REPORT_GAP);
         let new = || QuotaConsumer { last_heartbeat_at: before, ..QuotaConsumer::default() };
