--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -2,10 +2,11 @@
 //! leader runs it on the heartbeats that each proxy sends every second. Requests are admitted without
 //! waiting for it.
 //!
-//! Two mechanisms keep the total usage within the quota and its tolerance. The shares held by all proxies
-//! never sum to more than one. If shares are so small that token buckets hold more than their share
-//! (`quota_limits::MIN_BUCKET_DEPTH`), the total usage in a sliding window, including an estimate of
-//! unreported usage, blocks a tenant at all proxies before it exceeds the tolerance.
+//! Two mechanisms keep the total usage within the quota and its tolerance. A share grows only as far as the
+//! shares that the other proxies may hold leave room, except that each proxy always gets a minimum share. If
+//! shares are so small that token buckets hold more than their share (`quota_limits::MIN_BUCKET_DEPTH`), the
+//! total usage in a sliding window, including an estimate of unreported usage, blocks a tenant at all
+//! proxies before it exceeds the tolerance.
 
 use std::collections::HashMap;
 
@@ -236,9 +237,9 @@
         zones
     }
 
-    /// Returns the changed shares of one proxy and their sequence number, or `None` if none have changed.
-    /// The shares held by all proxies never sum to more than the quota: a share grows only as far as the
-    /// shares that the others may hold leave room.
+    /// Returns the changed shares of one proxy and their sequence number, or `None` if none have changed. A
+    /// share grows only as far as the shares that the others may hold leave room, but each proxy always gets
+    /// its minimum share.
     pub fn allocate(&mut self, now: Time, node: &str, tenants: &[Tenant]) -> Option<(u64, Vec<QuotaShare>)> {
         // Shares stay unchanged until all active proxies have reported their shares and their demand.
         let is_settled = self.consumers.values().all(|c| c.is_settled() || !c.may_spend_share(now));
