--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -186,8 +186,8 @@
             let (outcome, total) = parse_reply(head.status, body);
             inbound.consume(extent.total);
             drop(inbound);
-            // After an unreadable reply, the pending calls would time out, which would look like an
-            // overloaded counter. Closing the connection ends them at once.
+            // No further reply can be read after an unreadable one. Closing the connection ends the pending calls
+            // at once instead of after their time-out.
             let is_completed = self.complete_first(counter, outcome, total);
             if !is_completed || total.is_nan() || !extent.keep_alive {
                 return false;
