--- a/crates/controller/src/command_parser.rs
+++ b/crates/controller/src/command_parser.rs
@@ -1,4 +1,4 @@
-//! Parses the operator's commands before anything is locked, large ones on the blocking pool.
+//! Parses operator commands without holding the state lock; large ones on the blocking pool.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -8,29 +8,30 @@
 
 use crate::blocking_pool::{BlockingPool, MAX_INLINE_BYTES};
 
-/// How many bytes of large commands may wait to be parsed; a single command may be larger. Parsed values take twenty times
-/// the memory of their text.
+/// Maximum total size of the large commands that wait or are being parsed. Bounds memory, as parsed JSON
+/// takes about twenty times the size of its text. A single command may be larger.
 const MAX_PARSING_BYTES: usize = 2 << 20;
 
-/// Parses commands.
+/// Parser of operator commands, with a limit on concurrent work.
 #[derive(Default)]
 pub struct CommandParser {
-    /// Bytes of large commands that wait, or are being parsed.
-    parsing: AtomicUsize,
+    /// Bytes of large commands that wait or are being parsed.
+    parsing_bytes: AtomicUsize,
 }
 
 impl CommandParser {
-    /// Parses a command; for coroutines. None where too much is being parsed.
+    /// Parses a command. Returns `None` if too many bytes are being parsed, or if the parser panics. Must
+    /// be called from a coroutine.
     pub fn parse(&self, pool: &BlockingPool, mut command: Command) -> Option<Command> {
         let bytes = command.body_len();
         if bytes <= MAX_INLINE_BYTES {
             command.parse();
             return Some(command);
         }
-        let before = self.parsing.fetch_add(bytes, Ordering::Relaxed);
+        let before = self.parsing_bytes.fetch_add(bytes, Ordering::Relaxed);
         let is_too_much = before > 0 && before + bytes > MAX_PARSING_BYTES;
         let parsed = if is_too_much { None } else { parse_on(pool, command) };
-        self.parsing.fetch_sub(bytes, Ordering::Relaxed);
+        self.parsing_bytes.fetch_sub(bytes, Ordering::Relaxed);
         parsed
     }
 }
@@ -45,10 +46,10 @@
     pending.wait()
 }
 
-/// A coroutine that waits for the pool.
+/// A parse job that a coroutine waits for.
 struct PendingParse {
     blocker: Arc<Blocker>,
-    /// The inner None where the job ended without a result.
+    /// `Some(None)` if the job ended without a result.
     result: Mutex<Option<Option<Command>>>,
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// However the job ends, nobody waits for it any more.
+/// Wakes the waiting coroutine when dropped, also if the job panics.
 struct Completion(Arc<PendingParse>);
 
 impl Drop for Completion {
--- a/crates/controller/src/committed_config.rs
+++ b/crates/controller/src/committed_config.rs
@@ -1,21 +1,22 @@
-//! The configuration as committed, as far as it is known here.
+//! The newest committed configuration that this controller knows.
 
 use lynxstair_control_state::config_store::ConfigStore;
 use lynxstair_control_state::delta_log::DeltaLog;
 
-/// The newest committed configuration, and how it came to be what it is.
+/// The newest committed configuration, with its recent changes.
 #[derive(Default)]
 pub struct CommittedConfig {
-    /// The newest one that could be decoded.
+    /// Newest committed state that could be decoded.
     pub store: ConfigStore,
-    /// What was committed last could not be decoded here: the configuration is neither read out nor changed.
+    /// `true` if the state committed last could not be decoded. The configuration is then neither returned
+    /// to the operator nor changed.
     pub is_unreadable: bool,
-    /// The changes between the newest revisions, for subscribers.
+    /// Changes between recent revisions, for updates of subscribers.
     pub deltas: DeltaLog,
 }
 
 impl CommittedConfig {
-    /// A configuration was committed. Returns whether it is newer than the one here.
+    /// Replaces the state by a committed one. Returns `false` if that is not newer.
     pub fn advance(&mut self, store: ConfigStore) -> bool {
         self.is_unreadable = false;
         if store.revision <= self.store.revision {
--- a/crates/controller/src/consensus_driver.rs
+++ b/crates/controller/src/consensus_driver.rs
@@ -1,4 +1,5 @@
-//! Performs what the consensus asks for: writes, messages, and what follows from a commit.
+//! Performs the actions of the consensus state machine: writes state to disk, sends messages, applies
+//! commits and completes pending requests.
 
 use std::sync::Arc;
 
@@ -13,7 +14,8 @@
 use crate::peer_links;
 use crate::state::ControllerState;
 
-/// Performs all actions, also those that follow from them. To be called after each event that the consensus was told of.
+/// Performs all pending actions, including those that result from them, then updates connections, timer and
+/// logged status. Must be called after each call that passes an event to the consensus.
 pub fn perform_actions(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
     loop {
         let actions = state.consensus.take_actions();
@@ -31,7 +33,7 @@
     state.log_status(now);
 }
 
-/// A write that the consensus asked for is synced.
+/// Handles the completion of a write: the state with this number is synced to disk.
 pub fn on_persisted(controller: &Arc<Controller>, number: u64) {
     let now = controller.alarms.now();
     let mut state = controller.state();
@@ -75,7 +77,8 @@
     }
     let store = &state.committed.store;
     if !store.is_configuration_ready() && store.encoded_len() > MAX_INLINE_BYTES {
-        // Read ahead: a follower that becomes leader should not stand still for it then.
+        // Parses a large configuration in advance, so that a follower that becomes leader is not blocked by
+        // it.
         let store = store.clone();
         controller.blocking_pool.submit(move || drop(store.configuration().cloned()));
     }
--- a/crates/controller/src/consensus_status.rs
+++ b/crates/controller/src/consensus_status.rs
@@ -1,11 +1,12 @@
-//! How this controller stands in the consensus, for logs and the status.
+//! Consensus status of this controller, for log messages and the status API.
 
 use log::info;
 use lynxstair::types::Time;
 use lynxstair_consensus::{Consensus, NodeAddress};
 use lynxstair_protocol::consensus::Member;
 
-/// The name of a node's role: `leader`, `follower`, `candidate` (a voter without a leader) or `learner`.
+/// Returns the role of a node: `leader`, `follower`, `candidate` (a voter that knows no leader) or
+/// `learner`.
 pub fn role_name(consensus: &Consensus, me: NodeAddress) -> &'static str {
     match (consensus.leader(), consensus.is_voter()) {
         (Some(leader), _) if leader == me => "leader",
@@ -15,7 +16,7 @@
     }
 }
 
-/// The status as logged last.
+/// Status that was logged last.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoggedStatus {
     role: &'static str,
@@ -28,7 +29,7 @@
 }
 
 impl LoggedStatus {
-    /// Logs what has changed.
+    /// Logs the changes since the last call.
     pub fn update(&mut self, now: Time, consensus: &Consensus, me: NodeAddress) {
         let new = LoggedStatus {
             role: role_name(consensus, me),
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! What the coroutines of a controller share.
+//! State and resources shared by the coroutines of a controller.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -12,19 +12,19 @@
 use crate::disk_writer::DiskQueue;
 use crate::state::ControllerState;
 
-/// One controller: its state and its ports.
+/// Shared state and resources of one controller.
 pub struct Controller {
-    /// As read at the start.
+    /// Settings as read at the start.
     pub settings: Settings,
-    /// Its control address, by which others know it.
+    /// Control address, which identifies this controller to others.
     pub me: NodeAddress,
     /// Clock and timers.
     pub alarms: Arc<Alarms>,
-    /// Writes to the disk.
+    /// Queue of the disk writer.
     pub disk: Arc<DiskQueue>,
-    /// Long computations.
+    /// Thread for long computations.
     pub blocking_pool: BlockingPool,
-    /// Reads the operator's commands.
+    /// Parser of operator commands.
     pub command_parser: CommandParser,
     /// Watches the settings file.
     pub reload: Mutex<SettingsReload>,
@@ -32,7 +32,7 @@
 }
 
 impl Controller {
-    /// A controller that does not run yet.
+    /// Creates a controller; [`crate::startup::run`] starts its threads and coroutines.
     pub fn new(
         settings: Settings,
         alarms: Arc<Alarms>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The state, locked. To be held for short, and over no wait.
+    /// Locks the state. The guard must not be held while the coroutine waits.
     pub fn state(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/crates/controller/src/directory_api.rs
+++ b/crates/controller/src/directory_api.rs
@@ -1,14 +1,14 @@
-//! Look-ups of clients: where they may connect.
+//! Directory look-ups: addresses of proxies that clients may connect to.
 
 use lynxstair_net::server::{Request, Response};
 
 use crate::controller::Controller;
 use crate::replies::unavailable;
 
-/// How long clients may go by an answer, in seconds; the operators' bound where that is less.
+/// Time for which clients may use an answer, in seconds, unless the bound in the settings is shorter.
 const ANSWER_TTL_S: f64 = 3.0;
 
-/// Answers a call at the directory address: `GET /resolve?region=REGION`.
+/// Handles a request at the directory address: `GET /resolve?region=REGION`.
 pub fn handle(controller: &Controller, request: &Request) -> Response {
     if (request.method, &request.segments[..]) != ("GET", &["resolve"]) {
         return Response::new(404);
--- a/crates/controller/src/disk_writer.rs
+++ b/crates/controller/src/disk_writer.rs
@@ -1,5 +1,5 @@
-//! The disk writer: a thread that nothing else waits for. It is handed the newest of what is to be stored; what a later one
-//! replaces before its turn is never written, so a disk that hangs piles nothing up.
+//! Disk writer: a thread of its own that writes to the store, so that a slow disk blocks nothing else. A
+//! pending write is replaced by a later one, so the queue does not grow if the disk hangs.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread;
@@ -12,23 +12,25 @@
 
 use crate::storage::{StorageError, Store};
 
-/// The pause before a failed write is retried.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often a failure that lasts is logged.
+/// Minimum interval between log messages about a continuing failure.
 const LOG_INTERVAL: Span = Span::from_millis(5_000);
 
-/// What is to be written.
+/// Writes that have not started.
 #[derive(Default)]
 struct PendingWrites {
+    /// Newest state, with the number of its write.
     state: Option<(u64, PersistentState)>,
+    /// Encoded instances.
     instances: Option<Vec<u8>>,
 }
 
-/// Hands writes to the disk writer.
+/// Queue of the disk writer, with at most one write of each kind.
 #[derive(Default)]
 pub struct DiskQueue {
     pending: Mutex<PendingWrites>,
-    is_filled: Condvar,
+    not_empty: Condvar,
 }
 
 impl DiskQueue {
@@ -36,30 +38,30 @@
         self.pending.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Has a state written, by the number that completes it. It replaces one whose write has not begun, as it holds all
-    /// that came before.
+    /// Enqueues a state; `number` is reported once it is synced. Replaces a state whose write has not
+    /// started, as the new one covers it.
     pub fn write_state(&self, number: u64, state: PersistentState) {
         self.pending().state = Some((number, state));
-        self.is_filled.notify_one();
+        self.not_empty.notify_one();
     }
 
-    /// Has the encoded instances written.
+    /// Enqueues the encoded instances. Replaces those whose write has not started.
     pub fn write_instances(&self, instances: Vec<u8>) {
         self.pending().instances = Some(instances);
-        self.is_filled.notify_one();
+        self.not_empty.notify_one();
     }
 
-    /// Waits until there is something to write.
+    /// Waits for pending writes and removes them from the queue.
     fn take(&self) -> PendingWrites {
         let mut pending = self.pending();
         while pending.state.is_none() && pending.instances.is_none() {
-            pending = self.is_filled.wait(pending).unwrap_or_else(|e| e.into_inner());
+            pending = self.not_empty.wait(pending).unwrap_or_else(|e| e.into_inner());
         }
         std::mem::take(&mut *pending)
     }
 }
 
-/// Since when the disk refuses writes, and when that was last logged.
+/// Start of the current series of write failures, and the time of its last log message.
 #[derive(Default)]
 struct FailureLog(Option<(Time, Time)>);
 
@@ -81,12 +83,12 @@
     }
 }
 
-/// Writes for as long as the process runs. `on_persisted` is told the number of each state that is synced.
+/// Runs the disk writer; never returns. Calls `on_persisted` with the number of each state that is synced.
 pub fn run(queue: &Arc<DiskQueue>, mut store: Box<dyn Store>, clock: Clock, on_persisted: impl Fn(u64)) {
     let mut failures = FailureLog::default();
     loop {
         let PendingWrites { mut state, instances } = queue.take();
-        // The consensus waits for the state, nobody for the instances.
+        // The state is written first, because the consensus waits for it.
         while let Some((number, unwritten)) = state.take() {
             match store.save(&unwritten) {
                 Ok(()) => {
--- a/crates/controller/src/http_api.rs
+++ b/crates/controller/src/http_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API of workers and operators: one dispatch on method and path.
+//! HTTP API for workers and operators: dispatch by method and path.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::{instance_api, operator_api, status_api};
 
-/// Answers a call at the control address.
+/// Handles an HTTP request at the control address.
 pub fn handle(controller: &Arc<Controller>, request: &Request) -> Response {
     match (request.method, &request.segments[..]) {
         ("PUT", ["instances", id]) => instance_api::heartbeat(controller, id, request.body),
--- a/crates/controller/src/inbound.rs
+++ b/crates/controller/src/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that other processes open: controllers, and proxies that subscribe.
+//! Incoming connections of other controllers and of subscribing proxies.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -17,14 +17,16 @@
 use crate::state::ControllerState;
 use crate::subscribers::SubscriberId;
 
-/// Who is at the other end, as far as it has said so.
+/// Identity of the other end of a connection, from the messages received on it.
 #[derive(Default)]
-struct Sender {
+struct RemoteIdentity {
+    /// Set by a heartbeat of a controller.
     controller: Option<NodeAddress>,
+    /// Set by a subscription of a proxy.
     subscriber: Option<SubscriberId>,
 }
 
-/// Serves a new connection in a coroutine of its own.
+/// Serves an accepted connection in a coroutine of its own.
 pub fn accept(controller: &Arc<Controller>, stream: TcpStream) {
     let Ok(connection) = Connection::new(stream, transport::MAX_BUFFER_LEN) else { return };
     let connection = Arc::new(connection);
@@ -34,32 +36,33 @@
 }
 
 fn serve(controller: &Arc<Controller>, connection: &Arc<Connection>) {
-    let mut sender = Sender::default();
-    transport::read(connection, |message| handle_message(controller, connection, &mut sender, message));
-    if let Some(subscriber) = sender.subscriber {
-        controller.state().on_subscriber_gone(subscriber);
+    let mut remote = RemoteIdentity::default();
+    transport::read(connection, |message| handle_message(controller, connection, &mut remote, message));
+    if let Some(subscriber) = remote.subscriber {
+        controller.state().on_subscriber_disconnected(subscriber);
     }
 }
 
-/// Handles one message; false ends the connection.
+/// Handles one message. Returns `false` if the connection is to be closed.
 fn handle_message(
     controller: &Arc<Controller>,
     connection: &Arc<Connection>,
-    sender: &mut Sender,
+    remote: &mut RemoteIdentity,
     message: ToController,
 ) -> bool {
     let now = controller.alarms.now();
-    // Where this process was paused, what is read may be old. What goes by echoes of clocks finds that out by itself.
+    // After a pause of this process, the message may be old. Messages whose freshness is checked by clock
+    // echoes do not need the receive time.
     let received_at = controller.alarms.received_at(now);
     let mut state = controller.state();
-    match (message, sender.controller, sender.subscriber) {
+    match (message, remote.controller, remote.subscriber) {
         (ToController::PeerHeartbeat { from, hears_recipient, known_peers }, ..) => {
-            sender.controller = Some(from);
+            remote.controller = Some(from);
             add_peers(controller, now, &mut state, &[from]);
             add_peers(controller, now, &mut state, &known_peers);
-            state.on_peer_heard(now, from);
+            state.on_peer_heartbeat(now, from);
             if !hears_recipient {
-                state.peers.on_unheard_by(now, from);
+                state.peers.on_heartbeats_lost(now, from);
             }
         }
         (ToController::Consensus(message), Some(from), _) => {
@@ -73,12 +76,12 @@
             state.directory.apply_remote(received_at, from, statuses, is_snapshot, is_complete);
         }
         (ToController::Subscribe { proxy, wants_instances }, ..) => {
-            sender.subscriber = Some(subscribe(now, &mut state, connection, proxy, wants_instances));
+            remote.subscriber = Some(subscribe(now, &mut state, connection, proxy, wants_instances));
         }
         (ToController::Heartbeat(heartbeat), _, Some(subscriber)) => {
             return state.on_subscriber_heartbeat(now, received_at, subscriber, &heartbeat);
         }
-        // It has not said who it is.
+        // The other end has not identified itself.
         _ => return false,
     }
     true
--- a/crates/controller/src/instance_api.rs
+++ b/crates/controller/src/instance_api.rs
@@ -1,4 +1,4 @@
-//! Calls of workers: heartbeats and deregistration.
+//! HTTP requests of workers: heartbeats and deregistration.
 
 use lynxstair_config::json::{self, ValueError};
 use lynxstair_control_state::failure_detector::HeartbeatOutcome;
@@ -9,20 +9,20 @@
 use crate::replies::error;
 use crate::state::ControllerState;
 
-/// A worker's capacity is taken to lie within these.
+/// Range to which the reported capacity of a worker is clamped, in concurrent requests.
 const MIN_CAPACITY: f64 = 1.0;
 const MAX_CAPACITY: f64 = 1e6;
-/// A worker warms up for no longer than this, in seconds.
+/// Maximum of the reported remaining warm-up time, in seconds.
 const MAX_WARM_UP_S: f64 = 600.0;
 
-/// `PUT /instances/ID`.
+/// Handles `PUT /instances/ID`, the heartbeat of a worker instance.
 pub fn heartbeat(controller: &Controller, id: &str, body: &[u8]) -> Response {
     let mut instance = match read_instance(id, body) {
         Ok(instance) => instance,
         Err(invalid) => return error(400, &invalid.to_string()),
     };
     let now = controller.alarms.now();
-    // Where this process was paused, the worker may be long gone.
+    // After a pause of this process, the heartbeat may have been waiting to be read.
     instance.heartbeat_age_ms = (now - controller.alarms.received_at(now)).nanos() / 1_000_000;
     let mut state = controller.state();
     state.update_quorum_role(now);
@@ -30,7 +30,7 @@
     publish(&mut state, outcome)
 }
 
-/// `DELETE /instances/ID`.
+/// Handles `DELETE /instances/ID`, the deregistration of a worker instance.
 pub fn deregister(controller: &Controller, id: &str) -> Response {
     let now = controller.alarms.now();
     let mut state = controller.state();
--- a/crates/controller/src/instances.rs
+++ b/crates/controller/src/instances.rs
@@ -1,24 +1,24 @@
-//! The worker instances as this controller knows them, and when they are to be stored.
+//! Worker instances known to this controller, and their periodic storage.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_control_state::failure_detector::FailureDetector;
 use lynxstair_control_state::instance_registry::InstanceRegistry;
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-/// How often instances are stored, where they changed: known at once after a loss of power, they are served before each has
-/// sent a heartbeat again.
+/// Minimum interval between writes of changed instances. Stored instances are available at once after a
+/// power failure, before each has sent a heartbeat again.
 const STORE_INTERVAL: Span = Span::from_millis(1_000);
 
-/// Worker instances with their failure detector.
+/// Worker instances and the time of their next write.
 pub struct Instances {
-    /// Decides on heartbeats and silence.
+    /// Registry of the instances with the detection of unresponsive ones.
     pub detector: FailureDetector,
     is_changed: bool,
     store_at: Time,
 }
 
 impl Instances {
-    /// `stored`: what was stored before this process began.
+    /// Creates the registry from the instances that an earlier process stored.
     pub fn new(now: Time, stored: &[Instance], heartbeat_period: Span) -> Instances {
         let mut registry = InstanceRegistry::default();
         registry.restore(now, stored, heartbeat_period);
@@ -26,23 +26,23 @@
         Instances { detector, is_changed: false, store_at: now + STORE_INTERVAL }
     }
 
-    /// All instances.
+    /// Returns all instances.
     pub fn snapshot(&self, now: Time) -> Vec<Instance> {
         self.detector.snapshot(now)
     }
 
-    /// How many are ready.
+    /// Returns the number of ready instances.
     pub fn ready_count(&self) -> usize {
         let instances = self.detector.registry().instances().values();
         instances.filter(|instance| instance.state == InstanceState::Ready).count()
     }
 
-    /// Something that is stored has changed.
+    /// Records that an instance has changed and must be stored.
     pub fn mark_changed(&mut self) {
         self.is_changed = true;
     }
 
-    /// The encoded instances, where they are to be stored now.
+    /// Returns the encoded instances if they are to be stored now.
     pub fn poll_store(&mut self, now: Time) -> Option<Vec<u8>> {
         if now < self.store_at || !self.is_changed {
             return None;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,17 +1,19 @@
-//! The controller: the control plane of the system, on the core machines, as a library, so that its parts can be tested.
+//! The controller, which is the control plane of the system: performs the I/O for the state machines in
+//! `lynxstair-consensus` and `lynxstair-control-state`, which make the decisions.
 //!
-//! Modules name each other downward only:
+//! Each module uses only modules of its own or lower layers:
 //!
-//! | layer | modules | what they know |
+//! | layer | modules | access |
 //! | --- | --- | --- |
-//! | start and end | [`startup`] | ties everything below together |
-//! | entry points | `http_api`, `operator_api`, `instance_api`, `status_api`, `directory_api`, `inbound`, `timers`, `settings_watch` | the controller |
-//! | actions | `consensus_driver`, `peer_links` | the controller |
-//! | shared | `controller`, `state` | all parts, one lock |
-//! | parts | `committed_config`, `pending_requests`, `instances`, `subscribers`, `peer_connections`, `consensus_status`, `timer` | their own state |
-//! | ports | [`storage`], `disk_writer`, `blocking_pool`, `command_parser` | nothing of the controller |
-//!
-//! Decisions are made in `lynxstair-consensus` and `lynxstair-control-state`; this package does the I/O.
+//! | start-up and shutdown | [`startup`] | all modules |
+//! | HTTP API | `http_api`, `operator_api`, `instance_api`, `status_api` | `Controller` |
+//! | HTTP API | `directory_api`, `replies` | `Controller` |
+//! | message and timer handlers | `inbound`, `timers`, `settings_watch` | `Controller` |
+//! | actions | `consensus_driver`, `peer_links` | `Controller` |
+//! | shared state | `controller`, `state` | all parts, under one lock |
+//! | parts | `committed_config`, `pending_requests`, `instances`, `subscribers` | own state |
+//! | parts | `peer_connections`, `consensus_status`, `timer` | own state |
+//! | I/O and threads | [`storage`], `disk_writer`, `blocking_pool`, `command_parser` | no controller state |
 #![deny(unsafe_code)]
 
 mod blocking_pool;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! `lynxstair-controller`: one controller of the system.
+//! The `lynxstair-controller` program.
 #![deny(unsafe_code)]
 
 use std::process::ExitCode;
@@ -9,14 +9,14 @@
 const PROGRAM: Program = Program {
     name: "lynxstair-controller",
     version: env!("CARGO_PKG_VERSION"),
-    help: "lynxstair-controller: the control plane. It keeps the configuration, the worker instances, the quotas and the
-directory.
+    help: "lynxstair-controller: the control plane. It manages the configuration, the worker instances,
+the quotas and the directory.
 
-  lynxstair-controller               serves, by the settings file that LYNXSTAIR_BOOT names
-  lynxstair-controller check FILE    reads a settings file and says what is wrong with it
+  lynxstair-controller               runs the controller with the settings file that LYNXSTAIR_BOOT names
+  lynxstair-controller check FILE    checks a settings file and reports any error
   lynxstair-controller --help | --version
 
-Exit codes: 0 ended when told to, or the file is good; 1 it can't serve; 2 the command line or the file is bad.",
+Exit codes: 0 normal exit or valid file; 1 failure to start; 2 invalid command line or settings file.",
 };
 
 fn main() -> ExitCode {
--- a/crates/controller/src/operator_api.rs
+++ b/crates/controller/src/operator_api.rs
@@ -1,6 +1,7 @@
-//! Calls of the operator: commands on the configuration, and reading it. Only the leader answers them, and what it says is
-//! true at some moment of the call: a majority has answered a round that began after the call came (read index), or has
-//! stored what is acknowledged.
+//! Operator requests: commands that change the configuration, and reads. Only the leader executes them;
+//! other controllers redirect to it. Responses are linearizable: a command is acknowledged after a majority
+//! has stored it, and a read or a rejection is confirmed by a read-index round that starts after the
+//! request arrived.
 
 use std::sync::Arc;
 
@@ -17,26 +18,28 @@
 use crate::replies::{error, unavailable};
 use crate::state::ControllerState;
 
-/// How long a call of the operator may wait for the quorum; after that the caller moves on anyway.
-const CALL_TIMEOUT: Span = Span::from_millis(850);
-/// How often a command looks whether its turn has come, while another one is uncommitted.
-const TURN_INTERVAL: Span = Span::from_millis(4);
+/// Time-out of an operator request that waits for the quorum.
+const REQUEST_TIMEOUT: Span = Span::from_millis(850);
+/// Interval between attempts to propose a command while another one is uncommitted or the leader is not yet
+/// established.
+const PROPOSE_RETRY_INTERVAL: Span = Span::from_millis(4);
 
-/// What a command comes to in its turn.
-enum Turn {
-    /// It was proposed by this number.
+/// Result of one attempt to propose a command.
+enum ProposeAttempt {
+    /// The command was proposed under this number.
     Proposed(u64),
-    /// It is answered.
+    /// The request is answered without a proposal.
     Response(Response),
-    /// The answer has to be confirmed by the quorum first.
+    /// The decision must be confirmed by the quorum before it is returned.
     Unconfirmed,
-    /// Another one is uncommitted, or this leader is not established yet.
-    Wait,
+    /// Another command is uncommitted, or this leader is not established yet; the attempt is to be
+    /// repeated.
+    Retry,
 }
 
-/// `GET /config`.
+/// Handles `GET /config`.
 pub fn read_config(controller: &Arc<Controller>) -> Response {
-    if let Err(reply) = confirm(controller, call_deadline(controller), "/config") {
+    if let Err(reply) = confirm(controller, request_deadline(controller), "/config") {
         return reply;
     }
     let state = controller.state();
@@ -49,17 +52,17 @@
     }
 }
 
-/// Executes a command. `path`: where it is sent on to the leader.
+/// Executes a command. A redirect to the leader has the path `path`.
 pub fn execute(
     controller: &Arc<Controller>,
     request: &Request,
     path: &str,
     operation: Operation,
 ) -> Response {
-    let deadline = call_deadline(controller);
+    let deadline = request_deadline(controller);
     let waiter = QuorumWaiter::for_current();
     let mut command = Command::new(operation);
-    // One that was applied needs no parsing; any other is parsed while nobody waits for the state.
+    // An applied command is not parsed again. Others are parsed without holding the state lock.
     let is_applied = controller.state().committed.store.has_applied(&command);
     if !is_applied {
         let parsed = controller.command_parser.parse(&controller.blocking_pool, command);
@@ -74,12 +77,13 @@
     controller.state().pending.remove(number);
     match outcome {
         RequestOutcome::Confirmed => Response::json(200, "{}"),
-        // It may still come into force, or not: the same bytes sent again find out.
+        // The command may still be committed later. The operator can safely retry it with the same bytes.
         RequestOutcome::Unknown => unavailable(),
     }
 }
 
-/// Waits for the command's turn. The number that it was proposed by, or the reply.
+/// Proposes the command once no other one is uncommitted. Returns the number of the proposal, or the
+/// response if the command was not proposed.
 fn propose(
     controller: &Arc<Controller>,
     request: &Request,
@@ -91,63 +95,69 @@
     let mut is_confirmed = false;
     loop {
         let now = controller.alarms.now();
-        // A caller that has gone sends it again, elsewhere perhaps: applied late, it would undo what came after it.
+        // A caller that has hung up may have retried at another controller. Applying the command late could
+        // undo commands that were committed in between.
         if now >= deadline || request.has_hung_up() {
             return Err(unavailable());
         }
-        match take_turn(controller, now, path, command, is_confirmed, waiter) {
-            Turn::Proposed(number) => return Ok(number),
-            Turn::Response(reply) => return Err(reply),
-            Turn::Unconfirmed => {
+        match try_propose(controller, now, path, command, is_confirmed, waiter) {
+            ProposeAttempt::Proposed(number) => return Ok(number),
+            ProposeAttempt::Response(reply) => return Err(reply),
+            ProposeAttempt::Unconfirmed => {
                 confirm(controller, deadline, path)?;
-                // Decided again by the configuration as it is now.
+                // The next attempt decides by the configuration that is committed by then.
                 is_confirmed = true;
             }
-            Turn::Wait => controller.alarms.sleep_until(now + TURN_INTERVAL),
+            ProposeAttempt::Retry => controller.alarms.sleep_until(now + PROPOSE_RETRY_INTERVAL),
         }
     }
 }
 
-fn take_turn(
+fn try_propose(
     controller: &Arc<Controller>,
     now: Time,
     path: &str,
     command: &Command,
     is_confirmed: bool,
     waiter: &Arc<QuorumWaiter>,
-) -> Turn {
+) -> ProposeAttempt {
     let mut state = controller.state();
     let is_established = state.consensus.is_established_leader();
     if !is_established && state.consensus.leader() != Some(controller.me) {
-        return Turn::Response(redirect(controller, now, &state, path));
+        return ProposeAttempt::Response(redirect(controller, now, &state, path));
     }
-    // Partitioned off, or just woken: it will not be the leader for long.
+    // Partitioned or just resumed after a pause: another controller may lead already.
     let is_isolated = is_established && !state.consensus.has_quorum_contact(now);
     if is_isolated || state.committed.is_unreadable {
-        return Turn::Response(unavailable());
+        return ProposeAttempt::Response(unavailable());
     }
     if !is_established || state.consensus.has_uncommitted() {
-        return Turn::Wait;
+        return ProposeAttempt::Retry;
     }
     match state.committed.store.apply(command, &controller.settings.zones) {
         CommandOutcome::Accepted(store) => {
-            let Some(number) = state.consensus.propose(now, store.encode()) else { return Turn::Wait };
+            let Some(number) = state.consensus.propose(now, store.encode()) else {
+                return ProposeAttempt::Retry;
+            };
             state.pending.insert(number, waiter.clone());
             perform_actions(controller, now, &mut state);
-            Turn::Proposed(number)
+            ProposeAttempt::Proposed(number)
         }
-        CommandOutcome::Unknown => Turn::Response(unavailable()),
-        CommandOutcome::AlreadyApplied | CommandOutcome::Rejected(_) if !is_confirmed => Turn::Unconfirmed,
-        CommandOutcome::AlreadyApplied => Turn::Response(Response::json(200, "{}")),
+        CommandOutcome::Unknown => ProposeAttempt::Response(unavailable()),
+        CommandOutcome::AlreadyApplied | CommandOutcome::Rejected(_) if !is_confirmed => {
+            ProposeAttempt::Unconfirmed
+        }
+        CommandOutcome::AlreadyApplied => ProposeAttempt::Response(Response::json(200, "{}")),
         CommandOutcome::Rejected(rejection) => {
             let (status, reason) = (rejection.status(), rejection.to_string());
             info!(status = status, reason = reason; "command rejected");
-            Turn::Response(error(status, &reason))
+            ProposeAttempt::Response(error(status, &reason))
         }
     }
 }
 
-/// Asks the quorum whether what is committed here is the newest; the error is the reply to give.
+/// Confirms with the quorum that the state committed on this controller is the newest. Returns the response
+/// to send if that fails.
 fn confirm(controller: &Arc<Controller>, deadline: Time, path: &str) -> Result<(), Response> {
     let waiter = QuorumWaiter::for_current();
     let number = {
@@ -168,7 +178,8 @@
     }
 }
 
-/// To the leader, as far as this controller is in touch with it; else nobody knows who leads.
+/// Returns a redirect to the leader. Returns status 503 if no other leader is known or there is no quorum
+/// contact.
 fn redirect(controller: &Controller, now: Time, state: &ControllerState, path: &str) -> Response {
     let is_elsewhere = |leader: &_| *leader != controller.me && state.consensus.has_quorum_contact(now);
     match state.consensus.leader().filter(is_elsewhere) {
@@ -180,7 +191,8 @@
     }
 }
 
-/// Until when the caller of what is read now waits: where this process was paused, the call may be old.
-fn call_deadline(controller: &Controller) -> Time {
-    controller.alarms.received_at(controller.alarms.now()) + CALL_TIMEOUT
+/// Returns the deadline of the request that is being handled. It counts from the earliest time at which the
+/// request can have arrived, because after a pause of this process the request may be old.
+fn request_deadline(controller: &Controller) -> Time {
+    controller.alarms.received_at(controller.alarms.now()) + REQUEST_TIMEOUT
 }
--- a/crates/controller/src/peer_connections.rs
+++ b/crates/controller/src/peer_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to the other controllers that this one sends on.
+//! Outgoing connections to the other controllers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,44 +11,46 @@
 use lynxstair_protocol::messages::ToController;
 use lynxstair_transport as transport;
 
-/// A connection with more unsent bytes than this is closed: its other end does not read.
+/// Maximum number of unsent bytes of a connection. It is closed above that, as the other end is not
+/// reading.
 pub const MAX_UNSENT_BYTES: usize = 8 << 20;
 
-/// Sends one message on one connection.
+/// Sends a message on a connection without blocking.
 pub fn send<M: serde::Serialize>(connection: &Connection, message: &M) {
     transport::write(connection, &transport::encode(message), MAX_UNSENT_BYTES);
 }
 
-/// Which controllers there are, and the connections that are open to them.
+/// Known controllers and the open connections to them.
 pub struct PeerConnections {
-    /// The controllers that connections are kept to.
+    /// Controllers to keep connections to.
     pub peer_set: PeerSet,
-    /// Each with when it was opened.
+    /// Open connections, each with the time at which it was opened.
     open: HashMap<NodeAddress, (Arc<Connection>, Time)>,
 }
 
 impl PeerConnections {
-    /// No peers yet.
+    /// Creates an empty set of peers.
     pub fn new(now: Time) -> PeerConnections {
         PeerConnections { peer_set: PeerSet::new(now), open: HashMap::new() }
     }
 
-    /// Whether any connection is open.
+    /// Returns `true` if any connection is open.
     pub fn is_any_open(&self) -> bool {
         !self.open.is_empty()
     }
 
-    /// A connection was opened.
+    /// Records that a connection was opened.
     pub fn on_opened(&mut self, now: Time, peer: NodeAddress, connection: &Arc<Connection>) {
         self.open.insert(peer, (connection.clone(), now));
     }
 
-    /// A connection has ended. Where its peer was dropped and added again meanwhile, another one is open by now.
+    /// Removes a connection that has ended. If the peer was removed and added again in the meantime, its
+    /// new connection is kept.
     pub fn on_closed(&mut self, connection: &Arc<Connection>) {
         self.open.retain(|_, (open, _)| !Arc::ptr_eq(open, connection));
     }
 
-    /// Sends to every controller that is connected.
+    /// Sends a message to all connected controllers.
     pub fn broadcast(&self, message: &ToController) {
         if self.open.is_empty() {
             return;
@@ -57,21 +59,21 @@
         self.open.values().for_each(|(connection, _)| transport::write(connection, &frame, MAX_UNSENT_BYTES));
     }
 
-    /// Sends to one of them, if it is connected.
+    /// Sends a message to a controller if it is connected.
     pub fn send(&self, to: NodeAddress, message: &ToController) {
         if let Some((connection, _)) = self.open.get(&to) {
             send(connection, message);
         }
     }
 
-    /// Sends each its heartbeat.
+    /// Sends a heartbeat to all connected controllers.
     pub fn send_heartbeats(&self, now: Time, me: NodeAddress) {
         for (peer, (connection, _)) in &self.open {
             send(connection, &self.heartbeat(now, me, *peer));
         }
     }
 
-    /// The heartbeat to one controller.
+    /// Returns the heartbeat message for a controller.
     pub fn heartbeat(&self, now: Time, me: NodeAddress, to: NodeAddress) -> ToController {
         ToController::PeerHeartbeat {
             from: me,
@@ -80,9 +82,9 @@
         }
     }
 
-    /// A controller says that it does not hear this one: the connection to it delivers nothing, unless it is new. It is
-    /// closed, and its coroutine opens another.
-    pub fn on_unheard_by(&self, now: Time, peer: NodeAddress) {
+    /// Handles the report of a peer that it receives no heartbeats of this controller: the connection to it
+    /// delivers nothing, unless it is new. Closes the connection, so that its coroutine opens another one.
+    pub fn on_heartbeats_lost(&self, now: Time, peer: NodeAddress) {
         if let Some((connection, since)) = self.open.get(&peer)
             && now - *since >= PEER_TIMEOUT
         {
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -1,5 +1,5 @@
-//! Keeps a connection to each other controller, by which this one sends. Nothing comes back on it: the other opens one of
-//! its own.
+//! Keeps an outgoing connection to each other controller. Messages flow in one direction only: the other
+//! controller opens a connection of its own.
 
 use std::sync::Arc;
 
@@ -16,14 +16,14 @@
 use crate::peer_connections::send;
 use crate::state::ControllerState;
 
-/// Controllers are near each other.
+/// Short delays, as the round-trip time between controllers is short.
 const RECONNECT: ReconnectPolicy = ReconnectPolicy {
     connect_timeout: Span::from_millis(200),
     min_delay: Span::from_millis(60),
     max_delay: Span::from_millis(300),
 };
 
-/// Keeps a connection to each of these controllers from now on. Returns whether one of them was not known.
+/// Adds controllers to keep connections to. Returns `true` if any of them was new.
 pub fn add_peers(
     controller: &Arc<Controller>,
     now: Time,
@@ -43,8 +43,8 @@
     has_new
 }
 
-/// Sends heartbeats, and drops controllers that are long gone. Without quorum contact none is dropped: it is not known who
-/// is gone then.
+/// Sends heartbeats, and removes controllers that have been unreachable for a long time. Without quorum
+/// contact none is removed, since this controller may be the one that is partitioned.
 pub fn maintain(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
     state.peers.send_heartbeats(now, controller.me);
     if state.peers.is_any_open() {
@@ -66,13 +66,13 @@
     let is_wanted = || controller.state().peers.peer_set.is_current(peer, connection);
     transport::keep_connected(&controller.alarms, to, RECONNECT, is_wanted, |connection| {
         on_opened(controller, peer, connection);
-        // Nothing comes on it but its end.
+        // The peer sends nothing on this connection: the read returns when the connection ends.
         transport::read(connection, |_: ()| false);
         controller.state().peers.on_closed(connection);
     });
 }
 
-/// The other controller is told all that it may have missed.
+/// Sends the current state on a new connection, as the peer may have missed earlier updates.
 fn on_opened(controller: &Controller, peer: NodeAddress, connection: &Arc<Connection>) {
     let now = controller.alarms.now();
     let mut state = controller.state();
--- a/crates/controller/src/pending_requests.rs
+++ b/crates/controller/src/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for the quorum: each for a proposal or a read, by its number.
+//! HTTP requests that wait for a proposal or a linearizable read, by its number.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -8,50 +8,50 @@
 use lynxstair_net::alarms::Alarms;
 use may::sync::Blocker;
 
-/// One waiting call.
+/// Waits in a coroutine for the outcome of a proposal or read.
 pub struct QuorumWaiter {
     blocker: Arc<Blocker>,
-    answer: Mutex<Option<RequestOutcome>>,
+    outcome: Mutex<Option<RequestOutcome>>,
 }
 
 impl QuorumWaiter {
-    /// For the coroutine that calls this.
+    /// Creates a waiter for the calling coroutine.
     pub fn for_current() -> Arc<QuorumWaiter> {
-        Arc::new(QuorumWaiter { blocker: Blocker::current(), answer: Mutex::new(None) })
+        Arc::new(QuorumWaiter { blocker: Blocker::current(), outcome: Mutex::new(None) })
     }
 
     fn complete(&self, outcome: RequestOutcome) {
-        *self.answer.lock().unwrap_or_else(|e| e.into_inner()) = Some(outcome);
+        *self.outcome.lock().unwrap_or_else(|e| e.into_inner()) = Some(outcome);
         self.blocker.unpark();
     }
 
-    /// Waits for the answer of the quorum; unknown where there is none until the deadline.
+    /// Waits for the outcome. Returns `RequestOutcome::Unknown` if there is none by the deadline.
     pub fn wait(&self, alarms: &Alarms, deadline: Time) -> RequestOutcome {
         alarms.unpark_at(deadline, &self.blocker);
-        let answer = || *self.answer.lock().unwrap_or_else(|e| e.into_inner());
-        while answer().is_none() && alarms.now() < deadline {
+        let outcome = || *self.outcome.lock().unwrap_or_else(|e| e.into_inner());
+        while outcome().is_none() && alarms.now() < deadline {
             let _ = self.blocker.park(None);
         }
-        answer().unwrap_or(RequestOutcome::Unknown)
+        outcome().unwrap_or(RequestOutcome::Unknown)
     }
 }
 
-/// All waiting calls.
+/// Waiters by the number of their proposal or read.
 #[derive(Default)]
 pub struct PendingRequests(HashMap<u64, Arc<QuorumWaiter>>);
 
 impl PendingRequests {
-    /// A call waits for the proposal or read with this number.
+    /// Registers a waiter for the proposal or read with this number.
     pub fn insert(&mut self, number: u64, waiter: Arc<QuorumWaiter>) {
         self.0.insert(number, waiter);
     }
 
-    /// It waits no longer.
+    /// Removes the waiter for this number, if it is still registered.
     pub fn remove(&mut self, number: u64) {
         self.0.remove(&number);
     }
 
-    /// The consensus has answered.
+    /// Passes the outcome to the waiter for this number and removes it.
     pub fn complete(&mut self, number: u64, outcome: RequestOutcome) {
         if let Some(waiter) = self.0.remove(&number) {
             waiter.complete(outcome);
--- a/crates/controller/src/settings_watch.rs
+++ b/crates/controller/src/settings_watch.rs
@@ -1,4 +1,4 @@
-//! Takes over the seeds of the settings file while the controller runs.
+//! Reloads the seeds from the settings file while the controller runs.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use crate::controller::Controller;
 use crate::peer_links::add_peers;
 
-/// How often the file is looked at.
+/// Interval between checks of the file.
 const CHECK_INTERVAL: Span = Span::from_millis(1_000);
 
-/// Looks at the file again and again; for a coroutine of its own.
+/// Checks the file periodically; never returns. Must be called in a coroutine of its own.
 pub fn run(controller: &Arc<Controller>) {
     loop {
         reload(controller, ReloadTrigger::Periodic);
@@ -19,7 +19,8 @@
     }
 }
 
-/// Looks at the file now.
+/// Checks the file now and connects to new seeds. An isolated controller reads the file even if it is
+/// unchanged.
 pub fn reload(controller: &Arc<Controller>, trigger: ReloadTrigger) {
     let now = controller.alarms.now();
     let is_isolated = controller.state().peers.peer_set.poll_isolated(now);
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -1,4 +1,4 @@
-//! From the settings to a running controller, and to its end.
+//! Start-up and graceful shutdown of a controller.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -33,20 +33,20 @@
 use crate::timer::Timer;
 use crate::{directory_api, disk_writer, http_api, inbound, peer_links, settings_watch, timers};
 
-/// Limits of the control address: workers and operators.
+/// Limits of the control address, for workers and operators.
 const CONTROL_LIMITS: ServerLimits = ServerLimits { max_body: 8 << 20, max_connections: 2000 };
-/// Limits of the directory address: clients' look-ups.
+/// Limits of the directory address, for look-ups of clients.
 const DIRECTORY_LIMITS: ServerLimits = ServerLimits { max_body: 1024, max_connections: 1500 };
-/// The pause before opening the database is retried.
+/// Delay before opening the database is retried.
 const STORAGE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often that is retried while another process has the database open: it may be about to end.
+/// Maximum number of retries while another process, which may be about to exit, has the database open.
 const MAX_LOCKED_RETRIES: usize = 60;
-/// How often a controller that is shutting down checks whether it may end.
-const SHUTDOWN_INTERVAL: Span = Span::from_millis(20);
-/// The stack of the disk thread.
+/// Interval at which a controller that is shutting down checks whether it may exit.
+const SHUTDOWN_CHECK_INTERVAL: Span = Span::from_millis(20);
+/// Stack size of the disk thread.
 const DISK_STACK_BYTES: usize = 256 << 10;
 
-/// Serves until the process is told to end.
+/// Runs a controller until a signal shuts it down. Returns an error if it cannot start.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     configure_runtime();
     let clock = Clock::start();
@@ -70,8 +70,9 @@
     StartError::Storage(Box::new(source))
 }
 
-/// A disk that refuses may come back, and hold the only copy: for as long as that takes. A process before this one may be
-/// about to end: some seconds.
+/// Opens the store of the data folder, or an in-memory store if the settings name no folder. Retries disk
+/// and folder errors without limit, because the disk may hold the only copy of the state, and a locked
+/// database up to `MAX_LOCKED_RETRIES` times.
 fn open_store(settings: &Settings) -> Result<Box<dyn Store>, StorageError> {
     let Some(folder) = &settings.data_dir else { return Ok(Box::new(MemoryStore::default())) };
     let mut locked_retries = 0..MAX_LOCKED_RETRIES;
@@ -89,10 +90,10 @@
     store: &mut dyn Store,
 ) -> Result<ControllerState, StorageError> {
     let stored = store.load()?;
-    // What was stored of instances only spares a wait for their heartbeats.
+    // Stored instances are optional: heartbeats would report the same instances later.
     let encoded = store.load_instances().unwrap_or_default();
     let instances: Vec<Instance> = ciborium::from_reader(&encoded[..]).unwrap_or_default();
-    // What can't be read any more was stored once: this is no first start.
+    // A quarantined database shows that this is not the first start.
     let bootstrap = settings.bootstrap && !store.is_emptied();
     info!(node = settings.node, has_state = stored.is_some(), bootstrap = bootstrap; "controller started");
     let config = ConsensusConfig {
@@ -131,7 +132,7 @@
     thread.spawn(run).map(|_| ()).map_err(|e| StartError::System("disk thread", e))
 }
 
-/// Starts everything that runs beside the main thread.
+/// Binds the listeners and spawns all coroutines.
 fn spawn_coroutines(controller: &Arc<Controller>) -> Result<(), StartError> {
     let settings = &controller.settings;
     let internal = server::listen(settings.internal_address())?;
@@ -167,8 +168,8 @@
     peer_links::add_peers(controller, now, &mut state, &controller.settings.seeds);
 }
 
-/// Graceful shutdown: leadership is transferred, and the place as a voter goes to a learner that waits for it, if there is
-/// one. The controller serves on meanwhile.
+/// Shuts down gracefully: transfers leadership, and has a learner replace this controller as a voter if
+/// there is one. The controller keeps serving in the meantime.
 fn shut_down(controller: &Arc<Controller>) {
     info!("shutdown requested");
     loop {
@@ -181,6 +182,6 @@
                 return;
             }
         }
-        controller.alarms.sleep_until(now + SHUTDOWN_INTERVAL);
+        controller.alarms.sleep_until(now + SHUTDOWN_CHECK_INTERVAL);
     }
 }
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -1,5 +1,5 @@
-//! The state of a controller: its parts, each with a module of its own, under one short lock, as an event often concerns
-//! several of them.
+//! The state of a controller, which combines the state of its parts. One lock protects all of it, because
+//! most events concern several parts.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_consensus::{Consensus, NodeAddress};
@@ -16,85 +16,88 @@
 use crate::subscribers::{HeartbeatContext, SubscriberId, Subscribers};
 use crate::timer::Timer;
 
-/// How long after its start a controller waits for proxies to connect before it answers look-ups, unless another
-/// controller has told it of all of them.
+/// Time after the start within which proxies connect to this controller. Look-ups are not answered during
+/// this time, unless another controller has reported all proxies.
 const DIRECTORY_SETTLE_TIME: Span = Span::from_millis(700);
-/// By this time after its start all proxies have connected to a controller.
+/// Time after the start of a controller after which all proxies count as connected to it. Proxy counts are
+/// sent only then.
 const PROXY_SETTLE_TIME: Span = Span::from_millis(2_000);
 
-/// All that a controller knows.
+/// State of a controller.
 pub struct ControllerState {
-    /// This controller.
+    /// Control address of this controller.
     pub me: NodeAddress,
-    /// When it started.
+    /// Start time of the process.
     pub started_at: Time,
-    /// Its part in the consensus.
+    /// Consensus state machine.
     pub consensus: Consensus,
-    /// The configuration as committed.
+    /// Committed configuration.
     pub committed: CommittedConfig,
-    /// Calls that wait for the quorum.
+    /// HTTP requests that wait for the quorum.
     pub pending: PendingRequests,
-    /// Worker instances.
+    /// Worker instances and their failure detector.
     pub instances: Instances,
-    /// Proxies that subscribe here.
+    /// Proxies that are subscribed to this controller.
     pub subscribers: Subscribers,
-    /// The other controllers.
+    /// Connections to the other controllers.
     pub peers: PeerConnections,
-    /// When this controller, as the leader, changes the proxy membership.
+    /// Plans changes of the proxy membership while this controller leads.
     pub membership: MembershipPlanner,
-    /// Where clients may connect.
+    /// Proxies that clients may connect to.
     pub directory: Directory,
-    /// The consensus status as logged last.
+    /// Consensus status that was logged last.
     pub logged: LoggedStatus,
-    /// When the timer coroutine wakes.
+    /// Next wake-up of the timer coroutine.
     pub timer: Timer,
 }
 
 impl ControllerState {
-    /// The voters, and whoever else takes part in the consensus.
+    /// Returns the voters, the outgoing voter and the learners.
     pub fn members(&self) -> Vec<NodeAddress> {
         let outgoing = self.consensus.outgoing_voter();
         let learners = self.consensus.learners();
         self.consensus.voters().iter().chain(&outgoing).chain(&learners).map(|m| m.node).collect()
     }
 
-    /// How this controller stands to the quorum.
+    /// Returns the relation of this controller to the quorum.
     fn quorum_role(&self, now: Time) -> QuorumRole {
         QuorumRole::new(self.consensus.has_quorum_contact(now), self.consensus.is_established_leader())
     }
 
-    /// Whether what only the leader may say may be said here now.
+    /// Returns `true` if this controller is the established leader and has quorum contact. Only then may it
+    /// send data that the leader alone may send.
     pub fn is_active_leader(&self, now: Time) -> bool {
         self.quorum_role(now) == QuorumRole::Leader
     }
 
-    /// Logs what has changed in the consensus.
+    /// Logs changes of the consensus status.
     pub fn log_status(&mut self, now: Time) {
         self.logged.update(now, &self.consensus, self.me);
     }
 
     // ---- controllers ----
 
-    /// Another controller has sent something, or opened a connection.
-    pub fn on_peer_heard(&mut self, now: Time, peer: NodeAddress) {
+    /// Handles a heartbeat of another controller.
+    pub fn on_peer_heartbeat(&mut self, now: Time, peer: NodeAddress) {
         self.peers.peer_set.record_contact(now, peer);
         self.directory.on_controller_contact(now, peer);
         self.consensus.on_peer_seen(now, peer);
     }
 
-    /// The controllers that are known here, and whether these are all, as the leader says.
+    /// Returns the known controllers, and whether the list is complete, which only the active leader can
+    /// claim.
     fn known_controllers(&self, now: Time) -> (Vec<NodeAddress>, bool) {
         let controllers = self.peers.peer_set.addresses().chain([self.me]).collect();
         (controllers, self.is_active_leader(now))
     }
 
-    /// The message by which a new subscriber learns of the controllers.
+    /// Returns the message that lists the controllers for a new subscriber.
     pub fn controllers_message(&self, now: Time) -> ToProxy {
         let (controllers, is_complete) = self.known_controllers(now);
         ToProxy::Controllers { controllers, is_complete }
     }
 
-    /// Tells the subscribers which controllers there are, if that has changed.
+    /// Sends the list of controllers to all subscribers if it has changed.
     pub fn announce_controllers(&mut self, now: Time) {
         let (controllers, is_complete) = self.known_controllers(now);
         self.subscribers.announce_controllers(controllers, is_complete);
@@ -102,17 +105,18 @@
 
     // ---- directory ----
 
-    /// Whether the proxies that are connected here are all that there are.
+    /// Returns `true` if all proxies have had the time to connect to this controller.
     fn has_settled_directory(&self, now: Time) -> bool {
         now - self.started_at >= DIRECTORY_SETTLE_TIME
     }
 
-    /// Whether look-ups may be answered.
+    /// Returns `true` if look-ups may be answered.
     pub fn may_answer_lookups(&self, now: Time) -> bool {
         self.has_settled_directory(now) || self.directory.has_complete_view(now)
     }
 
-    /// All proxies that are connected here, for a controller that a connection was opened to.
+    /// Returns the message that lists all proxies connected to this controller, sent on a new connection to
+    /// another controller.
     pub fn proxy_snapshot(&self, now: Time) -> ToController {
         ToController::ProxyStatuses {
             statuses: self.directory.snapshot(now),
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Tells the other controllers what changed among the proxies that are connected here.
+    /// Sends changes of the proxies connected to this controller to the other controllers.
     pub fn publish_proxy_changes(&mut self, now: Time) {
         let statuses = self.directory.take_changes(now);
         if !statuses.is_empty() {
@@ -133,8 +137,8 @@
 
     // ---- subscribers ----
 
-    /// A subscriber has sent a heartbeat, which arrived at `received_at` at the earliest. False where the subscription has
-    /// ended.
+    /// Handles a heartbeat of a subscriber. `received_at` is the earliest time at which it can have
+    /// arrived. Returns `false` if the subscription has ended.
     pub fn on_subscriber_heartbeat(
         &mut self,
         now: Time,
@@ -161,8 +165,8 @@
         true
     }
 
-    /// A subscriber's connection has ended.
-    pub fn on_subscriber_gone(&mut self, id: SubscriberId) {
+    /// Handles the end of a subscriber's connection.
+    pub fn on_subscriber_disconnected(&mut self, id: SubscriberId) {
         if let Some(proxy) = self.subscribers.unsubscribe(id) {
             self.directory.on_disconnected(&proxy.node, proxy.incarnation);
         }
@@ -170,14 +174,14 @@
 
     // ---- instances ----
 
-    /// Has the failure detector know how this controller stands now.
+    /// Passes the current relation to the quorum to the failure detector.
     pub fn update_quorum_role(&mut self, now: Time) {
         let quorum_role = self.quorum_role(now);
         self.instances.detector.set_quorum_role(now, quorum_role);
     }
 
-    /// What another controller says of instances. That one tells its subscribers; the leader does so too, for those that
-    /// can't be reached from there.
+    /// Applies instance updates of another controller. The sender forwards them to its own subscribers; the
+    /// leader forwards them as well, for proxies that the sender cannot reach.
     pub fn on_instance_updates(&mut self, now: Time, instances: &[Instance]) {
         let changed = self.instances.detector.apply_updates(now, instances);
         if changed.is_empty() {
@@ -189,7 +193,8 @@
         }
     }
 
-    /// A worker has called here: the other controllers are told, and the subscribers if it changes anything for them.
+    /// Sends the result of a worker's heartbeat or deregistration to the other controllers and, if the
+    /// instance has changed for proxies, to the subscribers.
     pub fn publish_heartbeat(&mut self, outcome: HeartbeatOutcome) {
         if outcome.is_changed {
             self.instances.mark_changed();
--- a/crates/controller/src/status_api.rs
+++ b/crates/controller/src/status_api.rs
@@ -1,4 +1,4 @@
-//! `GET /status`: what this controller knows, without asking anybody.
+//! `GET /status`: the local status of this controller, without a quorum.
 
 use lynxstair_config::json::{Value, to_text};
 use lynxstair_net::server::Response;
@@ -7,7 +7,7 @@
 use crate::consensus_status::role_name;
 use crate::controller::Controller;
 
-/// The status as JSON; `docs/operators/control.md` has its fields.
+/// Returns the status as JSON. The fields are described in `docs/operators/control.md`.
 pub fn status(controller: &Controller) -> Response {
     let now = controller.alarms.now();
     let state = controller.state();
--- a/crates/controller/src/storage.rs
+++ b/crates/controller/src/storage.rs
@@ -1,5 +1,5 @@
-//! Where a controller keeps its persistent state. `tests/storage.rs` holds the contract of every store, and what a loss of
-//! power may leave of the one on disk.
+//! Persistent storage of a controller. `tests/storage.rs` checks the contract of all stores, and the
+//! recovery of the store on disk after a power failure.
 
 mod memory;
 mod schema_v1;
@@ -14,73 +14,73 @@
 pub use memory::MemoryStore;
 pub use sqlite::SqliteStore;
 
-/// Keeps the persistent state of the consensus, and the worker instances as last known.
+/// Stores the persistent state of the consensus, and the last known worker instances.
 pub trait Store: Send {
-    /// The state that was saved last; None where the disk holds nothing.
+    /// Returns the state that was saved last, or `None` if none is stored.
     fn load(&mut self) -> Result<Option<PersistentState>, StorageError>;
-    /// Returns once the state survives a loss of power.
+    /// Saves the state durably: it survives a power failure once this returns `Ok`.
     fn save(&mut self, state: &PersistentState) -> Result<(), StorageError>;
-    /// Whether nothing is held because what was held can't be read any more: this is no first start, whatever the
-    /// settings say.
+    /// Returns `true` if the store is empty because the previous data could not be read. The node must then
+    /// not bootstrap, whatever the settings say.
     fn is_emptied(&self) -> bool;
-    /// The encoded instances as saved last; empty where none are held.
+    /// Returns the encoded instances that were saved last; empty if none are stored.
     fn load_instances(&mut self) -> Result<Vec<u8>, StorageError>;
-    /// Saves the encoded instances.
+    /// Saves the encoded instances, replacing the previous ones.
     fn save_instances(&mut self, instances: &[u8]) -> Result<(), StorageError>;
 }
 
-/// Why stored data can't be read or written.
+/// Error on reading or writing stored data.
 #[derive(Debug)]
 pub enum StorageError {
-    /// The folder can't be made or synced. Trying again may help.
+    /// The data folder can't be created or synced. Retryable.
     Folder {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The disk refuses. Trying again may help, and the disk may hold the only copy.
+    /// The disk reports an error. Retryable, since the disk may hold the only copy of the state.
     Disk {
-        /// The database.
+        /// Path of the database.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: rusqlite::Error,
     },
-    /// Another process has the database open, and may be about to end.
+    /// Another process has the database open. Retryable, since that process may be about to exit.
     Locked {
-        /// The database.
+        /// Path of the database.
         path: PathBuf,
-        /// What SQLite says.
+        /// Error of SQLite.
         source: rusqlite::Error,
     },
-    /// No complete write left what is there. Trying again does not help.
+    /// The stored data is not the result of complete writes. Not retryable.
     Corrupt {
-        /// The database.
+        /// Path of the database.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Kind of corruption.
         reason: Corruption,
     },
-    /// The state can't be encoded.
+    /// The state can't be encoded. Not retryable.
     Encode(String),
 }
 
-/// What is wrong with a database.
+/// Kind of corruption of a database.
 #[derive(Debug)]
 pub enum Corruption {
-    /// SQLite finds it broken, or its tables are of another make.
+    /// SQLite reports a malformed database or an unexpected schema.
     Database(rusqlite::Error),
-    /// The write-ahead log is there without its database.
+    /// The write-ahead log exists, but its database is missing or empty.
     LogWithoutDatabase,
-    /// One of two rows that belong together is missing.
+    /// Only one of the two rows of the state exists.
     MissingRow,
-    /// The rows are not those of one write.
+    /// The rows do not come from the same write.
     DigestMismatch,
-    /// A row holds no state.
+    /// The content of a row is not an encoded state.
     Undecodable(String),
 }
 
 impl StorageError {
-    /// Whether the same call may succeed later.
+    /// Returns `true` if the same operation may succeed later.
     pub fn is_retryable(&self) -> bool {
         match self {
             StorageError::Folder { .. } | StorageError::Disk { .. } | StorageError::Locked { .. } => true,
@@ -97,7 +97,7 @@
                 write!(f, "{}: {source}", path.display())
             }
             StorageError::Corrupt { path, reason } => write!(f, "{}: {reason}", path.display()),
-            StorageError::Encode(why) => write!(f, "encoding the state: {why}"),
+            StorageError::Encode(why) => write!(f, "cannot encode the state: {why}"),
         }
     }
 }
@@ -117,10 +117,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Corruption::Database(source) => source.fmt(f),
-            Corruption::LogWithoutDatabase => f.write_str("a log without its database"),
-            Corruption::MissingRow => f.write_str("a part of the state is missing"),
-            Corruption::DigestMismatch => f.write_str("the state is not as it was written"),
-            Corruption::Undecodable(why) => write!(f, "the state can't be decoded: {why}"),
+            Corruption::LogWithoutDatabase => f.write_str("write-ahead log without its database"),
+            Corruption::MissingRow => f.write_str("one of the two rows of the state is missing"),
+            Corruption::DigestMismatch => f.write_str("digest mismatch between the rows of the state"),
+            Corruption::Undecodable(why) => write!(f, "cannot decode the state: {why}"),
         }
     }
 }
--- a/crates/controller/src/storage/memory.rs
+++ b/crates/controller/src/storage/memory.rs
@@ -1,10 +1,10 @@
-//! A store in memory, for tests and for a controller that was given no disk.
+//! In-memory store, for tests and for controllers without a data folder.
 
 use lynxstair_consensus::PersistentState;
 
 use super::{StorageError, Store};
 
-/// Holds everything until the process ends.
+/// Store that loses its data when the process exits.
 #[derive(Default)]
 pub struct MemoryStore {
     state: Option<PersistentState>,
--- a/crates/controller/src/storage/schema_v1.rs
+++ b/crates/controller/src/storage/schema_v1.rs
@@ -1,6 +1,6 @@
-//! The schema of the first landing, of 2026-12-02: one row, members without disk identities. Read once, after an update of
-//! the programs: a controller that took it for nothing would count as emptied, and all of them together would lose the
-//! configuration.
+//! Reads the first database schema, which has one row and members without disk identities. Used at the
+//! first start after an upgrade from it: if all controllers ignored the old table, the configuration would
+//! be lost.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     vote: Option<SocketAddr>,
     stamp: LogId,
     state: ReplicatedStateV1,
-    /// A number drawn when the disk was found emptied, until it was let in again.
+    /// Random number generated when the disk was found emptied; `None` once the node was readmitted.
     lost: Option<u64>,
 }
 
@@ -28,7 +28,7 @@
     book: Bytes,
 }
 
-/// What the database holds in that schema; None where there is no such table, or nothing in it.
+/// Reads the state in this schema. Returns `None` if the table does not exist or is empty.
 pub(super) fn read(connection: &Connection) -> Result<Option<PersistentState>, Corruption> {
     let table = "SELECT count(*) FROM sqlite_master WHERE type = 'table' AND name = 'record'";
     let tables = connection.query_row(table, [], |row| row.get::<_, i64>(0)).map_err(Corruption::Database)?;
@@ -39,7 +39,8 @@
     let Some(encoded) = row.optional().map_err(Corruption::Database)? else { return Ok(None) };
     let old: StateV1 =
         ciborium::from_reader(&encoded[..]).map_err(|e| Corruption::Undecodable(e.to_string()))?;
-    // One that was emptied and not let in yet has no vote under the number that it drew; the others are the founders.
+    // The voters are the founding members, with disk identity 0. A node whose disk was emptied and that is
+    // not yet a member again keeps its random number as disk identity, and so has no vote.
     let voters = old.state.members.into_iter().map(|node| Member { node, disk: 0 }).collect();
     Ok(Some(PersistentState {
         disk: old.lost.unwrap_or(0),
--- a/crates/controller/src/storage/sqlite.rs
+++ b/crates/controller/src/storage/sqlite.rs
@@ -1,4 +1,5 @@
-//! A store on disk: SQLite, synced before a write counts. File, table and column names lie on disks and stay.
+//! SQLite store on disk; each write is synced before it returns. File, table and column names are part of
+//! the stored format and must not change.
 
 use std::fs::{self, File};
 use std::io;
@@ -14,34 +15,37 @@
 
 const DATABASE: &str = "book.sqlite";
 const LOG: &str = "book.sqlite-wal";
-/// What could not be read is kept to be looked at, the last one only: its name, and the name that it gets.
+/// Files that are quarantined if they can't be read, each with its new name. Only the last quarantined
+/// files are kept.
 const QUARANTINE: [(&str, &str); 2] =
     [(DATABASE, "book.sqlite.unreadable"), (LOG, "book.sqlite-wal.unreadable")];
 
-/// One process and one thread use the database: no mapped index of the log, which the lock alone would need. A write is
-/// synced before it counts.
+/// The database has a single user, so the exclusive lock avoids the shared-memory index of the write-ahead
+/// log. `synchronous=FULL` syncs each transaction before it returns.
 const PRAGMAS: &str = "PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL;
     PRAGMA cache_size=-256; PRAGMA wal_autocheckpoint=200; PRAGMA journal_size_limit=1048576;";
-/// The configuration has a row of its own (`book`), so that a vote does not write it again. The state beside it (`head`)
-/// names it by its digest, so that a mixture of two writes is never taken for a state.
+/// The configuration has a row of its own (`book`), so that saving a vote does not write it again. The rest
+/// of the state (`head`) contains the digest of the configuration, so that rows of two different writes are
+/// detected.
 const SCHEMA: &str =
     "CREATE TABLE IF NOT EXISTS head (one INTEGER PRIMARY KEY CHECK (one = 1), held BLOB NOT NULL,
        book BLOB NOT NULL, digest BLOB NOT NULL);
      CREATE TABLE IF NOT EXISTS book (one INTEGER PRIMARY KEY CHECK (one = 1), held BLOB NOT NULL);
      CREATE TABLE IF NOT EXISTS lives (one INTEGER PRIMARY KEY CHECK (one = 1), held BLOB NOT NULL);";
 
-/// The configuration that is on the disk, with its digest.
+/// A stored configuration with its digest.
 type StoredConfig = (Bytes, [u8; digest::LENGTH]);
 
-/// The store on disk.
+/// Store on disk.
 pub struct SqliteStore {
     path: PathBuf,
     connection: Connection,
+    /// Configuration that is known to be on disk; `None` if there is none or after a failed write.
     config: Option<StoredConfig>,
     is_emptied: bool,
 }
 
-/// The row of `head`.
+/// Row of the table `head`.
 struct Head {
     encoded: Vec<u8>,
     config_digest: Vec<u8>,
@@ -49,9 +53,10 @@
 }
 
 impl SqliteStore {
-    /// Opens what the folder holds. What no complete write left is quarantined, and the disk counts as emptied. What the
-    /// disk refuses to give is not: it may hold the only copy, and give it later. `should_retry` waits, and says whether
-    /// to try again then.
+    /// Opens the database in `folder`, and creates both if needed. Quarantines a corrupt database and
+    /// starts with an empty one, which counts as emptied. On a retryable error the files are left alone, as
+    /// they may hold the only copy of the state; `should_retry` then waits and returns whether to try
+    /// again.
     pub fn open(
         folder: &Path,
         mut should_retry: impl FnMut(&StorageError) -> bool,
@@ -78,7 +83,7 @@
         create_folder(folder).map_err(|source| folder_error(folder, source))?;
         let length = |name: &str| fs::metadata(folder.join(name)).map_or(0, |m| m.len());
         if length(DATABASE) == 0 && length(LOG) > 0 {
-            // SQLite would take this for a new database, and remove the log.
+            // SQLite would treat this as a new database and delete the log.
             return Err(StorageError::Corrupt { path, reason: Corruption::LogWithoutDatabase });
         }
         let connection = Connection::open(&path).map_err(|e| sqlite_error(&path, e))?;
@@ -87,7 +92,7 @@
         let mut store = SqliteStore { path, connection, config: None, is_emptied: false };
         let is_quarantined = QUARANTINE.iter().any(|(_, name)| folder.join(name).exists());
         store.is_emptied = store.load()?.is_none() && is_quarantined;
-        // Its files may be new, the log at each start: they last once the folder that names them is synced.
+        // Makes newly created files durable; the log is created at each start.
         sync_folder(folder).map_err(|source| folder_error(folder, source))?;
         Ok(store)
     }
@@ -108,14 +113,14 @@
         row.optional().map_err(|e| self.error(e))
     }
 
-    /// The one blob of a table that holds nothing else.
+    /// Reads the single blob of a table with one row.
     fn read_blob(&self, table: &str) -> Result<Option<Vec<u8>>, StorageError> {
         let query = format!("SELECT held FROM {table}");
         let row = self.connection.query_row(&query, [], |row| row.get(0));
         row.optional().map_err(|e| self.error(e))
     }
 
-    /// The state that two rows hold together.
+    /// Decodes the state from its two rows. Fails if they do not come from the same write.
     fn decode(&mut self, head: &Head, config: Vec<u8>) -> Result<PersistentState, Corruption> {
         let config_digest = digest::of([&config[..]]);
         let expected = digest::of([&head.encoded[..], &head.config_digest]);
@@ -129,7 +134,7 @@
         Ok(state)
     }
 
-    /// Writes both rows or none of them.
+    /// Writes the rows in one transaction. `config` is `None` if its row is unchanged.
     fn write(
         &mut self,
         encoded: &[u8],
@@ -161,7 +166,8 @@
 
     fn save(&mut self, state: &PersistentState) -> Result<(), StorageError> {
         let config = &state.state.config;
-        // Taken out: where the write fails, it is not known what the disk holds, and all is written the next time.
+        // Cleared until the write succeeds: after a failure the content of the disk is unknown, and the
+        // next save writes both rows.
         let on_disk = self.config.take().filter(|(stored, _)| stored == config);
         let is_new = on_disk.is_none();
         let config_digest = on_disk.map_or_else(|| digest::of([&config.0[..]]), |(_, digest)| digest);
@@ -206,7 +212,7 @@
             | ErrorCode::PermissionDenied
             | ErrorCode::ReadOnly,
         ) => StorageError::Disk { path, source },
-        // Not a database, a broken one, or tables of another make.
+        // Not a database, a malformed one, or an unexpected schema.
         _ => StorageError::Corrupt { path, reason: Corruption::Database(source) },
     }
 }
@@ -215,7 +221,7 @@
     File::open(folder)?.sync_all()
 }
 
-/// Makes the folder so that it lasts: each one that is made is named in the one above it, which is synced.
+/// Creates the folder and its missing parents durably, by syncing the parent of each new folder.
 fn create_folder(folder: &Path) -> io::Result<()> {
     if folder.is_dir() {
         return Ok(());
@@ -229,10 +235,11 @@
     sync_folder(parent.unwrap_or(Path::new(".")))
 }
 
+/// Renames unreadable files, so that a new database can be created.
 fn quarantine(folder: &Path) -> io::Result<()> {
     for (name, quarantined) in QUARANTINE {
         match fs::rename(folder.join(name), folder.join(quarantined)) {
-            // A log that was quarantined before stays: the database beside it is another one, and it is of no use.
+            // A log quarantined earlier may remain next to a newer database; it is then of no use.
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             result => result?,
         }
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -1,4 +1,5 @@
-//! The proxies that subscribe to this controller: what they are sent, and the quotas that are split over them.
+//! Subscriptions of proxies to this controller: configuration updates, instances, heartbeat
+//! acknowledgements and quota shares.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,36 +18,38 @@
 use crate::committed_config::CommittedConfig;
 use crate::peer_connections::{MAX_UNSENT_BYTES, send};
 
-/// The number of a subscription; another one for each connection.
+/// Number of a subscription. Each connection gets a new one.
 pub type SubscriberId = u64;
 
-/// A proxy that subscribes.
+/// A subscribed proxy.
 struct Subscriber {
     connection: Arc<Connection>,
     proxy: ProxyInfo,
-    /// How many proxies there are in each zone, as it was last told.
+    /// Number of proxies in each zone that was last sent to it.
     proxy_counts: Vec<(String, u32)>,
     subscription: Subscription,
 }
 
-/// What of the controller a heartbeat is answered by.
+/// State of the controller that determines the response to a heartbeat.
 pub struct HeartbeatContext<'a> {
-    /// The committed configuration.
+    /// Committed configuration.
     pub committed: &'a CommittedConfig,
-    /// This controller leads, in contact with the quorum. What the leader alone says (quota shares, proxy counts) it says
-    /// only then: else another may lead by now.
+    /// `true` if this controller is the established leader and has quorum contact. It sends quota shares
+    /// and proxy counts only then, because otherwise another controller may lead already.
     pub is_active_leader: bool,
-    /// It leads, as far as it knows. Out of contact for a moment, it forgets nothing that it was told.
+    /// `true` if this controller is the established leader, with or without quorum contact. It keeps the
+    /// reports of proxies when it loses quorum contact for a short time.
     pub is_established_leader: bool,
-    /// When it was last certain that no newer configuration was committed.
+    /// Latest time at which its committed configuration was confirmed to be the newest one.
     pub confirmed_at: Option<Time>,
-    /// It has been up for long enough that every proxy has found it, so that it may say how many there are.
+    /// `true` if this controller has run long enough for all proxies to connect, so that it may send their
+    /// counts.
     pub knows_all_proxies: bool,
-    /// It leads, and every instance that counts as ready is confirmed.
+    /// `true` if this controller leads and all ready instances are confirmed.
     pub knows_instances: bool,
 }
 
-/// All subscriptions.
+/// All subscriptions to this controller.
 pub struct Subscribers {
     subscribers: HashMap<SubscriberId, Subscriber>,
     last_id: SubscriberId,
@@ -54,16 +57,18 @@
     announced: AnnouncedControllers,
 }
 
-/// Which controllers the subscribers were told of.
+/// Controllers that were last announced to the subscribers.
 #[derive(Default)]
 struct AnnouncedControllers {
-    /// The last complete list, as long as this controller leads.
+    /// Last complete list; empty if the last list was incomplete.
     complete: Vec<NodeAddress>,
+    /// Length of the last announced list.
     count: usize,
 }
 
 impl AnnouncedControllers {
-    /// Whether the subscribers need to be told this list; if so, it counts as announced.
+    /// Records the list as announced and returns `true` if it must be sent to the subscribers. A complete
+    /// list must be sent if it has changed, an incomplete one if it is longer than the last.
     fn advance(&mut self, controllers: &[NodeAddress], is_complete: bool) -> bool {
         if !is_complete {
             self.complete.clear();
@@ -81,9 +86,9 @@
 }
 
 impl Subscribers {
-    /// No subscriptions yet.
+    /// Creates an empty set of subscriptions.
     pub fn new(bounds: &Bounds) -> Subscribers {
-        let grant = QuotaTolerance {
+        let tolerance = QuotaTolerance {
             window: bounds.quota_window,
             slack: bounds.quota_slack,
             overshoot: bounds.quota_overshoot,
@@ -91,12 +96,12 @@
         Subscribers {
             subscribers: HashMap::new(),
             last_id: 0,
-            quotas: QuotaAllocator::new(grant),
+            quotas: QuotaAllocator::new(tolerance),
             announced: AnnouncedControllers::default(),
         }
     }
 
-    /// Sends to every subscriber.
+    /// Sends a message to all subscribers.
     pub fn broadcast(&self, message: &ToProxy) {
         if self.subscribers.is_empty() {
             return;
@@ -105,19 +110,19 @@
         self.subscribers.values().for_each(|s| transport::write(&s.connection, &frame, MAX_UNSENT_BYTES));
     }
 
-    /// Sends instances that changed to every subscriber.
+    /// Sends changed instances to all subscribers.
     pub fn broadcast_instances(&self, instances: Vec<Instance>) {
         self.broadcast(&ToProxy::Instances { instances, is_snapshot: false });
     }
 
-    /// Tells every subscriber which controllers there are, if that has changed.
+    /// Sends the list of controllers to all subscribers if it has changed.
     pub fn announce_controllers(&mut self, controllers: Vec<NodeAddress>, is_complete: bool) {
         if self.announced.advance(&controllers, is_complete) {
             self.broadcast(&ToProxy::Controllers { controllers, is_complete });
         }
     }
 
-    /// A proxy subscribes; an earlier subscription of it ends.
+    /// Adds a subscription. Replaces an earlier one of the same proxy.
     pub fn subscribe(&mut self, connection: &Arc<Connection>, proxy: ProxyInfo) -> SubscriberId {
         self.subscribers.retain(|_, subscriber| subscriber.proxy.node != proxy.node);
         self.last_id += 1;
@@ -131,23 +136,25 @@
         self.last_id
     }
 
-    /// A subscription has ended; its proxy, unless that has subscribed again.
+    /// Removes a subscription. Returns its proxy, or `None` if a newer subscription of the proxy has
+    /// replaced it.
     pub fn unsubscribe(&mut self, id: SubscriberId) -> Option<ProxyInfo> {
         self.subscribers.remove(&id).map(|subscriber| subscriber.proxy)
     }
 
-    /// The proxy of a subscription that stands.
+    /// Returns the proxy of a subscription, or `None` if the subscription has ended.
     pub fn proxy(&self, id: SubscriberId) -> Option<&ProxyInfo> {
         self.subscribers.get(&id).map(|subscriber| &subscriber.proxy)
     }
 
-    /// A configuration was committed here, on the leader: it goes to every subscriber that has none in flight.
+    /// Sends a newly committed configuration to every subscriber that has no update in flight. Called on
+    /// the leader.
     pub fn publish_config(&mut self, now: Time, committed: &CommittedConfig) {
         let store = &committed.store;
         if let Some(configuration) = store.configuration() {
             self.quotas.retain_tenants(&configuration.tenants);
         }
-        // Subscribers that hold the same revision get the same bytes.
+        // Encoded updates by the revision that they start from.
         let mut frames: HashMap<u64, Vec<u8>> = HashMap::new();
         for subscriber in self.subscribers.values_mut() {
             let subscription = &mut subscriber.subscription;
@@ -162,7 +169,8 @@
         }
     }
 
-    /// A subscriber has sent a heartbeat: it gets what it lacks, and the acknowledgement.
+    /// Responds to a heartbeat: sends the configuration update that is due, the acknowledgement and, on the
+    /// leader, proxy counts and quota shares.
     pub fn on_heartbeat(
         &mut self,
         now: Time,
@@ -183,14 +191,16 @@
         send(&subscriber.connection, &acknowledgement);
         let proxy = &subscriber.proxy;
         self.quotas.on_proxy_seen(now, &proxy.node, &proxy.zone, context.is_established_leader);
-        // Read also by a follower: it should not stand still for it when it becomes leader.
+        // A follower parses the configuration too, so that it is not blocked by that when it becomes
+        // leader.
         let configuration = context.committed.store.configuration();
         if let Some(configuration) = configuration.filter(|_| context.is_active_leader) {
             self.update_quotas(now, id, heartbeat, &configuration.tenants, context.knows_all_proxies);
         }
     }
 
-    /// Takes over a proxy's usage, and sends it what the leader has to say.
+    /// Records the usage that a proxy reports. Sends it changed proxy counts and quota shares, and blocks
+    /// tenants at all proxies if their quota is used up.
     fn update_quotas(
         &mut self,
         now: Time,
@@ -207,7 +217,8 @@
         let report =
             UsageReport { usage: &heartbeat.usage, received_shares: heartbeat.received_shares_number };
         let blocked = quotas.report_usage(now, &proxy.node, &proxy.zone, &report, tenants);
-        // A leader that has just begun has not been found by all proxies, and each would take too large a part.
+        // Shortly after the start, not all proxies are connected. With counts that are too low, each proxy
+        // would take too large a share.
         let counts = quotas.proxy_counts();
         if counts != subscriber.proxy_counts && knows_all_proxies {
             send(&subscriber.connection, &ToProxy::ProxyCounts(counts.clone()));
--- a/crates/controller/src/timer.rs
+++ b/crates/controller/src/timer.rs
@@ -1,4 +1,4 @@
-//! When the timer coroutine wakes next, and how it is woken sooner.
+//! Wake-up time of the timer coroutine, which can be moved forward while it sleeps.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 use lynxstair_net::alarms::Alarms;
 use may::sync::Blocker;
 
-/// The next wake-up.
+/// Next wake-up of the timer coroutine, with its blocker; `None` before its first sleep.
 #[derive(Default)]
 pub struct Timer(Option<(Time, Arc<Blocker>)>);
 
 impl Timer {
-    /// The timer coroutine is about to sleep until then.
+    /// Records that the timer coroutine is about to sleep until `due`.
     pub fn set(&mut self, due: Time, blocker: &Arc<Blocker>) {
         self.0 = Some((due, blocker.clone()));
     }
 
-    /// Something is due then: the coroutine wakes by that time.
+    /// Makes the timer coroutine wake at `due` if it would wake later.
     pub fn wake_by(&mut self, alarms: &Alarms, due: Time) {
         if let Some((at, blocker)) = &mut self.0
             && due < *at
--- a/crates/controller/src/timers.rs
+++ b/crates/controller/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timer coroutine: has the consensus act when something is due there, and does the periodic upkeep.
+//! Timer coroutine: runs due timers of the consensus and periodic maintenance.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
 use crate::peer_links;
 use crate::state::ControllerState;
 
-/// How often the periodic upkeep is done.
-const UPKEEP_INTERVAL: Span = Span::from_millis(500);
-/// The coroutine wakes no more often than this by itself.
+/// Interval of the periodic maintenance.
+const MAINTENANCE_INTERVAL: Span = Span::from_millis(500);
+/// Minimum sleep of the coroutine, unless another one wakes it.
 const MIN_SLEEP: Span = Span::from_millis(2);
 
-/// Runs for ever; for a coroutine of its own.
+/// Runs the timers; never returns. Must be called in a coroutine of its own.
 pub fn run(controller: &Arc<Controller>) {
-    let mut upkeep_at = controller.alarms.now();
+    let mut maintenance_at = controller.alarms.now();
     loop {
         let blocker = Blocker::current();
         let now = controller.alarms.now();
@@ -27,11 +27,11 @@
             let mut state = controller.state();
             state.consensus.tick(now);
             perform_actions(controller, now, &mut state);
-            if now >= upkeep_at {
-                upkeep_at = now + UPKEEP_INTERVAL;
-                do_upkeep(controller, now, &mut state);
+            if now >= maintenance_at {
+                maintenance_at = now + MAINTENANCE_INTERVAL;
+                run_maintenance(controller, now, &mut state);
             }
-            let due = state.consensus.next_due().min(upkeep_at).max(now + MIN_SLEEP);
+            let due = state.consensus.next_due().min(maintenance_at).max(now + MIN_SLEEP);
             state.timer.set(due, &blocker);
             due
         };
@@ -40,7 +40,7 @@
     }
 }
 
-fn do_upkeep(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
+fn run_maintenance(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
     check_instances(controller, now, state);
     peer_links::maintain(controller, now, state);
     state.publish_proxy_changes(now);
@@ -48,7 +48,8 @@
     state.log_status(now);
 }
 
-/// Has a change of the proxy membership replicated, where one is due. It is tried again until it is committed.
+/// Proposes a change of the proxy membership if one is due. The planner returns it again until it is
+/// committed.
 fn propose_membership(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
     let is_leading = state.is_active_leader(now) && !state.committed.is_unreadable;
     let Some(membership) = state.membership.plan(now, is_leading, &state.committed.store.membership) else {
@@ -66,7 +67,7 @@
     }
 }
 
-/// Publishes which instances have become unresponsive, and has changed ones stored.
+/// Publishes instances that have become unresponsive, and stores changed instances.
 fn check_instances(controller: &Controller, now: Time, state: &mut ControllerState) {
     state.update_quorum_role(now);
     let unresponsive = state.instances.detector.detect_unresponsive(now);
