--- a/crates/controller/examples/state.rs
+++ b/crates/controller/examples/state.rs
@@ -1,5 +1,5 @@
-//! What one change of the configuration costs, by the size of its state: time, bytes, disk, memory. One size a run, so that the
-//! peak of memory is its own:
+//! Measures the cost of configuration changes for one size of the state: time, bytes, disk and memory. Each
+//! run measures one size, as the peak memory is that of the process:
 //!
 //!     cargo run --profile system -p lynxstair-controller --example state -- KILOBYTES [CHANGES]
 
@@ -26,7 +26,8 @@
     )
 }
 
-/// A configuration of about so many bytes: routes and tenants by turns, as on the operators' sites.
+/// Returns the number of routes and the JSON text of a configuration of about `bytes` bytes, with three
+/// routes per tenant.
 fn configuration(bytes: usize) -> (usize, String) {
     let count = bytes.div_ceil(160).max(4);
     let routes: Vec<String> = (0..count * 3 / 4).map(|n| route(n, 3.0)).collect();
@@ -54,33 +55,33 @@
     )
 }
 
-fn taken(store: &ConfigStore, order: &Command) -> ConfigStore {
-    match store.apply(order, &[]) {
+fn accepted(store: &ConfigStore, command: &Command) -> ConfigStore {
+    match store.apply(command, &[]) {
         CommandOutcome::Accepted(store) => *store,
         other => panic!("{other:?}"),
     }
 }
 
-/// The middle one of the times of each step, in milliseconds.
+/// Measured times by step, in milliseconds.
 #[derive(Default)]
-struct Times(Vec<(&'static str, Vec<f64>)>);
+struct StepTimes(Vec<(&'static str, Vec<f64>)>);
 
-impl Times {
-    fn of<T>(&mut self, step: &'static str, what: impl FnOnce() -> T) -> T {
+impl StepTimes {
+    fn measure<T>(&mut self, step: &'static str, run: impl FnOnce() -> T) -> T {
         let began = Instant::now();
-        let got = what();
+        let result = run();
         let ms = began.elapsed().as_secs_f64() * 1e3;
         match self.0.iter_mut().find(|(s, _)| *s == step) {
             Some((_, all)) => all.push(ms),
             None => self.0.push((step, vec![ms])),
         }
-        got
+        result
     }
 
     fn print(&mut self) {
         for (step, all) in &mut self.0 {
             all.sort_by(f64::total_cmp);
-            println!("{step:<42} {:9.3} ms, most {:9.3} ms", all[all.len() / 2], all[all.len() - 1]);
+            println!("{step:<42} median {:9.3} ms, max {:9.3} ms", all[all.len() / 2], all[all.len() - 1]);
         }
     }
 }
@@ -91,37 +92,37 @@
     line.trim().trim_end_matches(" kB").trim().parse().unwrap_or(0)
 }
 
-#[allow(clippy::too_many_lines, reason = "a list of measurements, one after the other")]
+#[allow(clippy::too_many_lines, reason = "a linear sequence of measurements")]
 fn main() {
-    let mut words = std::env::args().skip(1);
-    let kilobytes: usize = words.next().and_then(|w| w.parse().ok()).unwrap_or(50);
-    let changes: u64 = words.next().and_then(|w| w.parse().ok()).unwrap_or(500);
+    let mut arguments = std::env::args().skip(1);
+    let kilobytes: usize = arguments.next().and_then(|w| w.parse().ok()).unwrap_or(50);
+    let changes: u64 = arguments.next().and_then(|w| w.parse().ok()).unwrap_or(500);
     let (routes, text) = configuration(kilobytes * 1000);
     let folder = tempfile::tempdir().expect("a folder");
-    let mut times = Times::default();
+    let mut times = StepTimes::default();
     let mut sqlite = SqliteStore::open(folder.path(), |_| false).expect("open");
     println!("configuration {} bytes, {routes} routes; {changes} changes", text.len());
-    let mut order = Command::new(Operation::Put(text.into_bytes()));
-    times.of("PUT: read, before the lock", || order.parse());
-    let mut store = times.of("PUT: rule", || taken(&ConfigStore::default(), &order));
+    let mut command = Command::new(Operation::Put(text.into_bytes()));
+    times.measure("PUT: parse, without the state lock", || command.parse());
+    let mut store = times.measure("PUT: apply", || accepted(&ConfigStore::default(), &command));
     println!("peak memory of a PUT {} kB", peak_kb());
     let state = store.encode();
-    let mut agreed = times
-        .of("a controller: read a PUT that was agreed on", || ConfigStore::decode(&state).expect("read"));
-    times.of("a new leader: read what it says", || assert!(agreed.configuration().is_some()));
-    let (mut replica, mut steps) = (ConfigReplica::default(), DeltaLog::default());
-    let first = agreed.clone();
-    let page = times.of("a controller: write the whole for the proxies", || steps.encode_update(&agreed, 0));
-    let whole = page.len();
-    times.of("a proxy: take the whole", || {
-        assert!(replica.apply_update(Time::from_nanos(1), agreed.revision, &page));
+    let mut committed =
+        times.measure("controller: decode a committed PUT", || ConfigStore::decode(&state).expect("read"));
+    times.measure("new leader: parse the configuration", || assert!(committed.configuration().is_some()));
+    let (mut replica, mut deltas) = (ConfigReplica::default(), DeltaLog::default());
+    let first = committed.clone();
+    let update = times.measure("controller: encode the snapshot", || deltas.encode_update(&committed, 0));
+    let snapshot_len = update.len();
+    times.measure("proxy: apply the snapshot", || {
+        assert!(replica.apply_update(Time::from_nanos(1), committed.revision, &update));
     });
-    let mut proxy = 0;
+    let mut delta_bytes = 0;
     for generation in 2..2 + changes {
-        let mut order = Command::new(patch(generation, routes));
-        times.of("PATCH of one route: read, before the lock", || order.parse());
-        let new = times.of("PATCH of one route: rule", || taken(&store, &order));
-        let state = times.of("serialise the state", || new.encode());
+        let mut command = Command::new(patch(generation, routes));
+        times.measure("PATCH of a route: parse, without the lock", || command.parse());
+        let new = times.measure("PATCH of a route: apply", || accepted(&store, &command));
+        let state = times.measure("encode the state", || new.encode());
         let record = PersistentState {
             state: ReplicatedState {
                 config: Bytes(std::sync::Arc::new(state)),
@@ -129,30 +130,30 @@
             },
             ..PersistentState::default()
         };
-        times.of("save, synced", || sqlite.save(&record).expect("saved"));
-        let newer = times.of("a controller: read what was agreed on", || {
-            agreed.decode_next(&record.state.config.0).expect("read")
+        times.measure("save and sync", || sqlite.save(&record).expect("saved"));
+        let newer = times.measure("controller: decode the committed state", || {
+            committed.decode_next(&record.state.config.0).expect("read")
         });
-        let page = times.of("a controller: write what changed for the proxies", || {
-            steps.record(&agreed, &newer);
-            steps.encode_update(&newer, replica.delta_base())
+        let update = times.measure("controller: encode the delta", || {
+            deltas.record(&committed, &newer);
+            deltas.encode_update(&newer, replica.delta_base())
         });
-        (store, agreed) = (new, newer);
-        proxy += page.len();
-        times.of("a proxy: take what changed", || {
-            assert!(replica.apply_update(Time::from_nanos(2), agreed.revision, &page));
+        (store, committed) = (new, newer);
+        delta_bytes += update.len();
+        times.measure("proxy: apply the delta", || {
+            assert!(replica.apply_update(Time::from_nanos(2), committed.revision, &update));
         });
     }
-    // A member that was away through all of them, and one with an empty disk: one state brings either up.
+    // A node that missed all changes, and one with an empty disk, catch up with one state.
     let state = store.encode();
     let stale = first;
-    times.of("catch up: read, after all changes", || assert!(stale.decode_next(&state).is_some()));
-    times.of("catch up: read, on an empty disk", || assert!(ConfigStore::decode(&state).is_some()));
-    let page = times
-        .of("catch up: write the whole for the proxies", || DeltaLog::default().encode_update(&agreed, 0));
-    let mut late = ConfigReplica::default();
-    times.of("catch up: a new proxy takes it", || {
-        assert!(late.apply_update(Time::from_nanos(3), agreed.revision, &page));
+    times.measure("catch up: decode after all changes", || assert!(stale.decode_next(&state).is_some()));
+    times.measure("catch up: decode on an empty disk", || assert!(ConfigStore::decode(&state).is_some()));
+    let update =
+        times.measure("catch up: encode the snapshot", || DeltaLog::default().encode_update(&committed, 0));
+    let mut new_replica = ConfigReplica::default();
+    times.measure("catch up: apply at a new proxy", || {
+        assert!(new_replica.apply_update(Time::from_nanos(3), committed.revision, &update));
     });
     times.print();
     let on_disk: u64 = std::fs::read_dir(folder.path())
@@ -161,14 +162,14 @@
         .sum();
     drop(sqlite);
     let mut sqlite = SqliteStore::open(folder.path(), |_| false).expect("open");
-    let mut times = Times::default();
-    times.of("load after a start", || assert!(sqlite.load().expect("loads").is_some()));
-    times.of("GET: write the configuration", || store.to_json().map(|t| t.len()));
+    let mut times = StepTimes::default();
+    times.measure("load at the start", || assert!(sqlite.load().expect("loads").is_some()));
+    times.measure("GET: encode the configuration", || store.to_json().map(|t| t.len()));
     times.print();
     println!(
-        "state {} bytes; to a proxy {whole} bytes, then {} a change; on disk {on_disk} bytes; peak memory {} kB",
+        "state {} bytes; to a proxy {snapshot_len} bytes, then {} a change; on disk {on_disk} bytes; peak memory {} kB",
         store.encode().len(),
-        proxy / changes as usize,
+        delta_bytes / changes as usize,
         peak_kb()
     );
 }
--- a/crates/controller/tests/cluster.rs
+++ b/crates/controller/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! A core of controllers as programs on loopback, workers, an operator and proxies played here. Nothing waits for a time:
-//! what is to come is asked for until it is there.
+//! Runs a cluster of controller processes on loopback. The tests act as workers, operator and proxies, and
+//! poll for each expected state instead of sleeping.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
@@ -15,10 +15,10 @@
 use nix::unistd::Pid;
 use tempfile::TempDir;
 
-/// A process told to end has this long, by the operators' usual grace.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time-out of a graceful shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// One call on a connection of its own, not read yet.
+/// Sends a request on a new connection, without reading the response.
 fn send(to: SocketAddr, head: &str, body: &str) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
@@ -49,14 +49,14 @@
     )
 }
 
-/// Controllers by their number, each at an address of its own.
-struct Core {
+/// Controller processes by number, each with its own loopback address.
+struct Cluster {
     folder: TempDir,
     net: String,
     controllers: HashMap<usize, Child>,
 }
 
-impl Drop for Core {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for child in self.controllers.values_mut() {
             let _ = child.kill();
@@ -65,25 +65,25 @@
     }
 }
 
-impl Core {
-    /// `test`: another number for each, as tests of one process run at once.
-    fn new(test: u32) -> Core {
+impl Cluster {
+    /// Creates a cluster without processes. `test` must differ between tests, as they run concurrently.
+    fn new(test: u32) -> Cluster {
         let net = format!("127.{}.{}", 160 + test, std::process::id() % 250);
-        Core { folder: tempfile::tempdir().expect("a folder"), net, controllers: HashMap::new() }
+        Cluster { folder: tempfile::tempdir().expect("a folder"), net, controllers: HashMap::new() }
     }
 
-    fn at(&self, n: usize) -> SocketAddr {
+    fn control_address(&self, n: usize) -> SocketAddr {
         format!("{}.{n}:8383", self.net).parse().expect("an address")
     }
 
     fn directory(&self, n: usize) -> SocketAddr {
-        SocketAddr::new(self.at(n).ip(), 8385)
+        SocketAddr::new(self.control_address(n).ip(), 8385)
     }
 
-    /// Puts a controller's settings in place, whole.
-    fn settle(&self, n: usize, seeds: &[usize], bootstrap: bool) -> std::path::PathBuf {
-        let own = self.at(n);
-        let seeds: String = seeds.iter().map(|s| format!("  - \"{}\"\n", self.at(*s))).collect();
+    /// Replaces the settings file of a controller atomically, and returns its path.
+    fn write_settings(&self, n: usize, seeds: &[usize], bootstrap: bool) -> std::path::PathBuf {
+        let own = self.control_address(n);
+        let seeds: String = seeds.iter().map(|s| format!("  - \"{}\"\n", self.control_address(*s))).collect();
         let data = self.folder.path().join(format!("controller{n}"));
         let text = format!(
             "node-name: \"controller{n}\"\nip: \"{}\"\nzone: \"z1\"\nregion: \"r1\"\nzones:\n  z1: \"r1\"\nbind:\n  \
@@ -102,7 +102,7 @@
     }
 
     fn start(&mut self, n: usize, seeds: &[usize], bootstrap: bool) {
-        let file = self.settle(n, seeds, bootstrap);
+        let file = self.write_settings(n, seeds, bootstrap);
         let child = Command::new(env!("CARGO_BIN_EXE_lynxstair-controller"))
             .env("LYNXSTAIR_BOOT", &file)
             .stderr(self.log(n))
@@ -111,7 +111,7 @@
         self.controllers.insert(n, child);
     }
 
-    /// The first controller's log is on a disk that is full: what can't be logged ends nothing.
+    /// Returns the log output of a controller. The first one logs to a full disk, which must not stop it.
     fn log(&self, n: usize) -> Stdio {
         match std::fs::File::options().write(true).open("/dev/full") {
             Ok(full) if n == 1 => full.into(),
@@ -123,53 +123,55 @@
         kill(Pid::from_raw(self.controllers[&n].id() as i32), signal).expect("signalled");
     }
 
-    /// What a controller says of itself.
+    /// Returns the status of a controller, or `None` if it does not respond.
     fn status(&self, n: usize) -> Option<Object> {
-        let message = call(self.at(n), "GET /status", "")?;
+        let message = call(self.control_address(n), "GET /status", "")?;
         match json::parse(&message.body) {
             Ok(Value::Object(all)) => Some(all),
             _ => None,
         }
     }
 
-    fn says(&self, n: usize, key: &str) -> String {
+    /// Returns a field of the status as JSON text; empty if it is not available.
+    fn status_field(&self, n: usize, key: &str) -> String {
         let value = self.status(n).and_then(|all| json::get(&all, key).cloned());
         value.and_then(|v| v.stringify().ok()).unwrap_or_default()
     }
 
     fn leader(&self) -> Option<usize> {
-        self.controllers.keys().copied().find(|n| self.says(*n, "role") == "\"leader\"")
+        self.controllers.keys().copied().find(|n| self.status_field(*n, "role") == "\"leader\"")
     }
 
-    /// The operator's order, to any controller, where it is sent on and again until it is clear.
-    fn order(&self, head: &str, body: &str) -> u16 {
+    /// Sends an operator request to the controllers until one of them responds with a status other than 307
+    /// and 503.
+    fn operator_request(&self, head: &str, body: &str) -> u16 {
         wait_until(head, || {
             self.controllers.keys().find_map(|n| {
-                let status = call(self.at(*n), head, body)?.status();
+                let status = call(self.control_address(*n), head, body)?.status();
                 (status != 307 && status != 503).then_some(status)
             })
         })
     }
 }
 
-/// A proxy's line to a controller.
-struct Line(TcpStream, Vec<u8>);
+/// Connection to the internal address of a controller, with the unread bytes.
+struct InternalConnection(TcpStream, Vec<u8>);
 
-impl Line {
-    fn open(controller: SocketAddr) -> Line {
+impl InternalConnection {
+    fn open(controller: SocketAddr) -> InternalConnection {
         let stream = TcpStream::connect(SocketAddr::new(controller.ip(), 7460)).expect("connected");
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
-        Line(stream, Vec::new())
+        InternalConnection(stream, Vec::new())
     }
 
-    fn say(&mut self, word: &ToController) {
+    fn send(&mut self, message: &ToController) {
         let mut out = Vec::new();
-        frames::encode(word, &mut out);
+        frames::encode(message, &mut out);
         self.0.write_all(&out).expect("written");
     }
 
-    fn ping(&mut self, readiness: Readiness) {
-        self.say(&ToController::Heartbeat(ProxyHeartbeat {
+    fn send_heartbeat(&mut self, readiness: Readiness) {
+        self.send(&ToController::Heartbeat(ProxyHeartbeat {
             membership_revision: 0,
             clock: 1,
             revision: 0,
@@ -180,161 +182,186 @@
         }));
     }
 
-    fn hear(&mut self) -> ToProxy {
+    fn receive(&mut self) -> ToProxy {
         loop {
-            if let Some((word, length)) = frames::decode(&self.1).expect("a word") {
+            if let Some((message, length)) = frames::decode(&self.1).expect("a valid frame") {
                 self.1.drain(..length);
-                return word;
+                return message;
             }
-            let mut piece = [0; 4096];
-            let n = self.0.read(&mut piece).expect("read");
-            assert!(n > 0, "the controller has ended the line");
-            self.1.extend(&piece[..n]);
+            let mut chunk = [0; 4096];
+            let n = self.0.read(&mut chunk).expect("read");
+            assert!(n > 0, "the controller has closed the connection");
+            self.1.extend(&chunk[..n]);
         }
     }
 }
 
-/// Out of touch with a majority a controller promises workers nothing, sends nobody to a leader and reads nothing out; what it
-/// heard meanwhile the others know as soon as they are there.
+/// Without quorum contact a controller acknowledges no worker, redirects no request and returns no
+/// configuration. The other controllers receive its worker instances when they connect.
 #[test]
 fn an_isolated_controller_acknowledges_nothing() {
-    let mut core = Core::new(1);
-    core.start(1, &[1, 2, 3], true);
-    wait_until("the first controller", || core.status(1));
-    let at = core.at(1);
+    let mut cluster = Cluster::new(1);
+    cluster.start(1, &[1, 2, 3], true);
+    wait_until("the first controller", || cluster.status(1));
+    let at = cluster.control_address(1);
     assert_eq!(call(at, "PUT /instances/i-1", &heartbeat(1)).expect("answered").status(), 503);
     assert_eq!(call(at, "PUT /instances/i-1", "{}").expect("answered").status(), 400);
-    for order in ["GET /config", "POST /evacuation/z1", "DELETE /instances/i-1"] {
-        assert_eq!(call(at, order, "").expect("answered").status(), 503, "{order}");
+    for request in ["GET /config", "POST /evacuation/z1", "DELETE /instances/i-1"] {
+        assert_eq!(call(at, request, "").expect("answered").status(), 503, "{request}");
     }
     assert_eq!(call(at, "PUT /instances/i-2", &heartbeat(1)).expect("answered").status(), 503);
-    core.start(2, &[1, 2, 3], true);
-    core.start(3, &[1, 2, 3], true);
-    wait_until("a leader", || core.leader());
-    wait_until("the instance is known", || (core.says(2, "workers") == "1").then_some(()));
+    cluster.start(2, &[1, 2, 3], true);
+    cluster.start(3, &[1, 2, 3], true);
+    wait_until("a leader", || cluster.leader());
+    wait_until("the instance at another controller", || {
+        (cluster.status_field(2, "workers") == "1").then_some(())
+    });
     for n in 1..=3 {
-        wait_until("a promise", || {
-            (call(core.at(n), "PUT /instances/i-2", &heartbeat(2))?.status() == 200).then_some(())
+        wait_until("an acknowledged heartbeat", || {
+            (call(cluster.control_address(n), "PUT /instances/i-2", &heartbeat(2))?.status() == 200)
+                .then_some(())
         });
     }
 }
 
-/// A leader that is told to end hands over, is answered for by the others, and ends in order.
+/// A leader that receives SIGTERM exits successfully within the time-out, and the other controllers
+/// continue from the acknowledged configuration.
 #[test]
 fn a_leader_that_shuts_down_transfers_leadership() {
-    let mut core = Core::new(2);
-    (1..=3).for_each(|n| core.start(n, &[1, 2, 3], true));
-    assert_eq!(core.order("PUT /config", &configuration(5, 0)), 200);
-    let old = wait_until("a leader", || core.leader());
-    let told_at = Instant::now();
-    core.signal(old, Signal::SIGTERM);
-    let mut child = core.controllers.remove(&old).expect("runs");
+    let mut cluster = Cluster::new(2);
+    (1..=3).for_each(|n| cluster.start(n, &[1, 2, 3], true));
+    assert_eq!(cluster.operator_request("PUT /config", &configuration(5, 0)), 200);
+    let old = wait_until("a leader", || cluster.leader());
+    let signalled_at = Instant::now();
+    cluster.signal(old, Signal::SIGTERM);
+    let mut child = cluster.controllers.remove(&old).expect("runs");
     let ended = child.wait().expect("ended");
-    assert!(ended.success() && told_at.elapsed() < GRACE, "{ended} after {:?}", told_at.elapsed());
-    assert_eq!(core.order("POST /evacuation/z1", ""), 200);
-    assert_eq!(core.order("GET /config", ""), 200);
+    assert!(
+        ended.success() && signalled_at.elapsed() < SHUTDOWN_TIMEOUT,
+        "{ended} after {:?}",
+        signalled_at.elapsed()
+    );
+    assert_eq!(cluster.operator_request("POST /evacuation/z1", ""), 200);
+    assert_eq!(cluster.operator_request("GET /config", ""), 200);
     assert_eq!(
-        core.order("PUT /config", &configuration(6, 0)),
+        cluster.operator_request("PUT /config", &configuration(6, 0)),
         412,
-        "by the configuration that was acknowledged"
+        "rejected by the version of the acknowledged configuration"
     );
 }
 
-/// An order that lay unread while the controller stood still is not taken once its caller has gone: it may have been taken
-/// elsewhere, and taken back.
+/// A command that arrives during a pause of the controller is not applied if its caller has hung up by
+/// then: the command may have been applied and undone through another controller.
 #[test]
 fn a_command_whose_caller_has_hung_up_is_not_applied() {
-    let mut core = Core::new(3);
-    core.start(1, &[1], true);
-    assert_eq!(core.order("PUT /config", &configuration(5, 0)), 200);
-    let before: u64 = core.says(1, "number").parse().expect("a number");
-    core.signal(1, Signal::SIGSTOP);
+    let mut cluster = Cluster::new(3);
+    cluster.start(1, &[1], true);
+    assert_eq!(cluster.operator_request("PUT /config", &configuration(5, 0)), 200);
+    let revision: u64 = cluster.status_field(1, "number").parse().expect("a number");
+    cluster.signal(1, Signal::SIGSTOP);
     for _ in 0..3 {
-        drop(send(core.at(1), "POST /evacuation/z1", "").expect("sent"));
+        drop(send(cluster.control_address(1), "POST /evacuation/z1", "").expect("sent"));
     }
-    core.signal(1, Signal::SIGCONT);
-    assert_eq!(core.order("PUT /config", &configuration(6, 5)), 200);
-    assert_eq!(core.says(1, "number"), (before + 1).to_string());
+    cluster.signal(1, Signal::SIGCONT);
+    assert_eq!(cluster.operator_request("PUT /config", &configuration(6, 5)), 200);
+    assert_eq!(cluster.status_field(1, "number"), (revision + 1).to_string());
 }
 
-/// A controller whose seeds are all gone reads its settings again without a signal; it is taken in as a learner, knows the configuration,
-/// and answers look-ups by what the others know of proxies.
+/// A controller without reachable seeds reloads its settings without a signal. It then receives the
+/// configuration, and answers look-ups from the reports of the other controllers.
 #[test]
 fn a_new_controller_finds_controllers_and_proxies() {
-    let mut core = Core::new(4);
-    core.start(1, &[1], true);
-    assert_eq!(core.order("PUT /config", &configuration(5, 0)), 200);
-    let edge = ProxyInfo {
+    let mut cluster = Cluster::new(4);
+    cluster.start(1, &[1], true);
+    assert_eq!(cluster.operator_request("PUT /config", &configuration(5, 0)), 200);
+    let subscriber = ProxyInfo {
         node: "e1".into(),
         zone: "z1".into(),
         region: "r1".into(),
         client_address: "10.0.0.9:80".parse().expect("one"),
         incarnation: 1,
     };
-    let mut line = Line::open(core.at(1));
-    line.say(&ToController::Subscribe { proxy: edge, wants_instances: true });
-    let ToProxy::Controllers { controllers, is_complete: whole } = line.hear() else {
-        panic!("the controllers come first")
+    let mut connection = InternalConnection::open(cluster.control_address(1));
+    connection.send(&ToController::Subscribe { proxy: subscriber, wants_instances: true });
+    let ToProxy::Controllers { controllers, is_complete: complete } = connection.receive() else {
+        panic!("the first message does not list the controllers")
     };
-    assert_eq!((controllers, whole), (vec![core.at(1)], true), "as the leader says");
-    line.ping(Readiness::Ready);
-    core.start(2, &[7, 8, 9], false);
-    wait_until("the newcomer", || core.status(2));
-    let look_up = || call(core.directory(2), "GET /resolve?name=h&region=r1&zone=z1", "").map(|m| m.status());
-    assert_eq!(look_up(), Some(503), "it knows nobody");
-    core.settle(2, &[1], false);
-    wait_until("the configuration", || {
-        (core.says(2, "in-touch") == "true" && core.says(2, "generation") == "\"00000005\"").then_some(())
+    assert_eq!(
+        (controllers, complete),
+        (vec![cluster.control_address(1)], true),
+        "the leader sends the complete list"
+    );
+    connection.send_heartbeat(Readiness::Ready);
+    cluster.start(2, &[7, 8, 9], false);
+    wait_until("the new controller", || cluster.status(2));
+    let look_up =
+        || call(cluster.directory(2), "GET /resolve?name=h&region=r1&zone=z1", "").map(|m| m.status());
+    assert_eq!(look_up(), Some(503), "it knows no proxies yet");
+    cluster.write_settings(2, &[1], false);
+    wait_until("the configuration at the new controller", || {
+        (cluster.status_field(2, "in-touch") == "true"
+            && cluster.status_field(2, "generation") == "\"00000005\"")
+            .then_some(())
     });
-    wait_until("an answer", || {
-        line.ping(Readiness::Ready);
+    wait_until("an answered look-up", || {
+        connection.send_heartbeat(Readiness::Ready);
         (look_up() == Some(200)).then_some(())
     });
-    assert_eq!(call(core.at(2), "GET /config", "").expect("answered").status(), 307);
-    wait_until("news of the newcomer", || match line.hear() {
+    assert_eq!(call(cluster.control_address(2), "GET /config", "").expect("answered").status(), 307);
+    wait_until("a list with the new controller", || match connection.receive() {
         ToProxy::Controllers { controllers, is_complete: true } => {
-            controllers.contains(&core.at(2)).then_some(())
+            controllers.contains(&cluster.control_address(2)).then_some(())
         }
         _ => None,
     });
-    line.ping(Readiness::ShuttingDown);
-    wait_until("who leaves is not named", || (look_up() == Some(503)).then_some(()));
+    connection.send_heartbeat(Readiness::ShuttingDown);
+    wait_until("the directory without the proxy that shuts down", || (look_up() == Some(503)).then_some(()));
 }
 
-/// A configuration that is parsed on the blocking pool (over 64 KiB) is decided as any other, and given back whole; a controller whose disk can't
-/// be read any more starts all the same, counts as emptied though its settings say that all begins, and is caught up.
+/// A configuration above 64 KiB, which is parsed on the blocking pool, is applied and returned like any
+/// other. A controller with an unreadable database quarantines it and catches up, even if its settings say
+/// `bootstrap`.
 #[test]
 fn a_large_configuration_and_an_unreadable_disk() {
-    let mut core = Core::new(9);
-    (1..=3).for_each(|n| core.start(n, &[1, 2, 3], true));
+    let mut cluster = Cluster::new(9);
+    (1..=3).for_each(|n| cluster.start(n, &[1, 2, 3], true));
     let rows: String =
         (0..1200).map(|n| format!(r#",["r{n}","h{n}.example","/prefix-{n}/","safe",3,0.8,"s",2]"#)).collect();
     let large =
         |generation, base| configuration(generation, base).replace("\"s\",2]", &format!("\"s\",2]{rows}"));
     let body = large(5, 0);
     assert!(body.len() > 64 << 10, "{} bytes", body.len());
-    assert_eq!(core.order("PUT /config", &body), 200);
-    assert_eq!(core.order("PUT /config", &body), 200, "known again");
-    assert_eq!(core.order("PUT /config", &large(5, 0).replace("h7.", "h8.")), 412);
-    assert_eq!(core.order("PUT /config", &large(6, 5).replace("\"r7\"", "\"r8\"")), 400, "two of one name");
-    assert_eq!(core.order("PUT /config", &body[..body.len() - 9]), 400);
+    assert_eq!(cluster.operator_request("PUT /config", &body), 200);
+    assert_eq!(cluster.operator_request("PUT /config", &body), 200, "a retry is acknowledged");
+    assert_eq!(cluster.operator_request("PUT /config", &large(5, 0).replace("h7.", "h8.")), 412);
+    assert_eq!(
+        cluster.operator_request("PUT /config", &large(6, 5).replace("\"r7\"", "\"r8\"")),
+        400,
+        "duplicate name"
+    );
+    assert_eq!(cluster.operator_request("PUT /config", &body[..body.len() - 9]), 400);
 
-    let leader = wait_until("a leader", || core.leader());
+    let leader = wait_until("a leader", || cluster.leader());
     let lost = (1..=3).find(|n| *n != leader).expect("one");
-    let mut child = core.controllers.remove(&lost).expect("runs");
+    let mut child = cluster.controllers.remove(&lost).expect("runs");
     child.kill().expect("killed");
     child.wait().expect("ended");
-    let disk = core.folder.path().join(format!("controller{lost}"));
-    std::fs::write(disk.join("book.sqlite"), "no database at all".repeat(500)).expect("spoiled");
-    std::fs::remove_file(disk.join("book.sqlite-wal")).expect("its log, which holds all by itself");
-    core.start(lost, &[1, 2, 3], true);
-    wait_until("it is caught up", || (core.says(lost, "generation") == "\"00000005\"").then_some(()));
+    let disk = cluster.folder.path().join(format!("controller{lost}"));
+    std::fs::write(disk.join("book.sqlite"), "no database at all".repeat(500)).expect("corrupted");
+    std::fs::remove_file(disk.join("book.sqlite-wal"))
+        .expect("removed the log, which alone contains the whole state");
+    cluster.start(lost, &[1, 2, 3], true);
+    wait_until("the restarted controller to catch up", || {
+        (cluster.status_field(lost, "generation") == "\"00000005\"").then_some(())
+    });
     assert!(disk.join("book.sqlite.unreadable").exists());
     let patch = r#"{"generation":"00000007","base-version":"00000005","remove":{"routes":["r1"]}}"#;
-    assert_eq!(core.order("PATCH /config", patch), 200);
-    wait_until("the change", || (core.says(lost, "generation") == "\"00000007\"").then_some(()));
-    let read = wait_until("the whole", || {
-        let message = call(core.at(core.leader()?), "GET /config", "")?;
+    assert_eq!(cluster.operator_request("PATCH /config", patch), 200);
+    wait_until("the patched configuration", || {
+        (cluster.status_field(lost, "generation") == "\"00000007\"").then_some(())
+    });
+    let read = wait_until("the configuration", || {
+        let message = call(cluster.control_address(cluster.leader()?), "GET /config", "")?;
         (message.status() == 200).then_some(message.body)
     });
     let text = String::from_utf8(read).expect("text");
@@ -342,27 +369,28 @@
     assert!(text.contains("\"r1199\"") && !text.contains("\"r1\"") && text.contains("00000007"));
 }
 
-/// A line that was cut may stand at this end and bring nothing to the other: a controller that is told that it is not heard opens
-/// its line anew. Before, such a controller stayed unheard for as long as the line stood, and the next loss left no majority.
+/// A partitioned connection can stay open at the sender while it delivers nothing. A controller reopens its
+/// connection when the peer reports that it receives no heartbeats.
 #[test]
 fn a_connection_that_delivers_nothing_is_reopened() {
-    let mut core = Core::new(5);
-    let other = TcpListener::bind(SocketAddr::new(core.at(2).ip(), 7460)).expect("a controller, played here");
-    core.start(1, &[1, 2], true);
-    let (first, _) = other.accept().expect("its line");
+    let mut cluster = Cluster::new(5);
+    let other = TcpListener::bind(SocketAddr::new(cluster.control_address(2).ip(), 7460))
+        .expect("listens as a controller");
+    cluster.start(1, &[1, 2], true);
+    let (first, _) = other.accept().expect("its connection");
     first.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
-    let mut says = Line::open(core.at(1));
-    let mut ended = first.try_clone().expect("the same");
-    ended.set_nonblocking(true).expect("looked at only");
-    wait_until("the line that is not heard ends", || {
-        says.say(&ToController::PeerHeartbeat {
-            from: core.at(2),
+    let mut inbound = InternalConnection::open(cluster.control_address(1));
+    let mut ended = first.try_clone().expect("cloned");
+    ended.set_nonblocking(true).expect("non-blocking");
+    wait_until("the connection to be closed", || {
+        inbound.send(&ToController::PeerHeartbeat {
+            from: cluster.control_address(2),
             hears_recipient: false,
             known_peers: Vec::new(),
         });
-        let mut piece = [0; 4096];
+        let mut chunk = [0; 4096];
         loop {
-            match ended.read(&mut piece) {
+            match ended.read(&mut chunk) {
                 Ok(0) => return Some(()),
                 Ok(_) => {}
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return None,
@@ -370,32 +398,35 @@
             }
         }
     });
-    let (again, _) = other.accept().expect("another line");
-    wait_until("it stands as long as it is heard", || {
-        says.say(&ToController::PeerHeartbeat {
-            from: core.at(2),
+    let (again, _) = other.accept().expect("another connection");
+    wait_until("the status after a heartbeat is received", || {
+        inbound.send(&ToController::PeerHeartbeat {
+            from: cluster.control_address(2),
             hears_recipient: true,
             known_peers: Vec::new(),
         });
-        core.status(1).map(|_| ())
+        cluster.status(1).map(|_| ())
     });
     again.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
-    let mut piece = [0; 4096];
-    assert!(matches!((&again).read(&mut piece), Ok(n) if n > 0), "it speaks on the new one");
+    let mut chunk = [0; 4096];
+    assert!(matches!((&again).read(&mut chunk), Ok(n) if n > 0), "it sends on the new connection");
 }
 
-/// A newcomer that was told of one controller only, and not of the one that leads, finds the others by it, and becomes a learner
-/// at least: before, the leader never spoke to it.
+/// A new controller whose only seed is a follower finds the other controllers through it, and receives
+/// messages of the leader.
 #[test]
 fn a_new_controller_that_knows_one_finds_all() {
-    let mut core = Core::new(6);
-    (1..=3).for_each(|n| core.start(n, &[1, 2, 3], true));
-    let leader = wait_until("a leader", || core.leader());
-    let knows = (1..=3).find(|n| *n != leader).expect("one that follows");
-    core.start(4, &[knows], false);
-    let leads = wait_until("the newcomer hears a leader", || {
-        let said = core.says(4, "leader");
-        (!said.is_empty() && said != "null").then_some(said)
+    let mut cluster = Cluster::new(6);
+    (1..=3).for_each(|n| cluster.start(n, &[1, 2, 3], true));
+    let leader = wait_until("a leader", || cluster.leader());
+    let follower = (1..=3).find(|n| *n != leader).expect("a follower");
+    cluster.start(4, &[follower], false);
+    let known_leader = wait_until("the leader at the new controller", || {
+        let leader = cluster.status_field(4, "leader");
+        (!leader.is_empty() && leader != "null").then_some(leader)
     });
-    assert!((1..=3).any(|n| leads.contains(&core.at(n).to_string())), "{leads}");
+    assert!(
+        (1..=3).any(|n| known_leader.contains(&cluster.control_address(n).to_string())),
+        "{known_leader}"
+    );
 }
--- a/crates/controller/tests/command.rs
+++ b/crates/controller/tests/command.rs
@@ -1,9 +1,9 @@
-//! The command line: what is bad is said with its key, and code 2.
+//! Errors in the command line or the settings are reported with exit code 2.
 
 use std::process::Command;
 
 #[test]
-fn bad_command_lines_and_settings_are_named() {
+fn invalid_command_lines_and_settings_are_reported() {
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), "node-name: \"x\"\nip: \"10.0.0.1\"\nport-range: [1]\n").expect("written");
     let path = file.path().display().to_string();
@@ -12,10 +12,14 @@
         (&["check", "/nowhere/at/all"], "/nowhere/at/all: "),
         (&["--loud"], "--loud"),
     ];
-    for (args, wanted) in cases {
+    for (args, expected) in cases {
         let mut child = Command::new(env!("CARGO_BIN_EXE_lynxstair-controller"));
         let out = child.args(args).env("LYNXSTAIR_BOOT", &path).output().expect("ran");
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert!(out.status.code() == Some(2) && said.contains(wanted), "{args:?}: {:?} {said}", out.status);
+        let stderr = String::from_utf8_lossy(&out.stderr);
+        assert!(
+            out.status.code() == Some(2) && stderr.contains(expected),
+            "{args:?}: {:?} {stderr}",
+            out.status
+        );
     }
 }
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -1,5 +1,6 @@
-//! What lies on a controller's disk: a database that the build of 2026-12-02 wrote is read, and written again with the
-//! same tables, columns and names. `WRITE_GOLDEN=1` writes the file where it is missing.
+//! The stored format of a controller stays compatible: a database written by an earlier build is read, and
+//! the current build writes the same tables, columns and content. `WRITE_GOLDEN=1` writes the file if it is
+//! missing.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -15,7 +16,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/book.sqlite")
 }
 
-fn record() -> PersistentState {
+fn state() -> PersistentState {
     let member = |n: u8, disk| Member { node: ([10, 0, 0, n], 8383).into(), disk };
     PersistentState {
         term: 6,
@@ -37,30 +38,30 @@
         InstanceState::Unresponsive,
         InstanceState::Deregistered,
     ];
-    let life = |(n, standing)| Instance {
+    let instance = |(n, instance_state)| Instance {
         id: format!("i-{n}"),
         service: "s".into(),
         address: ([10, 0, 1, n], 80).into(),
         zone: "z".into(),
         capacity: 6,
-        state: standing,
+        state: instance_state,
         warming_up_ms: 1500,
         call_seq: 12,
         heartbeat_age_ms: 250,
         is_unconfirmed: false,
     };
-    (1u8..).zip(all).map(life).collect()
+    (1u8..).zip(all).map(instance).collect()
 }
 
 fn write(folder: &Path) {
     let mut store = SqliteStore::open(folder, |_| false).expect("open");
-    let mut held = Vec::new();
-    ciborium::into_writer(&instances(), &mut held).expect("written");
-    store.save(&record()).expect("saved");
-    store.save_instances(&held).expect("saved");
+    let mut encoded = Vec::new();
+    ciborium::into_writer(&instances(), &mut encoded).expect("written");
+    store.save(&state()).expect("saved");
+    store.save_instances(&encoded).expect("saved");
 }
 
-/// Every table with its columns, and what stands in them.
+/// Reads the columns of the single row of each table.
 fn content(folder: &Path) -> Vec<(String, Vec<Vec<u8>>)> {
     let connection = Connection::open(folder.join("book.sqlite")).expect("open");
     let columns = [("head", ["held", "book", "digest"]), ("book", ["held"; 3]), ("lives", ["held"; 3])];
@@ -73,11 +74,11 @@
 }
 
 #[test]
-fn a_disk_of_the_build_before_is_read_and_written_with_the_same_names() {
+fn an_earlier_database_is_read_and_written_identically() {
     if !golden().exists() && std::env::var_os("WRITE_GOLDEN").is_some() {
         let folder = tempfile::tempdir().expect("a folder");
         write(folder.path());
-        // All of it in the one file.
+        // Moves the content of the log to the database file.
         let connection = Connection::open(folder.path().join("book.sqlite")).expect("open");
         connection
             .execute_batch("PRAGMA wal_checkpoint(TRUNCATE); PRAGMA journal_mode=DELETE;")
@@ -89,10 +90,10 @@
     let [old, new] = [(); 2].map(|()| tempfile::tempdir().expect("a folder"));
     fs::copy(golden(), old.path().join("book.sqlite")).expect("copied");
     write(new.path());
-    assert_eq!(content(old.path()), content(new.path()), "written otherwise than it is stored");
+    assert_eq!(content(old.path()), content(new.path()), "the stored format has changed");
     let mut store = SqliteStore::open(old.path(), |_| false).expect("open");
-    assert_eq!(store.load().expect("loads"), Some(record()));
-    let held = store.load_instances().expect("held");
-    let read: Vec<Instance> = ciborium::from_reader(&held[..]).expect("readable");
+    assert_eq!(store.load().expect("loads"), Some(state()));
+    let encoded = store.load_instances().expect("loads");
+    let read: Vec<Instance> = ciborium::from_reader(&encoded[..]).expect("readable");
     assert_eq!(read, instances());
 }
