--- a/crates/controller/src/storage/sqlite.rs
+++ b/crates/controller/src/storage/sqlite.rs
@@ -239,7 +239,7 @@
 fn quarantine(folder: &Path) -> io::Result<()> {
     for (name, quarantined) in QUARANTINE {
         match fs::rename(folder.join(name), folder.join(quarantined)) {
-            // A log quarantined earlier may remain next to a newer database; it is then of no use.
+            // Nothing to rename. A log quarantined earlier then remains next to a newer database, and is unused.
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             result => result?,
         }
