--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -217,7 +217,7 @@
             phase: one.view.phase,
             why: one.view.phase_reason.clone(),
             version: one.version.clone(),
-            doubt_ms: one.view.doubt.map(|(_, ms)| ms),
+            doubt_ms: one.view.degraded.map(|(_, ms)| ms),
             disk: one.disk.clone(),
         });
     }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -81,8 +81,8 @@
     for part in &args.without {
         match part {
             Part::Suspicion => broken.no_suspicion = true,
-            Part::Lateness => broken.no_lateness = true,
-            Part::Incarnation => broken.no_incarnation = true,
+            Part::Lateness => broken.no_local_health = true,
+            Part::Incarnation => broken.no_stored_incarnation = true,
             Part::Relays => broken.no_relays = true,
             Part::Identity => broken_ownership.votes_forgotten = true,
             Part::Disk => broken_ownership.no_waiting_for_disk = true,
--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(config.data, Path::new("/etc/f/g1"));
     assert_eq!(config.times.probe_interval.nanos(), 500_000_000);
     let bad = [
-        ("\"g1\"\nhall", "\"G 1\"\nhall", "f.toml:3: name: \"G 1\" is no name"),
+        ("\"g1\"\nhall", "\"G 1\"\nhall", "f.toml:3: name: \"G 1\" is not a valid name"),
         ("127.0.0.1:7101\"\nseeds", "localhost\"\nseeds", "f.toml:5: bind: \"localhost\" is no address"),
         ("\"127.0.0.1:7102\"", "\"127.0.0.1:0\"", "f.toml:6: seeds: 127.0.0.1:0 can't be reached"),
         ("127.0.0.1:7101\"\nseeds", "0.0.0.0:7101\"\nseeds", "f.toml:5: advertise: missing"),
--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -27,7 +27,7 @@
 /// Logs an event of membership.
 pub(crate) fn log_membership(event: &Event) {
     match event {
-        Event::Began { identity } => {
+        Event::IncarnationStarted { identity } => {
             info!(name = %identity.name, incarnation = identity.incarnation.0, addr = %identity.addr, "fleet: began");
         }
         Event::Phase { from, to, reason } => info!(?from, ?to, why = %reason, "fleet: phase"),
@@ -38,8 +38,8 @@
             _ => info!(%name, %addr, ?from, ?to, incarnation = incarnation.0, why = ?reason, "fleet: member"),
         },
         Event::Paused { ms } => warn!(ms, "fleet: stood still"),
-        Event::DoubtBegan { reason } => warn!(why = ?reason, "fleet: doubts itself, accuses nobody"),
-        Event::DoubtEnded { ms } => info!(ms, "fleet: doubts itself no more"),
+        Event::HealthDegraded { reason } => warn!(why = ?reason, "fleet: doubts itself, accuses nobody"),
+        Event::HealthRecovered { ms } => info!(ms, "fleet: doubts itself no more"),
         Event::Link { to, state } => info!(%to, ?state, "fleet: link"),
         Event::JoinRefused { name, addr, reason } => warn!(%name, %addr, why = %reason, "fleet: turned away"),
     }
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -108,7 +108,7 @@
 
     fn write(&self, now: Time, record: Record) {
         let waiting = match &record {
-            Record::Began { incarnation } => Some(*incarnation),
+            Record::IncarnationStarted { incarnation } => Some(*incarnation),
             _ => None,
         };
         lock(&self.records).apply(record.clone());
@@ -135,7 +135,7 @@
                     }
                     self.update(now, |membership| membership.on_written(now, incarnation));
                 }
-                Err(e) => self.retry_later(now, Record::Began { incarnation }, e.to_string()),
+                Err(e) => self.retry_later(now, Record::IncarnationStarted { incarnation }, e.to_string()),
             }
         }
         let due = lock(&self.disk).retry.take_if(|(at, _)| *at <= now);
--- a/crates/cluster/src/membership_records.rs
+++ b/crates/cluster/src/membership_records.rs
@@ -35,7 +35,7 @@
     /// Takes in one more record.
     pub fn apply(&mut self, record: Record) {
         match record {
-            Record::Began { incarnation } => {
+            Record::IncarnationStarted { incarnation } => {
                 self.last_incarnation = self.last_incarnation.max(Some(incarnation));
             }
             Record::Members { known } => self.known_members = known,
@@ -51,7 +51,7 @@
 
     /// The fewest records that amount to the same.
     pub fn encode(&self) -> Vec<Vec<u8>> {
-        let began = self.last_incarnation.map(|incarnation| Record::Began { incarnation });
+        let began = self.last_incarnation.map(|incarnation| Record::IncarnationStarted { incarnation });
         let known = Record::Members { known: self.known_members.clone() };
         let notices = self.notices().into_iter().map(|notice| Record::Notice { notice });
         began.into_iter().chain([known]).chain(notices).map(|record| encode(&record)).collect()
--- a/crates/cluster/src/membership_records/tests.rs
+++ b/crates/cluster/src/membership_records/tests.rs
@@ -1,4 +1,4 @@
-use lynxstair_membership::{Incarnation, Name, Notice, Reason, Record};
+use lynxstair_membership::{Incarnation, Name, Notice, Record, ShutOutReason};
 
 use super::{MembershipRecords, encode};
 
@@ -6,11 +6,11 @@
 fn rewritten_records_decode_to_the_same() {
     let name = Name::new("g2").expect("a name");
     let records = [
-        Record::Began { incarnation: Incarnation(3) },
+        Record::IncarnationStarted { incarnation: Incarnation(3) },
         Record::Notice {
-            notice: Notice::ShutOut { name: name.clone(), number: 1, reason: Reason::new("w") },
+            notice: Notice::ShutOut { name: name.clone(), number: 1, reason: ShutOutReason::new("w") },
         },
-        Record::Began { incarnation: Incarnation(4) },
+        Record::IncarnationStarted { incarnation: Incarnation(4) },
         Record::Notice { notice: Notice::LetIn { name, number: 2 } },
     ];
     let stored: Vec<_> = records.iter().map(encode).collect();
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -21,7 +21,9 @@
     fn broken(self) -> DisabledParts {
         match self {
             Care::With => DisabledParts::default(),
-            Care::Without => DisabledParts { no_lateness: true, no_relays: true, ..DisabledParts::default() },
+            Care::Without => {
+                DisabledParts { no_local_health: true, no_relays: true, ..DisabledParts::default() }
+            }
         }
     }
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -169,7 +169,7 @@
             let Some(process) = node.process.as_mut() else { return };
             let at = at[who] + node.ahead;
             process.membership.on_written(at, all[who].incarnation);
-            process.membership.settle(at, &all);
+            process.membership.start_joined(at, &all);
             process.wakes_at = None;
             node.disk.last = Some(all[who].incarnation);
         });
@@ -337,7 +337,7 @@
         for todo in process.membership.take_actions() {
             match todo {
                 Action::Send { to, datagram } => self.send(who, addr, to, datagram),
-                Action::Write(Record::Began { incarnation }) => {
+                Action::Write(Record::IncarnationStarted { incarnation }) => {
                     self.plan_next(now + DISK, Next::Written { who, run, incarnation });
                 }
                 Action::Write(Record::Members { known }) => self.nodes[who].disk.known = known,
--- a/crates/emulator/tests/membership.rs
+++ b/crates/emulator/tests/membership.rs
@@ -31,7 +31,7 @@
                 view.local.name,
                 view.phase,
                 view.phase_reason,
-                view.doubt,
+                view.degraded,
                 seen.join(", ")
             );
         }
@@ -54,7 +54,7 @@
     let mut began: HashMap<(usize, Name), Incarnation> = HashMap::new();
     for h in fleet.history() {
         match &h.event {
-            Event::Began { identity: ident } => {
+            Event::IncarnationStarted { identity: ident } => {
                 *lives.entry(h.who).or_default() = ident.run;
                 let last = began.insert((h.who, ident.name.clone()), ident.incarnation);
                 assert!(last < Some(ident.incarnation), "{what}: {h:?} after {last:?}");
@@ -389,7 +389,7 @@
         fleet.run(ms(20_000));
         let membership = fleet.membership(second).expect("runs");
         assert_eq!(membership.phase(), Phase::Refused, "seed {seed}");
-        assert!(fleet.view(second).expect("runs").phase_reason.contains("borne by 127."), "seed {seed}");
+        assert!(fleet.view(second).expect("runs").phase_reason.contains("in use by 127."), "seed {seed}");
         never_failed(&fleet, began, &[0, 1, 2, 3, 4], &format!("seed {seed}: a name used twice"));
         let told = fleet.history().iter().any(|h| matches!(h.event, Event::JoinRefused { .. }));
         assert!(told, "seed {seed}");
@@ -407,7 +407,7 @@
         let mut fleet = fleet(5, seed);
         let began = fleet.now();
         fleet.leave(2);
-        let over = fleet.until(ms(1_000), |f| f.membership(2).is_some_and(|r| r.is_over()));
+        let over = fleet.until(ms(1_000), |f| f.membership(2).is_some_and(|r| r.has_left_fleet()));
         assert!(over.is_some(), "seed {seed}");
         fleet.kill(2);
         fleet.run(ms(5_000));
@@ -510,7 +510,7 @@
         assert_eq!(failed(&fleet, began) > 0, broken, "suspicion");
 
         // One that runs for 20 ms in each 620: what comes for it comes while it stands still.
-        let mut fleet = variant(DisabledParts { no_lateness: broken, ..DisabledParts::default() });
+        let mut fleet = variant(DisabledParts { no_local_health: broken, ..DisabledParts::default() });
         let began = fleet.now();
         fleet.network.all.delay = ms(15);
         for _ in 0..60 {
@@ -538,7 +538,7 @@
         });
         assert_eq!(suspected.count() > 0, broken, "relays");
 
-        let mut fleet = variant(DisabledParts { no_incarnation: broken, ..DisabledParts::default() });
+        let mut fleet = variant(DisabledParts { no_stored_incarnation: broken, ..DisabledParts::default() });
         fleet.kill(3);
         fleet.start(3);
         fleet.run(ms(5_000));
@@ -546,7 +546,7 @@
             .history()
             .iter()
             .filter_map(|h| match &h.event {
-                Event::Began { identity: ident } if h.who == 3 => Some(ident.incarnation),
+                Event::IncarnationStarted { identity: ident } if h.who == 3 => Some(ident.incarnation),
                 _ => None,
             })
             .collect();
--- a/crates/fault-injection/src/run/processes.rs
+++ b/crates/fault-injection/src/run/processes.rs
@@ -21,8 +21,8 @@
             (self.trial.seed.wrapping_mul(1_000_003).wrapping_add(n as u64)) & 0x7fff_ffff,
             std::process::id(),
             broken.no_suspicion,
-            broken.no_lateness,
-            broken.no_incarnation,
+            broken.no_local_health,
+            broken.no_stored_incarnation,
             broken.no_relays,
         );
         let mut fleet = fleet;
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -7,7 +7,7 @@
 
 use crate::identity::{Identity, Incarnation, Name};
 use crate::link_table::LinkState;
-use crate::local_health::DoubtReason;
+use crate::local_health::DegradedReason;
 use crate::notices::Notice;
 use crate::packet::DropReason;
 use crate::status::State;
@@ -22,7 +22,7 @@
         /// Its bytes.
         datagram: Vec<u8>,
     },
-    /// Write a record. After [`Record::Began`] call `on_written`.
+    /// Write a record. After [`Record::IncarnationStarted`] call `on_written`.
     Write(Record),
     /// Log an event.
     Emit(Event),
@@ -73,7 +73,8 @@
 #[serde(rename_all = "snake_case", tag = "record")]
 pub enum Record {
     /// An incarnation begins. Nobody is told of it before it is on disk and `on_written` was called.
-    Began {
+    #[serde(rename = "began")]
+    IncarnationStarted {
         /// The incarnation.
         incarnation: Incarnation,
     },
@@ -102,7 +103,8 @@
 #[serde(rename_all = "snake_case", tag = "event")]
 pub enum Event {
     /// This incarnation is on disk; others are told of it from now on.
-    Began {
+    #[serde(rename = "began")]
+    IncarnationStarted {
         /// The member with its incarnation.
         #[serde(rename = "ident")]
         identity: Identity,
@@ -143,13 +145,15 @@
         ms: u64,
     },
     /// This member began to doubt itself: it declares nobody failed.
-    DoubtBegan {
+    #[serde(rename = "doubt_began")]
+    HealthDegraded {
         /// Why.
         #[serde(rename = "why")]
-        reason: DoubtReason,
+        reason: DegradedReason,
     },
     /// It has heard from others again.
-    DoubtEnded {
+    #[serde(rename = "doubt_ended")]
+    HealthRecovered {
         /// After so many milliseconds.
         ms: u64,
     },
@@ -190,5 +194,6 @@
     /// Datagrams dropped.
     pub dropped: BTreeMap<DropReason, u64>,
     /// Changes of a member's state that are not allowed and were not made.
-    pub refused_changes: u64,
+    #[serde(rename = "refused_changes")]
+    pub invalid_transitions: u64,
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -17,7 +17,7 @@
 
 /// Why a text is no name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_' and '.' are")]
+#[error("{0:?} is not a valid name: expected 1 to {MAX_NAME_BYTES} characters of a-z, 0-9, '-', '_' and '.'")]
 pub struct InvalidName(
     /// Its beginning.
     pub String,
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -16,7 +16,7 @@
 /// Why a member doubts itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum DoubtReason {
+pub enum DegradedReason {
     /// A timer fired too late.
     #[serde(rename = "stood_still")]
     Paused,
@@ -30,7 +30,7 @@
     Sure,
     /// A reply to a probe of this number or a later one ends the doubt.
     Doubting {
-        reason: DoubtReason,
+        reason: DegradedReason,
         since: Time,
         fresh_from: u64,
     },
@@ -39,7 +39,7 @@
 /// A change of the doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DoubtChange {
-    Began(DoubtReason),
+    Began(DegradedReason),
     Ended { since: Time },
 }
 
@@ -107,9 +107,11 @@
 
     /// Begins a doubt, or renews it. Every change of the confidence goes through here, [`Self::reply_received`]
     /// or [`Self::alone`].
-    pub fn doubt(&mut self, now: Time, reason: DoubtReason, fresh_from: u64) -> Option<DoubtChange> {
+    pub fn doubt(&mut self, now: Time, reason: DegradedReason, fresh_from: u64) -> Option<DoubtChange> {
         match self.confidence {
-            Confidence::Doubting { reason: DoubtReason::Isolated, .. } if reason == DoubtReason::Isolated => {
+            Confidence::Doubting { reason: DegradedReason::Isolated, .. }
+                if reason == DegradedReason::Isolated =>
+            {
                 None
             }
             // Paused once more: replies to probes from before tell nothing.
@@ -149,7 +151,7 @@
     }
 
     /// Why it doubts itself, and since when.
-    pub fn doubting(&self) -> Option<(DoubtReason, Time)> {
+    pub fn doubting(&self) -> Option<(DegradedReason, Time)> {
         match self.confidence {
             Confidence::Sure => None,
             Confidence::Doubting { reason, since, .. } => Some((reason, since)),
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -1,6 +1,6 @@
 use lynxstair::types::{Span, Time};
 
-use super::{DoubtChange, DoubtReason, LocalHealth};
+use super::{DegradedReason, DoubtChange, LocalHealth};
 use crate::times::Times;
 
 fn at(ms: u64) -> Time {
@@ -21,10 +21,10 @@
 #[test]
 fn only_fresh_replies_end_a_doubt() {
     let mut health = LocalHealth::new(at(0), true);
-    let began = Some(DoubtChange::Began(DoubtReason::Paused));
-    assert_eq!(health.doubt(at(5), DoubtReason::Paused, 7), began);
+    let began = Some(DoubtChange::Began(DegradedReason::Paused));
+    assert_eq!(health.doubt(at(5), DegradedReason::Paused, 7), began);
     assert_eq!(health.reply_received(at(6), 6), None);
-    assert_eq!(health.doubt(at(7), DoubtReason::Paused, 9), None);
+    assert_eq!(health.doubt(at(7), DegradedReason::Paused, 9), None);
     assert_eq!(health.reply_received(at(8), 8), None, "probed before it was paused again");
     assert_eq!(health.reply_received(at(9), 9), Some(DoubtChange::Ended { since: at(5) }));
     assert_eq!(health.doubting(), None);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -21,7 +21,7 @@
 use crate::identity::{Identity, Incarnation, Name};
 use crate::link_table::LinkTable;
 use crate::local_health::LocalHealth;
-use crate::notices::{Notice, NoticeBoard, Reason};
+use crate::notices::{Notice, NoticeBoard, ShutOutReason};
 use crate::packet::FleetId;
 use crate::swim_codec::SwimCodec;
 use crate::times::{DisabledParts, Times};
@@ -107,7 +107,7 @@
 impl Membership {
     /// A member that begins a life: the first action is to write its incarnation to disk.
     pub fn new(now: Time, config: MembershipConfig) -> Self {
-        let last = config.last_incarnation.filter(|_| !config.disabled.no_incarnation);
+        let last = config.last_incarnation.filter(|_| !config.disabled.no_stored_incarnation);
         let incarnation = last.unwrap_or_default().next();
         let MembershipConfig { name, zone, addr, run, .. } = config;
         let local = Identity { name, zone, addr, incarnation, run };
@@ -129,7 +129,7 @@
             phase_reason: "started".to_string(),
             timers: BTreeMap::new(),
             timers_set: 0,
-            health: LocalHealth::new(now, !config.disabled.no_lateness),
+            health: LocalHealth::new(now, !config.disabled.no_local_health),
             links: LinkTable::default(),
             members: BTreeMap::new(),
             name_conflicts: HashMap::new(),
@@ -163,7 +163,7 @@
     }
 
     fn record_incarnation(&mut self, next: Identity) {
-        self.actions.push(Action::Write(Record::Began { incarnation: next.incarnation }));
+        self.actions.push(Action::Write(Record::IncarnationStarted { incarnation: next.incarnation }));
         self.next_identity = Some(next);
     }
 
@@ -173,7 +173,7 @@
         let Some(next) = self.next_identity.take_if(is_written) else { return };
         self.observe(now);
         self.local = next.clone();
-        self.emit(Event::Began { identity: next.clone() });
+        self.emit(Event::IncarnationStarted { identity: next.clone() });
         if *self.foca.identity() != next {
             self.with_foca(now, |foca, runtime| {
                 let _ = foca.change_identity(next, runtime);
@@ -196,7 +196,7 @@
     }
 
     /// For experiments: a member that has long been in a fleet of `others`, all of which are present.
-    pub fn settle(&mut self, now: Time, others: &[Identity]) {
+    pub fn start_joined(&mut self, now: Time, others: &[Identity]) {
         self.enter_fleet(now, "settled");
         let own_name = self.local.name.clone();
         let alive = others.iter().filter(|other| other.name != own_name).cloned().map(Member::alive);
@@ -220,14 +220,17 @@
     }
 
     /// Whether it has told others that it left; it sends nothing more.
-    pub fn is_over(&self) -> bool {
+    pub fn has_left_fleet(&self) -> bool {
         self.phase == Phase::Left
     }
 
     /// Shuts a member out until it is let in again. `reason` is told to it.
     pub fn shut_out(&mut self, now: Time, name: &Name, reason: &str) {
         let number = self.notices.lock().admission_number(name) + 1;
-        self.publish(now, &Notice::ShutOut { name: name.clone(), number, reason: Reason::new(reason) });
+        self.publish(
+            now,
+            &Notice::ShutOut { name: name.clone(), number, reason: ShutOutReason::new(reason) },
+        );
     }
 
     /// Lets a member in again that is shut out.
--- a/crates/membership/src/membership/health_checks.rs
+++ b/crates/membership/src/membership/health_checks.rs
@@ -6,7 +6,7 @@
 use super::suspicion::MAX_SUSPECTED_ROUNDS;
 use super::{Membership, Timeout};
 use crate::event::{Event, Phase};
-use crate::local_health::{DoubtChange, DoubtReason};
+use crate::local_health::{DegradedReason, DoubtChange};
 use crate::status::State;
 
 /// In parts of the isolation threshold: when a life begins, and after that.
@@ -20,14 +20,14 @@
         self.emit(Event::Paused { ms: pause.nanos() / 1_000_000 });
         // A short pause costs nobody more than the time that awake time leaves out.
         if pause > self.times.probe_interval && self.takes_part() {
-            self.doubt(now, DoubtReason::Paused);
+            self.doubt(now, DegradedReason::Paused);
         }
     }
 
-    pub(super) fn doubt(&mut self, now: Time, reason: DoubtReason) {
+    pub(super) fn doubt(&mut self, now: Time, reason: DegradedReason) {
         let change = self.health.doubt(now, reason, self.last_number + 1);
         if let Some(DoubtChange::Began(reason)) = change {
-            self.emit(Event::DoubtBegan { reason });
+            self.emit(Event::HealthDegraded { reason });
             self.restart_timer(now, Timeout::ProbeOthers, Span::ZERO);
         }
     }
@@ -36,7 +36,7 @@
     /// probed before has time to be answered.
     pub(super) fn on_doubt_change(&mut self, now: Time, change: Option<DoubtChange>) {
         let Some(DoubtChange::Ended { since }) = change else { return };
-        self.emit(Event::DoubtEnded { ms: (now - since).nanos() / 1_000_000 });
+        self.emit(Event::HealthRecovered { ms: (now - since).nanos() / 1_000_000 });
         let soon = self.health.awake_time(now) + self.times.suspicion_timeout;
         let is_affected =
             |(at, timeout): &(&(Time, u64), &Timeout)| timeout.may_declare_failed() && at.0 <= soon;
@@ -78,7 +78,7 @@
                 let change = self.health.alone(now);
                 self.on_doubt_change(now, change);
             } else if self.health.is_isolated(now, &self.times) {
-                self.doubt(now, DoubtReason::Isolated);
+                self.doubt(now, DegradedReason::Isolated);
             }
         }
         let forget_after = self.times.forget_after;
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -31,7 +31,7 @@
 }
 
 fn name_taken(by: SocketAddrV4) -> String {
-    format!("its name is borne by {by}")
+    format!("its name is in use by {by}")
 }
 
 impl Membership {
--- a/crates/membership/src/membership/link_reports.rs
+++ b/crates/membership/src/membership/link_reports.rs
@@ -18,9 +18,9 @@
 /// The report that was sent last.
 #[derive(Debug, Default)]
 pub(super) struct SentLinkReport {
-    only: bool,
-    named: Vec<Name>,
-    order: u32,
+    lists_reachable: bool,
+    members: Vec<Name>,
+    sequence: u32,
 }
 
 impl Membership {
@@ -31,23 +31,24 @@
             return;
         }
         self.restart_timer(now, Timeout::ReportLinks, self.times.exchange_interval);
-        let (only, named) = self.link_report(now);
-        let is_changed = self.sent_report.only != only || self.sent_report.named != named;
+        let (lists_reachable, members) = self.link_report(now);
+        let is_changed =
+            self.sent_report.lists_reachable != lists_reachable || self.sent_report.members != members;
         if is_changed {
-            let order = self.sent_report.order + 1;
-            self.sent_report = SentLinkReport { only, named: named.clone(), order };
+            let sequence = self.sent_report.sequence + 1;
+            self.sent_report = SentLinkReport { lists_reachable, members: members.clone(), sequence };
         }
-        if !is_changed && !only {
+        if !is_changed && !lists_reachable {
             return;
         }
         let (name, incarnation) = (self.local.name.clone(), self.local.incarnation);
-        let order = self.sent_report.order;
-        let notice = Notice::Links { name, incarnation, order, only, named }.encode();
+        let sequence = self.sent_report.sequence;
+        let notice = Notice::Links { name, incarnation, sequence, lists_reachable, members }.encode();
         if is_changed {
             let _ = self.foca.add_broadcast(&notice);
             self.notices.lock().take_new();
         }
-        if only {
+        if lists_reachable {
             for to in self.heard_lately() {
                 let from = self.local.name.clone();
                 self.send(to.addr, &Packet::Notice { from, notice: &notice });
@@ -65,14 +66,14 @@
         let few = (self.present().count() / FEW_PART).min(FEW_MEMBERS);
         let hears_few = heard.len() <= few;
         let is_mostly_cut = cut.len() > whole.len() && !whole.is_empty();
-        let only = !heard.is_empty() && hears_few || is_mostly_cut;
-        let mut named = match (only, hears_few) {
+        let lists_reachable = !heard.is_empty() && hears_few || is_mostly_cut;
+        let mut members = match (lists_reachable, hears_few) {
             (true, true) => heard,
             (true, false) => whole,
             (false, _) => cut,
         };
-        named.truncate(MAX_NAMED_MEMBERS);
-        (only, named)
+        members.truncate(MAX_NAMED_MEMBERS);
+        (lists_reachable, members)
     }
 
     fn present_with_link(&self, state: LinkState) -> Vec<Name> {
--- a/crates/membership/src/membership/members.rs
+++ b/crates/membership/src/membership/members.rs
@@ -6,7 +6,7 @@
 use super::{Membership, Timeout};
 use crate::event::{Action, ChangeReason, Event, Phase, Record};
 use crate::identity::{Identity, Incarnation, Name};
-use crate::local_health::DoubtReason;
+use crate::local_health::DegradedReason;
 use crate::notices::Notice;
 use crate::packet::Packet;
 use crate::status::{MemberStatus, State};
@@ -182,7 +182,7 @@
         let Some(member) = self.members.get_mut(name) else { return };
         let (from, from_incarnation) = (member.state(), member.incarnation());
         if member.status.change(state, incarnation).is_err() {
-            self.counters.refused_changes += 1;
+            self.counters.invalid_transitions += 1;
             return;
         }
         member.since = now;
@@ -200,12 +200,12 @@
         let doubt = self.health.doubting();
         // A member that is isolated can't tell of any other how it is now.
         let isolated_since =
-            doubt.filter(|(reason, _)| *reason == DoubtReason::Isolated).map(|(_, since)| since);
+            doubt.filter(|(reason, _)| *reason == DegradedReason::Isolated).map(|(_, since)| since);
         View {
             local: self.local.clone(),
             phase: self.phase,
             phase_reason: self.phase_reason.clone(),
-            doubt: doubt.map(|(reason, since)| (reason, to_ms(now - since))),
+            degraded: doubt.map(|(reason, since)| (reason, to_ms(now - since))),
             timeout_extension: self.health.timeout_extension(),
             members: self.members.values().map(|m| self.view_member(now, m, isolated_since)).collect(),
             counters: self.counters.clone(),
@@ -227,7 +227,7 @@
             reason: format!("{:?}", member.reason),
             link: LinkView {
                 state: link.map(|link| link.state()).unwrap_or_default(),
-                heard_ms_ago: link.and_then(|link| link.heard_at()).map(|at| to_ms(now - at)),
+                last_received_ms_ago: link.and_then(|link| link.heard_at()).map(|at| to_ms(now - at)),
             },
         }
     }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -26,7 +26,7 @@
     fn receive_packet(&mut self, now: Time, from: SocketAddrV4, datagram: &[u8]) -> Result<(), DropReason> {
         let packet = Packet::decode(self.fleet, datagram)?;
         if matches!(self.phase, Phase::Recording | Phase::Left) {
-            return Err(DropReason::NotTakingPart);
+            return Err(DropReason::NotParticipating);
         }
         match packet {
             Packet::Swim(swim) => self.receive_swim(now, swim, true),
@@ -81,11 +81,11 @@
 
     fn receive_probe(&mut self, now: Time, prober: &Identity, number: u64) -> Result<(), DropReason> {
         if prober.name == self.local.name {
-            return Err(DropReason::OurName);
+            return Err(DropReason::NameConflict);
         }
         // A member that is refused does not bear its name and must not answer for it.
         if !self.takes_part() {
-            return Err(DropReason::NotTakingPart);
+            return Err(DropReason::NotParticipating);
         }
         self.health.heard(now);
         let from = self.local.clone();
@@ -95,7 +95,7 @@
 
     fn receive_probe_reply(&mut self, now: Time, from: &Identity, number: u64) -> Result<(), DropReason> {
         if from.name == self.local.name {
-            return Err(DropReason::OurName);
+            return Err(DropReason::NameConflict);
         }
         self.health.heard(now);
         if let Some(conflict) = self.name_conflicts.get_mut(&from.name) {
@@ -109,10 +109,10 @@
 
     fn receive_join(&mut self, now: Time, asker: &Identity, number: u64) -> Result<(), DropReason> {
         if !self.takes_part() {
-            return Err(DropReason::NotTakingPart);
+            return Err(DropReason::NotParticipating);
         }
         if *asker == self.local {
-            return Err(DropReason::OurName);
+            return Err(DropReason::NameConflict);
         }
         if let Some(response) = self.admit(now, asker) {
             let from = self.local.clone();
@@ -124,13 +124,13 @@
     /// A message of `foca`. `is_direct`: its sender sent it here itself.
     fn receive_swim(&mut self, now: Time, swim: &[u8], is_direct: bool) -> Result<(), DropReason> {
         if !self.takes_part() && self.phase != Phase::Leaving {
-            return Err(DropReason::NotTakingPart);
+            return Err(DropReason::NotParticipating);
         }
         let (header, members) = parse_swim(swim).ok_or(DropReason::Malformed)?;
         self.check_swim(&header, &members)?;
         if let Some(other) = self.find_namesake(&members) {
             self.yield_name(now, other);
-            return Err(DropReason::OurName);
+            return Err(DropReason::NameConflict);
         }
         self.health.heard(now);
         if is_direct {
@@ -155,7 +155,7 @@
     /// Whether a message is from another member, for this one, and within the bound on members.
     fn check_swim(&self, header: &Header<Identity>, members: &[Member<Identity>]) -> Result<(), DropReason> {
         if header.src.name == self.local.name {
-            return Err(DropReason::OurName);
+            return Err(DropReason::NameConflict);
         }
         let is_announce_to_name = header.message == Message::Announce && header.dst.name == self.local.name;
         if header.dst != self.local && !is_announce_to_name {
--- a/crates/membership/src/membership/relaying.rs
+++ b/crates/membership/src/membership/relaying.rs
@@ -38,7 +38,7 @@
             return Err(DropReason::NotAMember);
         };
         if self.disabled.no_relays || self.phase != Phase::In {
-            return Err(DropReason::NotTakingPart);
+            return Err(DropReason::NotParticipating);
         }
         if header.src.addr == from {
             self.health.heard(now);
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -150,7 +150,7 @@
     /// The suspect's address, and those of members that may reach it.
     fn tellers_of(&mut self, suspect: &Identity, fanout: usize) -> Vec<SocketAddrV4> {
         let notices = self.notices.lock();
-        let report = notices.link_report(&suspect.name).filter(|report| report.only);
+        let report = notices.link_report(&suspect.name).filter(|report| report.lists_reachable);
         let hears = |name: &Name| report.is_some_and(|report| report.hears(name));
         let others = self.present().map(|m| &m.identity).filter(|identity| identity.name != suspect.name);
         let (heard, others): (Vec<_>, Vec<_>) = others.partition(|identity| hears(&identity.name));
@@ -176,7 +176,7 @@
         swim_incarnation: u16,
     ) -> Result<(), DropReason> {
         if !self.takes_part() {
-            return Err(DropReason::NotTakingPart);
+            return Err(DropReason::NotParticipating);
         }
         if !self.members.contains_key(&from.name) {
             return Err(DropReason::NotAMember);
@@ -263,6 +263,6 @@
 
     /// Another process bears this member's name in the same incarnation or a later one: this one steps back.
     pub(super) fn yield_name(&mut self, now: Time, other: &Identity) {
-        self.on_refused(now, Phase::Refused, &format!("its name is borne by {}", other.addr));
+        self.on_refused(now, Phase::Refused, &format!("its name is in use by {}", other.addr));
     }
 }
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -8,7 +8,7 @@
 use super::Membership;
 use crate::event::Phase;
 use crate::identity::{Identity, Name};
-use crate::local_health::DoubtReason;
+use crate::local_health::DegradedReason;
 
 /// What a timer does when it fires.
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
             let may_declare_failed = timeout.may_declare_failed();
             // Where nobody was heard lately, it may be this member that is cut off.
             if may_declare_failed && self.phase == Phase::In && self.health.is_isolated(now, &self.times) {
-                self.doubt(now, DoubtReason::Isolated);
+                self.doubt(now, DegradedReason::Isolated);
             }
             if may_declare_failed && self.health.doubting().is_some() {
                 postponed.push(timeout);
--- a/crates/membership/src/notices.rs
+++ b/crates/membership/src/notices.rs
@@ -30,14 +30,14 @@
 
 /// Why a member is shut out, in some words.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reason(Box<str>);
+pub struct ShutOutReason(Box<str>);
 
-impl Reason {
+impl ShutOutReason {
     /// Cuts the text to 96 bytes.
     pub fn new(text: &str) -> Self {
         let longest = text.len().min(MAX_REASON_BYTES);
         let end = (0..=longest).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
-        Reason(text[..end].into())
+        ShutOutReason(text[..end].into())
     }
 
     /// The text.
@@ -57,7 +57,7 @@
         }
         let mut bytes = [0; MAX_REASON_BYTES];
         from.copy_to_slice(&mut bytes[..length]);
-        Some(Reason(std::str::from_utf8(&bytes[..length]).ok()?.into()))
+        Some(ShutOutReason(std::str::from_utf8(&bytes[..length]).ok()?.into()))
     }
 }
 
@@ -80,7 +80,7 @@
         number: u32,
         /// Why.
         #[serde(rename = "why")]
-        reason: Reason,
+        reason: ShutOutReason,
     },
     /// It may take part again.
     LetIn {
@@ -96,12 +96,15 @@
         /// In this incarnation.
         incarnation: Incarnation,
         /// Grows with each such notice of the incarnation.
-        order: u32,
+        #[serde(rename = "order")]
+        sequence: u32,
         /// False: `named` are those that it does not hear and reach directly. True: they are the only ones that
         /// it does.
-        only: bool,
+        #[serde(rename = "only")]
+        lists_reachable: bool,
         /// At most 12 members.
-        named: Vec<Name>,
+        #[serde(rename = "named")]
+        members: Vec<Name>,
     },
 }
 
@@ -147,7 +150,7 @@
             Notice::Left { incarnation, .. } => (incarnation.0, 0),
             Notice::ShutOut { number, .. } => (u64::from(*number), 1),
             Notice::LetIn { number, .. } => (u64::from(*number), 0),
-            Notice::Links { incarnation, order, .. } => (incarnation.0, u64::from(*order)),
+            Notice::Links { incarnation, sequence, .. } => (incarnation.0, u64::from(*sequence)),
         }
     }
 
@@ -170,14 +173,14 @@
                 encode_name(&mut out, name);
                 out.put_u32(*number);
             }
-            Notice::Links { name, incarnation, order, only, named } => {
+            Notice::Links { name, incarnation, sequence, lists_reachable, members } => {
                 out.put_u8(kind::LINKS);
                 encode_name(&mut out, name);
                 out.put_u64(incarnation.0);
-                out.put_u32(*order);
-                out.put_u8(u8::from(*only));
-                out.put_u8(named.len() as u8);
-                for name in named {
+                out.put_u32(*sequence);
+                out.put_u8(u8::from(*lists_reachable));
+                out.put_u8(members.len() as u8);
+                for name in members {
                     encode_name(&mut out, name);
                 }
             }
@@ -192,19 +195,19 @@
             kind::LEFT => Notice::Left { name, incarnation: Incarnation(from.try_get_u64().ok()?) },
             kind::SHUT_OUT => {
                 let number = from.try_get_u32().ok()?;
-                Notice::ShutOut { name, number, reason: Reason::decode(&mut from)? }
+                Notice::ShutOut { name, number, reason: ShutOutReason::decode(&mut from)? }
             }
             kind::LET_IN => Notice::LetIn { name, number: from.try_get_u32().ok()? },
             kind::LINKS => {
                 let incarnation = Incarnation(from.try_get_u64().ok()?);
-                let order = from.try_get_u32().ok()?;
-                let only = from.try_get_u8().ok()? == 1;
+                let sequence = from.try_get_u32().ok()?;
+                let lists_reachable = from.try_get_u8().ok()? == 1;
                 let count = usize::from(from.try_get_u8().ok()?);
                 if count > MAX_NAMED_MEMBERS {
                     return None;
                 }
-                let named = (0..count).map(|_| decode_name(&mut from)).collect::<Option<Vec<_>>>()?;
-                Notice::Links { name, incarnation, order, only, named }
+                let members = (0..count).map(|_| decode_name(&mut from)).collect::<Option<Vec<_>>>()?;
+                Notice::Links { name, incarnation, sequence, lists_reachable, members }
             }
             _ => return None,
         };
@@ -216,19 +219,19 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkReport<'a> {
     /// Whether `named` are the only members that it hears, or those that it does not.
-    pub only: bool,
-    pub named: &'a [Name],
+    pub lists_reachable: bool,
+    pub members: &'a [Name],
 }
 
 impl LinkReport<'_> {
     /// Whether it says that it hears the member.
     pub fn hears(&self, name: &Name) -> bool {
-        self.named.contains(name) == self.only
+        self.members.contains(name) == self.lists_reachable
     }
 
     /// Whether it names the member among the only ones that it hears.
     pub fn hears_only_few_with(&self, name: &Name) -> bool {
-        self.only && self.named.contains(name)
+        self.lists_reachable && self.members.contains(name)
     }
 }
 
@@ -268,7 +271,7 @@
     }
 
     /// Why a member is shut out, if it is.
-    pub fn shut_out(&self, name: &Name) -> Option<&Reason> {
+    pub fn shut_out(&self, name: &Name) -> Option<&ShutOutReason> {
         match self.get(Topic::Admission, name) {
             Some(Notice::ShutOut { reason, .. }) => Some(reason),
             _ => None,
@@ -286,7 +289,9 @@
     /// What the member said of its links.
     pub fn link_report(&self, name: &Name) -> Option<LinkReport<'_>> {
         match self.get(Topic::Links, name) {
-            Some(Notice::Links { only, named, .. }) => Some(LinkReport { only: *only, named }),
+            Some(Notice::Links { lists_reachable, members, .. }) => {
+                Some(LinkReport { lists_reachable: *lists_reachable, members })
+            }
             _ => None,
         }
     }
--- a/crates/membership/src/notices/tests.rs
+++ b/crates/membership/src/notices/tests.rs
@@ -8,14 +8,14 @@
 fn notices_decode_as_encoded() {
     let all = [
         Notice::Left { name: name("g1"), incarnation: Incarnation(3) },
-        Notice::ShutOut { name: name("g1"), number: 3, reason: Reason::new("ünlü") },
+        Notice::ShutOut { name: name("g1"), number: 3, reason: ShutOutReason::new("ünlü") },
         Notice::LetIn { name: name("g1"), number: 4 },
         Notice::Links {
             name: name("g1"),
             incarnation: Incarnation(2),
-            order: 7,
-            only: true,
-            named: vec![name("g2"), name("g3")],
+            sequence: 7,
+            lists_reachable: true,
+            members: vec![name("g2"), name("g3")],
         },
     ];
     for notice in all {
@@ -25,13 +25,13 @@
             assert_eq!(Notice::decode(&bytes[..cut]), None, "{notice:?} cut to {cut}");
         }
     }
-    assert!(Reason::new(&"ü".repeat(100)).as_str().len() <= MAX_REASON_BYTES);
+    assert!(ShutOutReason::new(&"ü".repeat(100)).as_str().len() <= MAX_REASON_BYTES);
 }
 
 /// The higher number holds in whatever order they come; of the same number the one that keeps out.
 #[test]
 fn the_highest_admission_number_holds() {
-    let out = |number| Notice::ShutOut { name: name("g1"), number, reason: Reason::new("why") };
+    let out = |number| Notice::ShutOut { name: name("g1"), number, reason: ShutOutReason::new("why") };
     let let_in = |number| Notice::LetIn { name: name("g1"), number };
     let cases = [
         (vec![out(1), let_in(2)], false),
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{Identity, Incarnation, MAX_NAME_BYTES, Name};
-use crate::notices::Reason;
+use crate::notices::ShutOutReason;
 use crate::wire::{
     decode_address, decode_identity, decode_name, encode_address, encode_identity, encode_name,
 };
@@ -79,13 +79,17 @@
     /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// Of a program that speaks another version.
-    Version,
+    #[serde(rename = "version")]
+    UnsupportedVersion,
     /// Of another fleet.
-    Fleet,
+    #[serde(rename = "fleet")]
+    OtherFleet,
     /// Damaged on the way.
-    Checksum,
+    #[serde(rename = "checksum")]
+    BadChecksum,
     /// Of a kind that is not known.
-    Kind,
+    #[serde(rename = "kind")]
+    UnknownKind,
     /// The envelope is whole, and what is in it can't be decoded.
     Malformed,
     /// For an earlier incarnation, or for another member.
@@ -95,9 +99,11 @@
     /// It tells of more members than may be known.
     Full,
     /// It bears this member's name and is not from it.
-    OurName,
+    #[serde(rename = "our_name")]
+    NameConflict,
     /// This member does not take part now, or not any more.
-    NotTakingPart,
+    #[serde(rename = "not_taking_part")]
+    NotParticipating,
 }
 
 /// The response to a member that asks to join.
@@ -111,7 +117,7 @@
     NameTaken(SocketAddrV4),
     /// Another process bore the name until lately; it is being probed.
     Pending,
-    ShutOut(Reason),
+    ShutOut(ShutOutReason),
     /// More members may not be known.
     Full,
 }
@@ -237,13 +243,13 @@
             return Err(DropReason::TooLong);
         }
         if datagram[VERSION_AT] != VERSION {
-            return Err(DropReason::Version);
+            return Err(DropReason::UnsupportedVersion);
         }
         if datagram[FLEET_AT] != fleet.0.to_be_bytes() {
-            return Err(DropReason::Fleet);
+            return Err(DropReason::OtherFleet);
         }
         if datagram[CHECKSUM_AT] != checksum(datagram).to_be_bytes() {
-            return Err(DropReason::Checksum);
+            return Err(DropReason::BadChecksum);
         }
         decode_body(datagram[KIND_AT], &datagram[HEADER_BYTES..])
     }
@@ -264,7 +270,7 @@
         kind::SUSPECTED => decode_suspected(&mut rest),
         kind::STALE_INCARNATION => decode_numbered(&mut rest)
             .map(|(identity, known)| Packet::StaleIncarnation { identity, known: Incarnation(known) }),
-        _ => return Err(DropReason::Kind),
+        _ => return Err(DropReason::UnknownKind),
     };
     // Nothing may follow a packet: what is not known is not understood.
     packet.filter(|_| rest.is_empty()).ok_or(DropReason::Malformed)
@@ -326,7 +332,7 @@
         }
         response_kind::NAME_TAKEN => JoinResponse::NameTaken(decode_address(from)?),
         response_kind::PENDING => JoinResponse::Pending,
-        response_kind::SHUT_OUT => JoinResponse::ShutOut(Reason::decode(from)?),
+        response_kind::SHUT_OUT => JoinResponse::ShutOut(ShutOutReason::decode(from)?),
         response_kind::FULL => JoinResponse::Full,
         _ => return None,
     })
--- a/crates/membership/src/packet/tests.rs
+++ b/crates/membership/src/packet/tests.rs
@@ -25,7 +25,7 @@
         reply(JoinResponse::StaleIncarnation(Incarnation(9))),
         reply(JoinResponse::NameTaken(from.addr)),
         reply(JoinResponse::Pending),
-        reply(JoinResponse::ShutOut(Reason::new("does not hold what all hold"))),
+        reply(JoinResponse::ShutOut(ShutOutReason::new("does not hold what all hold"))),
         reply(JoinResponse::Full),
         Packet::Relay { to: from.name.clone(), swim: b"swim" },
         Packet::Relayed { from: from.name.clone(), swim: b"swim" },
@@ -42,17 +42,17 @@
     for packet in all_kinds() {
         let datagram = packet.encode(fleet);
         assert_eq!(Packet::decode(fleet, &datagram).as_ref(), Ok(&packet));
-        assert_eq!(Packet::decode(other, &datagram), Err(DropReason::Fleet));
+        assert_eq!(Packet::decode(other, &datagram), Err(DropReason::OtherFleet));
         let mut newer = datagram.clone();
         newer[0] = 2;
-        assert_eq!(Packet::decode(fleet, &newer), Err(DropReason::Version));
+        assert_eq!(Packet::decode(fleet, &newer), Err(DropReason::UnsupportedVersion));
         for cut in 0..datagram.len() {
             assert!(Packet::decode(fleet, &datagram[..cut]).is_err(), "{packet:?} cut to {cut}");
         }
         for at in 10..datagram.len() {
             let mut flipped = datagram.clone();
             flipped[at] ^= 0x10;
-            assert_eq!(Packet::decode(fleet, &flipped), Err(DropReason::Checksum), "{packet:?} at {at}");
+            assert_eq!(Packet::decode(fleet, &flipped), Err(DropReason::BadChecksum), "{packet:?} at {at}");
         }
     }
 }
--- a/crates/membership/src/times.rs
+++ b/crates/membership/src/times.rs
@@ -68,9 +68,11 @@
     /// A member that does not answer is declared failed at once.
     pub no_suspicion: bool,
     /// Pauses and isolation of the own process are not noticed.
-    pub no_lateness: bool,
+    #[serde(rename = "no-lateness")]
+    pub no_local_health: bool,
     /// Each start begins with incarnation 1 again.
-    pub no_incarnation: bool,
+    #[serde(rename = "no-incarnation")]
+    pub no_stored_incarnation: bool,
     /// Nobody probes for another, and nothing is relayed.
     pub no_relays: bool,
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -7,7 +7,7 @@
 use crate::event::{Counters, Phase};
 use crate::identity::{Identity, Incarnation, Name};
 use crate::link_table::LinkState;
-use crate::local_health::DoubtReason;
+use crate::local_health::DegradedReason;
 use crate::status::State;
 
 /// Another member as seen from here.
@@ -42,7 +42,8 @@
     /// Its state.
     pub state: LinkState,
     /// How long ago a datagram came directly from the member, in milliseconds; `None`: never.
-    pub heard_ms_ago: Option<u64>,
+    #[serde(rename = "heard_ms_ago")]
+    pub last_received_ms_ago: Option<u64>,
 }
 
 /// Everything that one member knows.
@@ -57,7 +58,8 @@
     #[serde(rename = "phase_why")]
     pub phase_reason: String,
     /// Why it doubts itself, and for how many milliseconds.
-    pub doubt: Option<(DoubtReason, u64)>,
+    #[serde(rename = "doubt")]
+    pub degraded: Option<(DegradedReason, u64)>,
     /// By how many times their length its timeouts are extended now.
     #[serde(rename = "wider")]
     pub timeout_extension: u8,
