--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What [`crate::Membership`] hands out: actions to carry out, events to log, records to store.
+//! Outputs of [`crate::Membership`]: actions to execute, events to log, and records to store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -12,188 +12,190 @@
 use crate::packet::DropReason;
 use crate::status::State;
 
-/// What is to be done.
+/// Action that the caller executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddrV4,
-        /// Its bytes.
+        /// Bytes of the datagram.
         datagram: Vec<u8>,
     },
-    /// Write a record. After [`Record::IncarnationStarted`] call `on_written`.
+    /// Write a record to disk. After [`Record::IncarnationStarted`] is written, call
+    /// [`crate::Membership::on_written`].
     Write(Record),
     /// Log an event.
     Emit(Event),
 }
 
-/// What this member is in the fleet.
+/// Phase of this member in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Its incarnation is being written to disk; it tells nobody of itself.
+    /// The incarnation is being written to disk. The member sends nothing until then.
     Recording,
-    /// It asks to join.
+    /// The member sends joins.
     Joining,
-    /// It takes part.
+    /// The member has joined.
     In,
-    /// It tells others that it leaves.
+    /// The member announces that it leaves.
     Leaving,
-    /// It has told them.
+    /// The member has announced that it left.
     Left,
-    /// Another process bears its name. It asks again now and then.
+    /// Joining was refused: another process holds the name, or the member limit is reached. Retried
+    /// periodically.
     Refused,
-    /// An operator excluded it. It asks again now and then.
+    /// An operator shut the member out. Joining is retried periodically.
     ShutOut,
 }
 
-/// Why a member's state changed.
+/// Reason for a change of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeReason {
-    /// Known from before the start.
+    /// The member was on disk at start-up.
     Remembered,
-    /// It asked to join.
+    /// The member sent a join.
     Asked,
-    /// Heard from it, or of it as alive.
+    /// A message came from the member, or gossip reported it alive.
     Heard,
-    /// It did not answer, here or elsewhere.
+    /// The member did not answer a probe of this or another member.
     NoAnswer,
-    /// It did not refute a suspicion in time, here or elsewhere.
+    /// The member did not refute a suspicion of this or another member in time.
     NoObjection,
-    /// It said so itself.
+    /// The member announced that it leaves.
     SaidSo,
-    /// An operator's command.
+    /// Command of an operator.
     Operator,
 }
 
-/// What is stored on disk.
+/// Record stored on disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 pub enum Record {
-    /// An incarnation begins. Nobody is told of it before it is on disk and `on_written` was called.
+    /// A new incarnation of this member. It isn't sent to other members before it is on disk.
     #[serde(rename = "began")]
     IncarnationStarted {
-        /// The incarnation.
+        /// The new incarnation.
         incarnation: Incarnation,
     },
-    /// Members to ask after a restart.
+    /// Members to which joins are sent after a restart.
     Members {
-        /// The members.
+        /// The present members.
         known: Vec<KnownMember>,
     },
-    /// A notice that must outlast a restart.
+    /// Notice that must survive a restart.
     Notice {
-        /// The notice.
+        /// The admission notice.
         notice: Notice,
     },
 }
 
-/// A member as it was last known.
+/// Member stored on disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownMember {
-    /// Its identity.
+    /// Last known identity of the member.
     #[serde(rename = "ident")]
     pub identity: Identity,
 }
 
-/// What happened, for the log and the history.
+/// Event for the log and the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "event")]
 pub enum Event {
-    /// This incarnation is on disk; others are told of it from now on.
+    /// A new incarnation is on disk and in use.
     #[serde(rename = "began")]
     IncarnationStarted {
-        /// The member with its incarnation.
+        /// Identity of this member with the incarnation.
         #[serde(rename = "ident")]
         identity: Identity,
     },
     /// This member's phase changed.
     Phase {
-        /// Before.
+        /// Previous phase.
         from: Phase,
-        /// Now.
+        /// New phase.
         to: Phase,
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
     /// Another member's state changed.
     Member {
-        /// Its name.
+        /// Name of the member.
         name: Name,
-        /// Where it is reached.
+        /// Address of the member.
         addr: SocketAddrV4,
-        /// Its state before.
+        /// Previous state.
         from: State,
-        /// Its incarnation before.
+        /// Previous incarnation.
         #[serde(rename = "was")]
         from_incarnation: Incarnation,
-        /// Its state now.
+        /// New state.
         to: State,
-        /// Its incarnation now.
+        /// New incarnation.
         incarnation: Incarnation,
-        /// Why.
+        /// Reason for the change.
         #[serde(rename = "why")]
         reason: ChangeReason,
     },
     /// This process was paused.
     #[serde(rename = "stood")]
     Paused {
-        /// For so many milliseconds.
+        /// Length of the pause in milliseconds.
         ms: u64,
     },
-    /// This member began to doubt itself: it declares nobody failed.
+    /// The local health became degraded. Until it recovers, this member declares no member failed.
     #[serde(rename = "doubt_began")]
     HealthDegraded {
-        /// Why.
+        /// Reason for the change.
         #[serde(rename = "why")]
         reason: DegradedReason,
     },
-    /// It has heard from others again.
+    /// The local health recovered: a reply was received, or no other member is present.
     #[serde(rename = "doubt_ended")]
     HealthRecovered {
-        /// After so many milliseconds.
+        /// Duration of the degraded state in milliseconds.
         ms: u64,
     },
     /// The direct link to a member changed.
     Link {
-        /// The member.
+        /// Name of the member.
         to: Name,
-        /// The link's state now.
+        /// New state of the link.
         state: LinkState,
     },
     /// A member that asked to join was refused.
     #[serde(rename = "turned_away")]
     JoinRefused {
-        /// Its name.
+        /// Name of the member.
         name: Name,
-        /// Where it is.
+        /// Address from its identity.
         addr: SocketAddrV4,
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// What was counted since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Datagrams received.
     pub datagrams_in: u64,
     /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Their bytes received.
+    /// Bytes of the received datagrams.
     pub bytes_in: u64,
-    /// Their bytes sent.
+    /// Bytes of the sent datagrams.
     pub bytes_out: u64,
-    /// Messages relayed for others.
+    /// Messages relayed for other members.
     #[serde(rename = "passed_on")]
     pub relayed: u64,
-    /// Datagrams dropped.
+    /// Received datagrams that were dropped, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
-    /// Changes of a member's state that are not allowed and were not made.
+    /// Rejected changes of a member's state that are not allowed.
     #[serde(rename = "refused_changes")]
     pub invalid_transitions: u64,
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names, incarnations and identities.
+//! Names, incarnations and identities of members.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -8,36 +8,35 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name of a member, a zone or a fleet, in bytes. Two of them and the rest of a header leave room for
-/// some forty members in a datagram.
+/// Length limit of the name of a member, a zone or a fleet, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Why a text is no name.
+/// Error: a text is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not a valid name: expected 1 to {MAX_NAME_BYTES} characters of a-z, 0-9, '-', '_' and '.'")]
 pub struct InvalidName(
-    /// Its beginning.
+    /// Beginning of the text.
     pub String,
 );
 
-/// The name of a member, a zone or a fleet: 1 to 32 of `a-z`, `0-9`, `-`, `_`, `.`.
+/// Name of a member, a zone or a fleet: 1 to 32 characters of `a-z`, `0-9`, `-`, `_`, `.`.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name {
     text: Arc<str>,
-    /// Compared first: `foca` goes through all members for each one that it is told of.
+    /// Hash that is compared before the text: `foca` scans all members for each update.
     key: NameKey,
 }
 
-/// 64 bits that stand for a name. Among 100,000 names two equal keys are not to be expected in a billion fleets.
+/// 64-bit hash of a name. `foca` identifies members by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameKey(u64);
 
 impl NameKey {
-    /// FNV-1a: the same everywhere and for ever, and no secret.
+    /// FNV-1a hash: equal on all members and versions. Not cryptographic.
     fn new(text: &str) -> Self {
         let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         NameKey(text.bytes().fold(FNV_OFFSET, mix))
@@ -49,10 +48,10 @@
 }
 
 impl Name {
-    /// Checks a text.
+    /// Creates a name from a text.
     ///
     /// # Errors
-    /// It is empty, too long, or has a character that is not allowed.
+    /// The text is empty, too long, or has a character that is not allowed.
     pub fn new(name: &str) -> Result<Self, InvalidName> {
         let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
         if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
@@ -61,12 +60,12 @@
         Ok(Name { text: name.into(), key: NameKey::new(name) })
     }
 
-    /// The text.
+    /// Text of the name.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// The key.
+    /// Hash of the name.
     pub fn key(&self) -> NameKey {
         self.key
     }
@@ -123,13 +122,14 @@
     }
 }
 
-/// Counts the lives of a name: one more at each start, and each time a member was declared failed and came back.
-/// It is on disk before anybody is told of it, so that it never goes back; no clock goes into it.
+/// Incarnation number of a member. Grows at each start of the process, and each time the member comes
+/// back after it was declared failed. It is written to disk before it is sent, so that it never
+/// decreases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The one after it.
+    /// Returns the next incarnation.
     pub fn next(self) -> Self {
         Incarnation(self.0.saturating_add(1))
     }
@@ -141,28 +141,28 @@
     }
 }
 
-/// One life of one member.
+/// Identity of one incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The member's name.
+    /// Name of the member.
     pub name: Name,
-    /// Its zone.
+    /// Zone of the member.
     #[serde(rename = "hall")]
     pub zone: Name,
-    /// Where others reach it.
+    /// Address at which other members reach it.
     pub addr: SocketAddrV4,
-    /// Which of its lives.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// Drawn at each start of a process: two processes of one name differ in it, even with copied data
-    /// directories.
+    /// Random number drawn at each start of the process. Distinguishes two processes with one name, even
+    /// with copied data directories.
     pub run: u32,
 }
 
 impl foca::Identity for Identity {
     type Addr = NameKey;
 
-    /// `None`: a member that was declared failed writes its next incarnation to disk before it tells anybody of
-    /// it. [`crate::Membership`] brings it back, not `foca`.
+    /// Returns `None`: a member that was declared failed first writes its next incarnation to disk, which
+    /// [`crate::Membership`] does, not `foca`.
     fn renew(&self) -> Option<Self> {
         None
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,30 +1,31 @@
-//! Membership of a fleet as seen from one member: SWIM with suspicion by the `foca` library, and what SWIM alone
-//! lacks. No I/O, clock or thread.
+//! Membership of a fleet: SWIM with suspicion by the `foca` library, extended by persistent
+//! incarnations, local health (Lifeguard), relays and notices. Does no I/O, reads no clock and starts no
+//! threads.
 //!
-//! [`Membership`] is told the time and the datagrams that were received, and hands out [`Action`]s: what to send,
-//! to write and to log. The same code so runs in a gatekeeper (`crates/cluster`) and on a virtual clock with
-//! thousands of members (`crates/emulator`).
+//! [`Membership`] takes the current time and received datagrams, and returns [`Action`]s: datagrams to
+//! send, records to write and events to log. The same code runs in a gatekeeper (`crates/cluster`) and
+//! on a virtual clock (`crates/emulator`).
 //!
-//! Its answers are one member's view, never agreed upon. Nothing may be safe only because they are right.
+//! The result is one member's view, not a consensus. No safety property may depend on it.
 //!
 //! | file | content |
 //! | --- | --- |
-//! | `identity.rs` | names, incarnations, and which of two identities with one name wins |
-//! | `status.rs` | the states of a member, and which may follow which |
-//! | `local_health.rs` | whether this process was paused or is isolated: then it declares nobody failed |
-//! | `link_table.rs` | which members answer directly, and which only through others |
-//! | `notices.rs` | what spreads besides: who left, who is shut out, which links are cut |
+//! | `identity.rs` | names, incarnations, and the order of identities with one name |
+//! | `status.rs` | states of a member and their transitions |
+//! | `local_health.rs` | detection of pauses and isolation of this process |
+//! | `link_table.rs` | state of the direct links |
+//! | `notices.rs` | gossip about departures, shut-out members and cut links |
 //! | `wire.rs`, `packet.rs`, `swim_codec.rs` | datagrams |
-//! | `event.rs`, `view.rs` | actions, events and records; what operators are shown |
-//! | `membership.rs` | the state machine: its phases, and what operators ask of it |
-//! | `membership/timers.rs` | what is due when |
-//! | `membership/health_checks.rs` | what the local health changes |
-//! | `membership/joining.rs` | joining, and answering members that want to join |
+//! | `event.rs`, `view.rs` | actions, events and records; the view for operators |
+//! | `membership.rs` | the state machine: phases and operator commands |
+//! | `membership/timers.rs` | timers |
+//! | `membership/health_checks.rs` | effects of the local health |
+//! | `membership/joining.rs` | joins of this member and of others |
 //! | `membership/receiving.rs` | received datagrams |
-//! | `membership/suspicion.rs` | telling suspected members, and hearing that one is suspected itself |
-//! | `membership/relaying.rs` | sending, directly and through others |
-//! | `membership/link_reports.rs` | telling others which links are cut |
-//! | `membership/members.rs` | what is known of other members |
+//! | `membership/suspicion.rs` | notification of suspects, and refutation |
+//! | `membership/relaying.rs` | sending, directly and through relays |
+//! | `membership/link_reports.rs` | reports of cut links |
+//! | `membership/members.rs` | state of the other members |
 #![forbid(unsafe_code)]
 
 mod event;
--- a/crates/membership/src/link_table.rs
+++ b/crates/membership/src/link_table.rs
@@ -1,6 +1,6 @@
-//! Which members answer directly. A probe that stays unanswered while others reach the member tells of the link,
-//! not of the member: from then on what goes to it goes through two others as well, until it answers directly
-//! again. So a link that is cut one way shows as cut; the member does not flap between states.
+//! State of the direct link to each member. If a direct probe gets no answer while other members reach
+//! the target, the link is at fault, not the member. Messages to it then also go through relays until it
+//! answers a direct probe, so that a link cut in one direction doesn't make the member's state flap.
 
 use std::collections::HashMap;
 
@@ -9,27 +9,27 @@
 
 use crate::identity::Name;
 
-/// So many unanswered direct probes in a row, of a member that others reach, make its link count as cut.
-const CUT_AFTER_PROBES: u32 = 3;
+/// Consecutive unanswered direct probes after which a link counts as cut if other members reach the target.
+const CUT_AFTER_UNANSWERED_PROBES: u32 = 3;
 
-/// The direct link to and from a member.
+/// State of the direct link to and from a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkState {
-    /// Not probed yet.
+    /// No direct probe was answered yet, and the link isn't found cut.
     #[default]
     Unknown,
-    /// The last direct probe was answered directly.
+    /// A direct probe was answered directly, and the link was not found cut since.
     Whole,
-    /// The member is reached by others only: one direction of the link or both are cut.
+    /// Only other members reach the member: at least one direction of the link is cut.
     Cut,
 }
 
-/// The link to a member.
+/// Direct link to a member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Link {
     state: LinkState,
-    heard_at: Option<Time>,
+    last_received_at: Option<Time>,
     unanswered_probes: u32,
 }
 
@@ -38,12 +38,12 @@
         self.state
     }
 
-    /// When a datagram last came directly from the member.
-    pub fn heard_at(&self) -> Option<Time> {
-        self.heard_at
+    /// Time of the last datagram that came directly from the member.
+    pub fn last_received_at(&self) -> Option<Time> {
+        self.last_received_at
     }
 
-    /// Changes the state; returns it where it is another. Every change goes through here.
+    /// Sets the state and returns it if it changed. All changes go through this method.
     fn set_state(&mut self, state: LinkState) -> Option<LinkState> {
         if self.state == state {
             return None;
@@ -53,26 +53,26 @@
     }
 }
 
-/// The direct probe that is under way.
+/// Direct probe that has not ended.
 #[derive(Clone, Debug)]
-struct OpenProbe {
+struct PendingProbe {
     name: Name,
     number: u8,
     is_answered: bool,
 }
 
-/// How a direct probe ended.
+/// Result of a direct probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EndedProbe {
     pub name: Name,
     pub is_answered: bool,
 }
 
-/// All links.
+/// Direct links to all members, and the pending direct probe.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkTable {
     links: HashMap<Name, Link>,
-    probe: Option<OpenProbe>,
+    pending_probe: Option<PendingProbe>,
 }
 
 impl LinkTable {
@@ -80,63 +80,65 @@
         self.links.get(name)
     }
 
-    /// A datagram came directly from a member.
-    pub fn heard(&mut self, name: &Name, now: Time) {
+    /// Records a datagram that came directly from a member.
+    pub fn message_received(&mut self, name: &Name, now: Time) {
         match self.links.get_mut(name) {
-            Some(link) => link.heard_at = Some(now),
+            Some(link) => link.last_received_at = Some(now),
             None => {
-                let link = Link { heard_at: Some(now), ..Link::default() };
+                let link = Link { last_received_at: Some(now), ..Link::default() };
                 self.links.insert(name.clone(), link);
             }
         }
     }
 
-    /// A direct probe was sent.
+    /// Records a direct probe that was sent.
     pub fn probe_sent(&mut self, name: &Name, number: u8) {
-        self.probe = Some(OpenProbe { name: name.clone(), number, is_answered: false });
+        self.pending_probe = Some(PendingProbe { name: name.clone(), number, is_answered: false });
     }
 
-    /// A probe was answered directly. Returns the link's state where it changed.
+    /// Records a direct answer to the pending probe. Returns the state of the link if it changed.
     pub fn probe_answered(&mut self, name: &Name, number: u8) -> Option<LinkState> {
-        let probe = self.probe.as_mut().filter(|probe| probe.name == *name && probe.number == number)?;
+        let probe =
+            self.pending_probe.as_mut().filter(|probe| probe.name == *name && probe.number == number)?;
         probe.is_answered = true;
         let link = self.links.entry(name.clone()).or_default();
         link.unanswered_probes = 0;
         link.set_state(LinkState::Whole)
     }
 
-    /// The time of the open probe is over.
+    /// Ends the pending probe and returns its result.
     pub fn end_probe(&mut self) -> Option<EndedProbe> {
-        let probe = self.probe.take()?;
+        let probe = self.pending_probe.take()?;
         Some(EndedProbe { name: probe.name, is_answered: probe.is_answered })
     }
 
-    /// A member did not answer directly, and others reached it. Returns the link's state where it changed.
-    pub fn reached_by_others(&mut self, name: &Name) -> Option<LinkState> {
+    /// Records that a member didn't answer directly but was reached by other members. Returns the state
+    /// of the link if it changed.
+    pub fn direct_probe_failed(&mut self, name: &Name) -> Option<LinkState> {
         let link = self.links.entry(name.clone()).or_default();
         link.unanswered_probes += 1;
-        if link.unanswered_probes < CUT_AFTER_PROBES {
+        if link.unanswered_probes < CUT_AFTER_UNANSWERED_PROBES {
             return None;
         }
         link.set_state(LinkState::Cut)
     }
 
-    /// Nobody reached a member. Whether it is there is another matter; until it answers, others relay to it.
-    pub fn reached_by_nobody(&mut self, name: &Name) {
+    /// Records that no member reached a member. Messages to it are relayed until it answers a direct probe.
+    pub fn all_probes_failed(&mut self, name: &Name) {
         self.links.entry(name.clone()).or_default().unanswered_probes += 1;
     }
 
-    /// Whether what goes to a member is relayed by others as well.
+    /// Returns `true` if messages to a member also go through relays.
     pub fn needs_relay(&self, name: &Name) -> bool {
         self.links.get(name).is_some_and(|link| link.unanswered_probes > 0)
     }
 
-    /// A later life of the name is another process: nothing is known of its link.
-    pub fn forget(&mut self, name: &Name) {
+    /// Removes the link of a name that another run of the process now holds.
+    pub fn remove(&mut self, name: &Name) {
         self.links.remove(name);
     }
 
-    /// Members whose link is in a state.
+    /// Returns the names of the members whose link is in `state`.
     pub fn with_state(&self, state: LinkState) -> impl Iterator<Item = &Name> {
         self.links.iter().filter(move |(_, link)| link.state == state).map(|(name, _)| name)
     }
--- a/crates/membership/src/link_table/tests.rs
+++ b/crates/membership/src/link_table/tests.rs
@@ -9,11 +9,11 @@
         links.probe_sent(&g2, number);
         assert_eq!(links.end_probe(), ended(false));
         let expected = (number == 2).then_some(LinkState::Cut);
-        assert_eq!(links.reached_by_others(&g2), expected);
+        assert_eq!(links.direct_probe_failed(&g2), expected);
         assert!(links.needs_relay(&g2));
     }
     links.probe_sent(&g2, 9);
-    assert_eq!(links.probe_answered(&g2, 8), None, "the answer to another probe");
+    assert_eq!(links.probe_answered(&g2, 8), None, "answer to another probe");
     assert_eq!(links.probe_answered(&g2, 9), Some(LinkState::Whole));
     assert_eq!(links.end_probe(), ended(true));
     assert!(!links.needs_relay(&g2));
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,171 +1,179 @@
-//! Local health: a process that was paused, is slow, or hears nobody doubts itself first, and declares nobody
-//! failed until it has heard from others again. The idea is Lifeguard's local health awareness.
+//! Local health, after Lifeguard's local health awareness. A process that was paused or is isolated is
+//! degraded: it declares no member failed until it has received a reply. A slow one extends its
+//! time-outs.
 //!
-//! Two things follow. The timers run on *awake time*: a pause is taken off the clock, so that nobody's time to
-//! answer runs out while nobody could be heard. And while the member doubts itself it probes nobody and no
-//! suspicion times out.
+//! Timers run on *awake time*, the clock without the pauses of the process, so that a pause of this
+//! process does not use up the time that other members have to answer. While the health is degraded, no
+//! probe of the failure detector is sent and no suspicion times out.
 
 use lynxstair::types::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 use crate::times::Times;
 
-/// By how many times their length timeouts are extended at the most.
+/// Largest value of the time-out extension (Lifeguard's local health multiplier).
 const MAX_TIMEOUT_EXTENSION: u8 = 2;
 
-/// Why a member doubts itself.
+/// Reason why the local health of a member is degraded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DegradedReason {
-    /// A timer fired too late.
+    /// The process was paused: a timer fired too late.
     #[serde(rename = "stood_still")]
     Paused,
-    /// Nobody was heard for too long: this member itself may be cut off.
+    /// No message was received for too long; this member may be cut off.
     #[serde(rename = "hears_nobody")]
     Isolated,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Confidence {
-    Sure,
-    /// A reply to a probe of this number or a later one ends the doubt.
-    Doubting {
+enum Health {
+    Healthy,
+    /// Ends with a reply to a probe with at least `min_request_number`.
+    Degraded {
         reason: DegradedReason,
         since: Time,
-        fresh_from: u64,
+        min_request_number: u64,
     },
 }
 
-/// A change of the doubt.
+/// A change between healthy and degraded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DoubtChange {
-    Began(DegradedReason),
-    Ended { since: Time },
+pub(crate) enum HealthChange {
+    Degraded(DegradedReason),
+    Recovered { since: Time },
 }
 
-/// The local health.
+/// Local health of a member.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalHealth {
-    confidence: Confidence,
-    /// By how many times their length timeouts are extended.
+    health: Health,
+    /// Time-outs are multiplied by one more than this.
     timeout_extension: u8,
-    /// The sum of all pauses, which awake time leaves out.
+    /// Sum of all pauses, which awake time excludes.
     paused: Span,
-    heard_at: Time,
+    last_received_at: Time,
     is_enabled: bool,
 }
 
 impl LocalHealth {
-    /// `is_enabled`: false for trials; nothing is noticed then.
+    /// With `is_enabled` false, pauses and isolation are not detected; tests only.
     pub fn new(now: Time, is_enabled: bool) -> Self {
         LocalHealth {
-            confidence: Confidence::Sure,
+            health: Health::Healthy,
             timeout_extension: 0,
             paused: Span::ZERO,
-            heard_at: now,
+            last_received_at: now,
             is_enabled,
         }
     }
 
-    /// Awake time, by which timers are set.
+    /// Converts a time of the clock to awake time, which timers use.
     pub fn awake_time(&self, now: Time) -> Time {
         now.saturating_sub(self.paused)
     }
 
-    /// The clock's time of an awake time.
+    /// Converts an awake time to the time of the clock.
     pub fn clock_time(&self, awake: Time) -> Time {
         awake + self.paused
     }
 
-    /// The process runs now, and had a timer due at `deadline`. Returns for how long it was paused, if it was.
+    /// Returns the length of the pause if the process runs later than the pause threshold after
+    /// `deadline`, at which its next timer was due.
     pub fn observe(&mut self, now: Time, deadline: Option<Time>, times: &Times) -> Option<Span> {
         let late = now - deadline?;
         if !self.is_enabled || late <= times.pause_threshold {
             return None;
         }
         self.paused = self.paused + late;
-        // Nobody could be heard meanwhile.
-        self.heard_at = self.heard_at + late;
+        // No message could be received during the pause.
+        self.last_received_at = self.last_received_at + late;
         self.extend_timeouts();
         Some(late)
     }
 
-    /// A member was heard.
-    pub fn heard(&mut self, now: Time) {
-        self.heard_at = self.heard_at.max(now);
+    /// Records that a message of another member was received.
+    pub fn message_received(&mut self, now: Time) {
+        self.last_received_at = self.last_received_at.max(now);
     }
 
-    /// For how long nobody was heard.
-    pub fn unheard_for(&self, now: Time) -> Span {
-        now - self.heard_at
+    /// Time since the last received message.
+    pub fn time_since_received(&self, now: Time) -> Span {
+        now - self.last_received_at
     }
 
-    /// Whether nobody was heard for too long.
+    /// Returns `true` if no message was received for longer than the isolation threshold.
     pub fn is_isolated(&self, now: Time, times: &Times) -> bool {
-        self.is_enabled && self.unheard_for(now) > times.isolation_threshold
+        self.is_enabled && self.time_since_received(now) > times.isolation_threshold
     }
 
-    /// Begins a doubt, or renews it. Every change of the confidence goes through here, [`Self::reply_received`]
-    /// or [`Self::alone`].
-    pub fn doubt(&mut self, now: Time, reason: DegradedReason, fresh_from: u64) -> Option<DoubtChange> {
-        match self.confidence {
-            Confidence::Doubting { reason: DegradedReason::Isolated, .. }
+    /// Marks the health as degraded. If it already is, only replies from `min_request_number` on end it
+    /// from now, unless the old and the new reason are both isolation. All changes go through this
+    /// method, [`Self::reply_received`] and [`Self::on_no_members`].
+    pub fn degrade(
+        &mut self,
+        now: Time,
+        reason: DegradedReason,
+        min_request_number: u64,
+    ) -> Option<HealthChange> {
+        match self.health {
+            Health::Degraded { reason: DegradedReason::Isolated, .. }
                 if reason == DegradedReason::Isolated =>
             {
                 None
             }
-            // Paused once more: replies to probes from before tell nothing.
-            Confidence::Doubting { reason: first_reason, since, .. } => {
-                self.confidence = Confidence::Doubting { reason: first_reason, since, fresh_from };
+            // A further reason: replies to earlier probes no longer count.
+            Health::Degraded { reason: first_reason, since, .. } => {
+                self.health = Health::Degraded { reason: first_reason, since, min_request_number };
                 None
             }
-            Confidence::Sure => {
-                self.confidence = Confidence::Doubting { reason, since: now, fresh_from };
-                Some(DoubtChange::Began(reason))
+            Health::Healthy => {
+                self.health = Health::Degraded { reason, since: now, min_request_number };
+                Some(HealthChange::Degraded(reason))
             }
         }
     }
 
-    /// A reply to the probe of this number was received.
-    pub fn reply_received(&mut self, now: Time, number: u64) -> Option<DoubtChange> {
-        match self.confidence {
-            Confidence::Doubting { since, fresh_from, .. } if number >= fresh_from => {
-                self.confidence = Confidence::Sure;
-                self.heard(now);
-                Some(DoubtChange::Ended { since })
+    /// Handles a reply to the probe `number`.
+    pub fn reply_received(&mut self, now: Time, number: u64) -> Option<HealthChange> {
+        match self.health {
+            Health::Degraded { since, min_request_number, .. } if number >= min_request_number => {
+                self.health = Health::Healthy;
+                self.message_received(now);
+                Some(HealthChange::Recovered { since })
             }
             _ => None,
         }
     }
 
-    /// There is no other member to hear.
-    pub fn alone(&mut self, now: Time) -> Option<DoubtChange> {
-        self.heard_at = now;
-        match self.confidence {
-            Confidence::Doubting { since, .. } => {
-                self.confidence = Confidence::Sure;
-                Some(DoubtChange::Ended { since })
+    /// Handles that no other member is present: there is none to receive from.
+    pub fn on_no_members(&mut self, now: Time) -> Option<HealthChange> {
+        self.last_received_at = now;
+        match self.health {
+            Health::Degraded { since, .. } => {
+                self.health = Health::Healthy;
+                Some(HealthChange::Recovered { since })
             }
-            Confidence::Sure => None,
+            Health::Healthy => None,
         }
     }
 
-    /// Why it doubts itself, and since when.
-    pub fn doubting(&self) -> Option<(DegradedReason, Time)> {
-        match self.confidence {
-            Confidence::Sure => None,
-            Confidence::Doubting { reason, since, .. } => Some((reason, since)),
+    /// Reason and start of the degraded state, or `None` if healthy.
+    pub fn degraded(&self) -> Option<(DegradedReason, Time)> {
+        match self.health {
+            Health::Healthy => None,
+            Health::Degraded { reason, since, .. } => Some((reason, since)),
         }
     }
 
-    /// Something shows that this process is slow or badly connected.
+    /// Raises the time-out extension after a sign that this process is slow or badly connected.
     pub fn extend_timeouts(&mut self) {
         if self.is_enabled {
             self.timeout_extension = (self.timeout_extension + 1).min(MAX_TIMEOUT_EXTENSION);
         }
     }
 
-    /// A probe was answered in time.
+    /// Lowers the time-out extension after a probe was answered in time.
     pub fn shorten_timeouts(&mut self) {
         self.timeout_extension = self.timeout_extension.saturating_sub(1);
     }
@@ -174,7 +182,7 @@
         self.timeout_extension
     }
 
-    /// A timeout, extended.
+    /// Returns a time-out with the current extension.
     pub fn extended(&self, timeout: Span) -> Span {
         timeout.times(1.0 + f64::from(self.timeout_extension))
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,5 @@
-//! One member of a fleet: its phases and timers. Told the time and what was received, it hands out actions.
+//! The state machine of one member: its phases and timers. It takes the current time and received
+//! datagrams, and returns actions.
 
 mod health_checks;
 mod joining;
@@ -21,7 +22,7 @@
 use crate::identity::{Identity, Incarnation, Name};
 use crate::link_table::LinkTable;
 use crate::local_health::LocalHealth;
-use crate::notices::{Notice, NoticeBoard, ShutOutReason};
+use crate::notices::{Notice, SharedNotices, ShutOutReason};
 use crate::packet::FleetId;
 use crate::swim_codec::SwimCodec;
 use crate::times::{DisabledParts, Times};
@@ -30,42 +31,41 @@
 use members::MemberEntry;
 use timers::Timeout;
 
-/// Most members that are asked at once.
-const ASK_FANOUT: usize = 3;
-/// How often a member that leaves tells others.
+/// Members chosen for one join, recovery probe or suspicion notification, besides seeds.
+const REQUEST_FANOUT: usize = 3;
+/// Gossip rounds in which a leaving member announces that it leaves.
 const LEAVE_ROUNDS: u32 = 4;
-/// A member that is refused or shut out asks again after so many times the usual interval.
-const REFUSED_BACKOFF: f64 = 8.0;
-/// Members are written to disk once in so many exchange intervals: often enough that one of them is still there
-/// after a restart, seldom enough for any disk.
-const REMEMBER_INTERVALS: f64 = 5.0;
+/// Factor of the join interval between the joins of a member that was refused or is shut out.
+const REFUSED_BACKOFF_FACTOR: f64 = 8.0;
+/// Exchange intervals between two writes of the present members to disk.
+const SAVE_MEMBERS_EXCHANGES: f64 = 5.0;
 
-/// What a member is started with.
+/// Start-up parameters of a member.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: Name,
-    /// The member's name.
+    /// Name of the member, unique in the fleet.
     pub name: Name,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: Name,
-    /// Where others reach it.
+    /// Address at which other members reach this one.
     pub addr: SocketAddrV4,
-    /// Members that are asked to let it join.
+    /// Addresses of the members to which joins are sent.
     pub seeds: Vec<SocketAddrV4>,
-    /// Drawn at each start of the process.
+    /// Random number of this run of the process.
     pub run: u32,
-    /// Fixes its random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The last incarnation on disk; `None`: there is none.
+    /// Last incarnation on disk; `None` if there is none.
     pub last_incarnation: Option<Incarnation>,
-    /// The members on disk.
+    /// Members on disk.
     pub known_members: Vec<KnownMember>,
-    /// The notices on disk.
+    /// Notices on disk.
     pub notices: Vec<Notice>,
     /// Intervals and timeouts.
     pub times: Times,
-    /// For trials.
+    /// Safeguards that are disabled; tests only.
     pub disabled: DisabledParts,
 }
 
@@ -76,42 +76,42 @@
     seeds: Vec<SocketAddrV4>,
     times: Times,
     disabled: DisabledParts,
-    foca: Foca<Identity, SwimCodec, Pcg64Mcg, NoticeBoard>,
-    notices: NoticeBoard,
+    foca: Foca<Identity, SwimCodec, Pcg64Mcg, SharedNotices>,
+    notices: SharedNotices,
     rng: Pcg64Mcg,
     phase: Phase,
     phase_reason: String,
-    /// By awake time and order of setting.
+    /// Keyed by awake time and sequence number.
     timers: BTreeMap<(Time, u64), Timeout>,
     timers_set: u64,
     health: LocalHealth,
     links: LinkTable,
     members: BTreeMap<Name, MemberEntry>,
     name_conflicts: HashMap<Name, NameConflict>,
-    /// Number of the last probe or join.
-    last_number: u64,
-    /// The first join of this life: replies to earlier ones are stale.
-    first_join: u64,
-    /// The identity that this member takes once its incarnation is on disk.
+    /// Number of the last probe or join that was sent.
+    last_request_number: u64,
+    /// Number of the first join of this incarnation; replies to earlier joins are stale.
+    first_join_number: u64,
+    /// Identity to switch to when its incarnation is on disk.
     next_identity: Option<Identity>,
-    /// The relay that brought the message that is being handled: the answer goes back through it.
+    /// Address of the relay that forwarded the message being handled; the reply goes through it.
     relayed_by: Option<SocketAddrV4>,
     sent_report: SentLinkReport,
-    remembered: Vec<Identity>,
-    /// A member came back: durable notices are to be told once more.
-    repeats_notices: bool,
+    saved_members: Vec<Identity>,
+    /// Set when a member becomes present: the durable notices are gossiped again.
+    must_repeat_notices: bool,
     actions: Vec<Action>,
     counters: Counters,
 }
 
 impl Membership {
-    /// A member that begins a life: the first action is to write its incarnation to disk.
+    /// Creates a member with a new incarnation. The first action writes the incarnation to disk.
     pub fn new(now: Time, config: MembershipConfig) -> Self {
         let last = config.last_incarnation.filter(|_| !config.disabled.no_stored_incarnation);
         let incarnation = last.unwrap_or_default().next();
         let MembershipConfig { name, zone, addr, run, .. } = config;
         let local = Identity { name, zone, addr, incarnation, run };
-        let notices = NoticeBoard::new(config.times.max_members);
+        let notices = SharedNotices::new(config.times.max_members);
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let foca_rng = Pcg64Mcg::from_rng(&mut rng);
         let foca_config = config.times.foca_config(config.disabled);
@@ -133,27 +133,27 @@
             links: LinkTable::default(),
             members: BTreeMap::new(),
             name_conflicts: HashMap::new(),
-            last_number: u64::from(run) << 32,
-            first_join: 0,
+            last_request_number: u64::from(run) << 32,
+            first_join_number: 0,
             next_identity: None,
             relayed_by: None,
             sent_report: SentLinkReport::default(),
-            remembered: Vec::new(),
-            repeats_notices: false,
+            saved_members: Vec::new(),
+            must_repeat_notices: false,
             actions: Vec::new(),
             counters: Counters::default(),
             local: local.clone(),
         };
         membership.restore(now, config.known_members, config.notices);
-        membership.record_incarnation(local);
+        membership.write_incarnation(local);
         membership
     }
 
-    /// Takes over what was on disk.
+    /// Restores the members and notices that were on disk.
     fn restore(&mut self, now: Time, known_members: Vec<KnownMember>, notices: Vec<Notice>) {
         let own_name = self.local.name.clone();
         for known in known_members.into_iter().filter(|known| known.identity.name != own_name) {
-            self.remembered.push(known.identity.clone());
+            self.saved_members.push(known.identity.clone());
             self.add_member(now, &known.identity, ChangeReason::Remembered);
         }
         for notice in notices {
@@ -162,12 +162,12 @@
         self.apply_notices(now, false);
     }
 
-    fn record_incarnation(&mut self, next: Identity) {
+    fn write_incarnation(&mut self, next: Identity) {
         self.actions.push(Action::Write(Record::IncarnationStarted { incarnation: next.incarnation }));
         self.next_identity = Some(next);
     }
 
-    /// The incarnation is on disk: from now on others are told of it.
+    /// Handles the end of the write of `incarnation`: starts to use it and, at start-up, to join.
     pub fn on_written(&mut self, now: Time, incarnation: Incarnation) {
         let is_written = |next: &mut Identity| next.incarnation == incarnation;
         let Some(next) = self.next_identity.take_if(is_written) else { return };
@@ -181,23 +181,24 @@
         }
         self.start_health_checks(now);
         if self.phase == Phase::Recording {
-            self.start_joining(now, "its incarnation is on disk");
+            self.start_joining(now, "incarnation is on disk");
         }
     }
 
-    /// Begins the next life, after the incarnation `known`: has it written to disk first.
-    fn begin_life_after(&mut self, known: Incarnation, reason: &str) {
+    /// Starts a new incarnation, later than `known` and the current one, by writing it to disk. Does
+    /// nothing if such a write is pending.
+    fn start_incarnation_after(&mut self, known: Incarnation, reason: &str) {
         if self.next_identity.is_some() {
             return;
         }
         let incarnation = known.max(self.local.incarnation).next();
         self.set_phase(Phase::Recording, reason);
-        self.record_incarnation(Identity { incarnation, ..self.local.clone() });
+        self.write_incarnation(Identity { incarnation, ..self.local.clone() });
     }
 
-    /// For experiments: a member that has long been in a fleet of `others`, all of which are present.
+    /// Puts this member into the fleet with `others` alive, without a join. For simulations.
     pub fn start_joined(&mut self, now: Time, others: &[Identity]) {
-        self.enter_fleet(now, "settled");
+        self.enter_fleet(now, "started as joined");
         let own_name = self.local.name.clone();
         let alive = others.iter().filter(|other| other.name != own_name).cloned().map(Member::alive);
         self.with_foca(now, |foca, runtime| {
@@ -206,25 +207,25 @@
         self.sync_members(now);
     }
 
-    /// Leaves: tells others, then is over.
+    /// Leaves the fleet: announces it to other members, then stops.
     pub fn leave(&mut self, now: Time) {
         if matches!(self.phase, Phase::Leaving | Phase::Left) {
             return;
         }
         self.observe(now);
-        self.set_phase(Phase::Leaving, "told to go");
+        self.set_phase(Phase::Leaving, "leave requested");
         let notice = Notice::Left { name: self.local.name.clone(), incarnation: self.local.incarnation };
         let _ = self.foca.add_broadcast(&notice.encode());
         self.set_timer(now, Timeout::Leave(LEAVE_ROUNDS), Span::ZERO);
         self.tick(now);
     }
 
-    /// Whether it has told others that it left; it sends nothing more.
+    /// Returns `true` if the member has announced that it left. It sends nothing more.
     pub fn has_left_fleet(&self) -> bool {
         self.phase == Phase::Left
     }
 
-    /// Shuts a member out until it is let in again. `reason` is told to it.
+    /// Shuts a member out of the fleet until [`Self::let_in`] is called. The member receives `reason`.
     pub fn shut_out(&mut self, now: Time, name: &Name, reason: &str) {
         let number = self.notices.lock().admission_number(name) + 1;
         self.publish(
@@ -233,7 +234,7 @@
         );
     }
 
-    /// Lets a member in again that is shut out.
+    /// Lets a member that is shut out join again. Does nothing if it isn't shut out.
     pub fn let_in(&mut self, now: Time, name: &Name) {
         let number = self.notices.lock().admission_number(name) + 1;
         let is_shut_out = self.notices.lock().shut_out(name).is_some();
@@ -248,7 +249,7 @@
         self.apply_notices(now, true);
     }
 
-    /// Changes the phase. Every change goes through here.
+    /// Sets the phase and emits an event if it changed. All phase changes go through this method.
     fn set_phase(&mut self, to: Phase, reason: &str) {
         if to == self.phase {
             return;
@@ -258,27 +259,28 @@
         self.emit(Event::Phase { from, to, reason: reason.to_string() });
     }
 
-    /// Its phase.
+    /// Current phase of this member.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Its identity.
+    /// Current identity of this member.
     pub fn local(&self) -> &Identity {
         &self.local
     }
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Takes the actions, to be carried out in order and before it is called again.
+    /// Removes and returns the pending actions. The caller executes them in order, before it calls
+    /// another method.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    fn takes_part(&self) -> bool {
+    fn is_participating(&self) -> bool {
         matches!(self.phase, Phase::In | Phase::Joining)
     }
 
@@ -286,12 +288,12 @@
         self.actions.push(Action::Emit(event));
     }
 
-    fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    fn next_request_number(&mut self) -> u64 {
+        self.last_request_number += 1;
+        self.last_request_number
     }
 
-    fn tell_leaving(&mut self, now: Time, rounds_left: u32) {
+    fn announce_leave(&mut self, now: Time, rounds_left: u32) {
         if rounds_left > 0 {
             let mut runtime = AccumulatingRuntime::new();
             let _ = self.foca.gossip(&mut runtime);
@@ -302,42 +304,42 @@
         self.with_foca(now, |foca, runtime| {
             let _ = foca.leave_cluster(runtime);
         });
-        self.set_phase(Phase::Left, "others were told");
+        self.set_phase(Phase::Left, "leave announced");
         self.timers.clear();
     }
 
     fn repeat_notices(&mut self) {
         let durable = self.notices.lock().durable();
         for notice in durable {
-            self.notices.lock().repeat(&notice);
+            self.notices.lock().resend(&notice);
             let _ = self.foca.add_broadcast(&notice.encode());
         }
         self.notices.lock().take_new();
     }
 
-    /// Has the present members written to disk where they changed, to be asked after a restart.
-    fn remember_members(&mut self) {
+    /// Writes the present members to disk if they changed. After a restart, joins are sent to them.
+    fn save_members(&mut self) {
         if self.phase != Phase::In {
             return;
         }
         let present: Vec<_> = self.present().map(|member| member.identity.clone()).collect();
-        if !present.is_empty() && present != self.remembered {
-            self.remembered.clone_from(&present);
+        if !present.is_empty() && present != self.saved_members {
+            self.saved_members.clone_from(&present);
             let known = present.into_iter().map(|identity| KnownMember { identity }).collect();
             self.actions.push(Action::Write(Record::Members { known }));
         }
         self.timers_set += 1;
         let next = self.timers.first_key_value().map_or(Time::default(), |((at, _), _)| *at);
-        let at = next + self.times.exchange_interval.times(REMEMBER_INTERVALS);
-        self.timers.insert((at, self.timers_set), Timeout::RememberMembers);
+        let at = next + self.times.exchange_interval.times(SAVE_MEMBERS_EXCHANGES);
+        self.timers.insert((at, self.timers_set), Timeout::SaveMembers);
     }
 
-    /// Has `foca` do something and carries out what it asks for.
+    /// Calls `step` with `foca` and executes the effects that `foca` requests.
     fn with_foca(
         &mut self,
         now: Time,
         step: impl FnOnce(
-            &mut Foca<Identity, SwimCodec, Pcg64Mcg, NoticeBoard>,
+            &mut Foca<Identity, SwimCodec, Pcg64Mcg, SharedNotices>,
             &mut AccumulatingRuntime<Identity>,
         ),
     ) {
@@ -346,7 +348,7 @@
         self.carry_out(now, runtime);
     }
 
-    /// Carries out what `foca` asks for: messages, timers, and the end of this member's life.
+    /// Executes the effects that `foca` requests: messages, timers, and the end of this incarnation.
     fn carry_out(&mut self, now: Time, mut runtime: AccumulatingRuntime<Identity>) {
         while let Some((to, swim)) = runtime.to_send() {
             self.send_swim(&to, &swim);
@@ -363,9 +365,10 @@
             self.set_timer(now, Timeout::Swim(timer), after);
         }
         while let Some(notification) = runtime.to_notify() {
-            if notification == OwnedNotification::Defunct && self.takes_part() {
-                // Declared failed, or it took over its own name after a restart: it comes back as the next one.
-                self.begin_life_after(self.local.incarnation, "it was declared failed");
+            if notification == OwnedNotification::Defunct && self.is_participating() {
+                // Declared failed, or it replaced its own identity of before a restart: takes the next
+                // incarnation.
+                self.start_incarnation_after(self.local.incarnation, "declared failed by other members");
             }
         }
     }
--- a/crates/membership/src/membership/link_reports.rs
+++ b/crates/membership/src/membership/link_reports.rs
@@ -1,4 +1,4 @@
-//! Telling others which links are cut, so that they relay around them.
+//! Reports of cut links to other members, which choose relays by them.
 
 use lynxstair::types::Time;
 
@@ -6,16 +6,17 @@
 use crate::event::Phase;
 use crate::identity::Name;
 use crate::link_table::LinkState;
-use crate::notices::{MAX_NAMED_MEMBERS, Notice};
+use crate::notices::{MAX_LISTED_MEMBERS, Notice};
 use crate::packet::Packet;
 
-/// A member that hears no more than so many others, and no more than a quarter of them, names those.
-const FEW_MEMBERS: usize = 3;
-const FEW_PART: usize = 4;
-/// "Lately" in isolation thresholds.
-const LATELY: f64 = 2.0;
+/// Most members that count as few. A member that receives from few others reports those.
+const MAX_FEW_MEMBERS: usize = 3;
+/// The number of present members divided by this is an upper limit of few members.
+const FEW_MEMBERS_DIVISOR: usize = 4;
+/// Isolation thresholds within which a sender is recent.
+const RECENT_THRESHOLDS: f64 = 2.0;
 
-/// The report that was sent last.
+/// The last report that was sent.
 #[derive(Debug, Default)]
 pub(super) struct SentLinkReport {
     lists_reachable: bool,
@@ -24,8 +25,8 @@
 }
 
 impl Membership {
-    /// Tells others which links are cut, where that changed. Where only few members are heard, they are told
-    /// directly each time: what goes to random members would be lost on most of them.
+    /// Gossips a report of this member's links if it changed. A report that lists the reachable members
+    /// is also sent directly, every time, to the latest senders: few other members would receive it.
     pub(super) fn report_links(&mut self, now: Time) {
         if self.phase != Phase::In {
             return;
@@ -49,30 +50,30 @@
             self.notices.lock().take_new();
         }
         if lists_reachable {
-            for to in self.heard_lately() {
+            for to in self.latest_direct_senders() {
                 let from = self.local.name.clone();
                 self.send(to.addr, &Packet::Notice { from, notice: &notice });
             }
         }
     }
 
-    /// What this member says of its links: the members that it does not reach directly; or, with `true`, the only
-    /// ones that it does.
+    /// Returns the report of this member's links: with `false` the members whose link is cut, with
+    /// `true` the only ones that are reachable.
     fn link_report(&self, now: Time) -> (bool, Vec<Name>) {
         let cut = self.present_with_link(LinkState::Cut);
         let whole = self.present_with_link(LinkState::Whole);
-        // Where only few are heard at all, that is known before each link has been found cut.
-        let heard = self.names_heard_lately(now);
-        let few = (self.present().count() / FEW_PART).min(FEW_MEMBERS);
-        let hears_few = heard.len() <= few;
+        // A small number of recent senders is known before the probes have found each link cut.
+        let senders = self.recent_direct_senders(now);
+        let max_few = (self.present().count() / FEW_MEMBERS_DIVISOR).min(MAX_FEW_MEMBERS);
+        let has_few_senders = senders.len() <= max_few;
         let is_mostly_cut = cut.len() > whole.len() && !whole.is_empty();
-        let lists_reachable = !heard.is_empty() && hears_few || is_mostly_cut;
-        let mut members = match (lists_reachable, hears_few) {
-            (true, true) => heard,
+        let lists_reachable = !senders.is_empty() && has_few_senders || is_mostly_cut;
+        let mut members = match (lists_reachable, has_few_senders) {
+            (true, true) => senders,
             (true, false) => whole,
             (false, _) => cut,
         };
-        members.truncate(MAX_NAMED_MEMBERS);
+        members.truncate(MAX_LISTED_MEMBERS);
         (lists_reachable, members)
     }
 
@@ -83,10 +84,10 @@
         names
     }
 
-    fn names_heard_lately(&self, now: Time) -> Vec<Name> {
-        let lately = self.times.isolation_threshold.times(LATELY);
-        let heard_at = |name: &Name| self.links.get(name).and_then(|link| link.heard_at());
+    fn recent_direct_senders(&self, now: Time) -> Vec<Name> {
+        let lately = self.times.isolation_threshold.times(RECENT_THRESHOLDS);
+        let last_received_at = |name: &Name| self.links.get(name).and_then(|link| link.last_received_at());
         let names = self.present().map(|member| &member.identity.name);
-        names.filter(|name| heard_at(name).is_some_and(|at| now - at <= lately)).cloned().collect()
+        names.filter(|name| last_received_at(name).is_some_and(|at| now - at <= lately)).cloned().collect()
     }
 }
--- a/crates/membership/src/membership/members.rs
+++ b/crates/membership/src/membership/members.rs
@@ -1,4 +1,4 @@
-//! What is known of other members: taken over from `foca` and from notices.
+//! State of the other members, taken from `foca` and from notices.
 
 use foca::Member;
 use lynxstair::types::{Span, Time};
@@ -12,15 +12,15 @@
 use crate::status::{MemberStatus, State};
 use crate::view::{LinkView, MemberView, View};
 
-/// What `foca` holds of a member: its state, and its incarnation of `foca`.
+/// State of a member in `foca`, and its SWIM incarnation there.
 pub(super) type SwimState = (foca::State, u16);
 
-/// Another member.
+/// What this member knows of another member.
 #[derive(Clone, Debug)]
 pub(super) struct MemberEntry {
     pub identity: Identity,
     pub status: MemberStatus,
-    /// What `foca` held of it when last looked at.
+    /// State in `foca` at the last synchronization.
     pub swim_state: Option<SwimState>,
     since: Time,
     reason: ChangeReason,
@@ -41,20 +41,20 @@
 }
 
 impl Membership {
-    /// A member becomes known by name.
+    /// Adds a member in state `Unknown`.
     pub(super) fn add_member(&mut self, now: Time, identity: &Identity, reason: ChangeReason) {
         let status = MemberStatus::unknown(identity.incarnation);
         let entry = MemberEntry { identity: identity.clone(), status, swim_state: None, since: now, reason };
         self.members.insert(identity.name.clone(), entry);
     }
 
-    /// The other members that take part.
+    /// Other members that are alive or suspected.
     pub(super) fn present(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values().filter(|member| member.state().is_present())
     }
 
-    /// Acts on the notices that came. `stores`: whether those that must outlast a restart are written to disk.
-    pub(super) fn apply_notices(&mut self, now: Time, stores: bool) {
+    /// Applies the new notices. Durable ones are written to disk if `should_store`.
+    pub(super) fn apply_notices(&mut self, now: Time, should_store: bool) {
         let new = self.notices.lock().take_new();
         for notice in new {
             let name = notice.name().clone();
@@ -62,16 +62,16 @@
                 Notice::Left { incarnation, .. } => {
                     let known = self.members.get(&name).map(MemberEntry::incarnation);
                     if known == Some(*incarnation) {
-                        self.end_member(now, &name, State::Left, ChangeReason::SaidSo);
+                        self.set_final_state(now, &name, State::Left, ChangeReason::SaidSo);
                     }
                 }
                 Notice::ShutOut { reason, .. } => {
                     if name == self.local.name {
                         self.on_refused(now, Phase::ShutOut, reason.as_str());
                     } else {
-                        self.end_member(now, &name, State::ShutOut, ChangeReason::Operator);
+                        self.set_final_state(now, &name, State::ShutOut, ChangeReason::Operator);
                     }
-                    self.store_notice(&notice, stores);
+                    self.store_notice(&notice, should_store);
                 }
                 Notice::LetIn { .. } => {
                     let status = self.members.get(&name).map(|member| member.status);
@@ -79,21 +79,21 @@
                         let reason = ChangeReason::Operator;
                         self.change_member(now, &name, State::Unknown, status.incarnation(), reason);
                     }
-                    self.store_notice(&notice, stores);
+                    self.store_notice(&notice, should_store);
                 }
                 Notice::Links { .. } => {}
             }
         }
     }
 
-    fn store_notice(&mut self, notice: &Notice, stores: bool) {
-        if stores {
+    fn store_notice(&mut self, notice: &Notice, should_store: bool) {
+        if should_store {
             self.actions.push(Action::Write(Record::Notice { notice: notice.clone() }));
         }
     }
 
-    /// A member ends by its own word or an operator's; `foca` is told, too.
-    fn end_member(&mut self, now: Time, name: &Name, state: State, reason: ChangeReason) {
+    /// Applies that a member left or was shut out, also to `foca`.
+    fn set_final_state(&mut self, now: Time, name: &Name, state: State, reason: ChangeReason) {
         let Some(member) = self.members.get(name) else { return };
         let (identity, status) = (member.identity.clone(), member.status);
         if status.state() != state {
@@ -105,7 +105,7 @@
         self.sync_members(now);
     }
 
-    /// Takes over what `foca` holds of each member, where that changed.
+    /// Copies the state of each member from `foca` if it changed.
     pub(super) fn sync_members(&mut self, now: Time) {
         let mut changed = Vec::new();
         for member in self.foca.iter_membership_state() {
@@ -119,28 +119,28 @@
         }
         for (identity, swim_state) in changed {
             if swim_state.0 == foca::State::Suspect {
-                self.on_suspected_by_others(now, &identity, swim_state.1);
+                self.on_member_suspected(now, &identity, swim_state.1);
             }
             self.sync_member(now, &identity, swim_state);
         }
     }
 
-    /// A member is newly suspected. The end of a suspicion is told to members at random; where that misses this
-    /// member, it finds out by itself.
-    fn on_suspected_by_others(&mut self, now: Time, suspect: &Identity, swim_incarnation: u16) {
+    /// Warns a newly suspected member and sets a timer for the suspicion. The timer covers the case that
+    /// the gossip about the end of the suspicion does not reach this member.
+    fn on_member_suspected(&mut self, now: Time, suspect: &Identity, swim_incarnation: u16) {
         self.warn_suspect(now, suspect, swim_incarnation);
         let after = self.health.extended(self.times.suspicion_timeout).times(2.0);
-        self.set_timer(now, Timeout::Unsettled(suspect.clone(), swim_incarnation), after);
+        self.set_timer(now, Timeout::UnresolvedSuspicion(suspect.clone(), swim_incarnation), after);
     }
 
     fn sync_member(&mut self, now: Time, identity: &Identity, swim_state: SwimState) {
         let name = identity.name.clone();
         match self.members.get(&name) {
             None => self.add_member(now, identity, ChangeReason::Heard),
-            Some(member) if member.identity.run != identity.run => self.links.forget(&name),
+            Some(member) if member.identity.run != identity.run => self.links.remove(&name),
             Some(_) => {}
         }
-        let has_left = self.notices.lock().left(&name) == Some(identity.incarnation);
+        let has_left = self.notices.lock().left_incarnation(&name) == Some(identity.incarnation);
         let (state, reason) = match swim_state.0 {
             foca::State::Down if has_left => (State::Left, ChangeReason::SaidSo),
             _ if has_left => return,
@@ -154,23 +154,24 @@
         let is_same_incarnation = status.incarnation() == identity.incarnation;
         let is_other_run = member.identity.run != identity.run;
         if is_other_run && is_same_incarnation && swim_state.0 != foca::State::Down {
-            // Two lives with one incarnation: the disk of the later one was emptied, and nobody that it asked
-            // knew of the earlier one. It is to begin after it.
+            // Two runs with one incarnation: the later run lost its disk, and the members that accepted
+            // it did not know the earlier run. It must start a later incarnation.
             let known = identity.incarnation;
             return self.send(identity.addr, &Packet::StaleIncarnation { identity: identity.clone(), known });
         }
         if status.incarnation() <= identity.incarnation {
             member.identity = identity.clone();
         }
-        let ended_otherwise = state == State::Failed
+        let has_other_final_state = state == State::Failed
             && is_same_incarnation
             && matches!(status.state(), State::Left | State::ShutOut);
-        if !ended_otherwise && (status.state(), status.incarnation()) != (state, identity.incarnation) {
+        if !has_other_final_state && (status.state(), status.incarnation()) != (state, identity.incarnation) {
             self.change_member(now, &name, state, identity.incarnation, reason);
         }
     }
 
-    /// Changes what is known of a member. Every change goes through here.
+    /// Changes state and incarnation of a member and emits an event, or counts an invalid transition.
+    /// All changes go through this method.
     pub(super) fn change_member(
         &mut self,
         now: Time,
@@ -189,23 +190,23 @@
         member.reason = reason;
         let addr = member.identity.addr;
         if state == State::Alive && !from.is_present() {
-            self.repeats_notices = true;
+            self.must_repeat_notices = true;
         }
         let name = name.clone();
         self.emit(Event::Member { name, addr, from, from_incarnation, to: state, incarnation, reason });
     }
 
-    /// Everything that this member knows.
+    /// Returns this member's view of the fleet for operators.
     pub fn view(&self, now: Time) -> View {
-        let doubt = self.health.doubting();
-        // A member that is isolated can't tell of any other how it is now.
+        let degraded = self.health.degraded();
+        // An isolated member doesn't know the current state of other members.
         let isolated_since =
-            doubt.filter(|(reason, _)| *reason == DegradedReason::Isolated).map(|(_, since)| since);
+            degraded.filter(|(reason, _)| *reason == DegradedReason::Isolated).map(|(_, since)| since);
         View {
             local: self.local.clone(),
             phase: self.phase,
             phase_reason: self.phase_reason.clone(),
-            degraded: doubt.map(|(reason, since)| (reason, to_ms(now - since))),
+            degraded: degraded.map(|(reason, since)| (reason, to_ms(now - since))),
             timeout_extension: self.health.timeout_extension(),
             members: self.members.values().map(|m| self.view_member(now, m, isolated_since)).collect(),
             counters: self.counters.clone(),
@@ -227,12 +228,12 @@
             reason: format!("{:?}", member.reason),
             link: LinkView {
                 state: link.map(|link| link.state()).unwrap_or_default(),
-                last_received_ms_ago: link.and_then(|link| link.heard_at()).map(|at| to_ms(now - at)),
+                last_received_ms_ago: link.and_then(|link| link.last_received_at()).map(|at| to_ms(now - at)),
             },
         }
     }
 
-    /// State and incarnation of another member; `None`: it was never heard of.
+    /// State and incarnation of another member, or `None` if it isn't known.
     pub fn state_of(&self, name: &Name) -> Option<(State, Incarnation)> {
         self.members.get(name).map(|member| (member.state(), member.incarnation()))
     }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -13,7 +13,8 @@
 use crate::swim_codec::parse_swim;
 
 impl Membership {
-    /// A datagram was received.
+    /// Handles a received datagram. `from` is the address of its sender. Counts it by reason if it is
+    /// dropped.
     pub fn receive(&mut self, now: Time, from: SocketAddrV4, datagram: &[u8]) {
         self.counters.datagrams_in += 1;
         self.counters.bytes_in += datagram.len() as u64;
@@ -35,12 +36,12 @@
             Packet::Notice { from, notice } => self.receive_notice(now, &from, notice),
             Packet::Probe { from: prober, number } => self.receive_probe(now, &prober, number),
             Packet::ProbeReply { from, number } => self.receive_probe_reply(now, &from, number),
-            Packet::Join { from: asker, number } => self.receive_join(now, &asker, number),
+            Packet::Join { from: joiner, number } => self.receive_join(now, &joiner, number),
             Packet::JoinReply { from, number, response } => {
                 self.receive_join_reply(now, &from, number, response)
             }
-            Packet::Suspected { from: teller, suspect, swim_incarnation } => {
-                self.receive_suspected(now, from, teller, suspect, swim_incarnation)
+            Packet::Suspected { from: notifier, suspect, swim_incarnation } => {
+                self.receive_suspected(now, from, notifier, suspect, swim_incarnation)
             }
             Packet::StaleIncarnation { identity, known } => {
                 if identity != self.local || known < self.local.incarnation {
@@ -69,11 +70,11 @@
     }
 
     fn receive_notice(&mut self, now: Time, from: &Name, notice: &[u8]) -> Result<(), DropReason> {
-        if !self.takes_part() || !self.members.contains_key(from) {
+        if !self.is_participating() || !self.members.contains_key(from) {
             return Err(DropReason::NotAMember);
         }
-        self.health.heard(now);
-        self.links.heard(from, now);
+        self.health.message_received(now);
+        self.links.message_received(from, now);
         self.foca.add_broadcast(notice).map_err(|_| DropReason::Malformed)?;
         self.apply_notices(now, true);
         Ok(())
@@ -83,11 +84,11 @@
         if prober.name == self.local.name {
             return Err(DropReason::NameConflict);
         }
-        // A member that is refused does not bear its name and must not answer for it.
-        if !self.takes_part() {
+        // A member that was refused doesn't own its name and must not reply under it.
+        if !self.is_participating() {
             return Err(DropReason::NotParticipating);
         }
-        self.health.heard(now);
+        self.health.message_received(now);
         let from = self.local.clone();
         self.send(prober.addr, &Packet::ProbeReply { from, number });
         Ok(())
@@ -97,62 +98,62 @@
         if from.name == self.local.name {
             return Err(DropReason::NameConflict);
         }
-        self.health.heard(now);
+        self.health.message_received(now);
         if let Some(conflict) = self.name_conflicts.get_mut(&from.name) {
-            let is_bearer = self.members.get(&from.name).is_some_and(|m| m.identity.run == from.run);
-            conflict.is_bearer_alive |= is_bearer && number >= conflict.fresh_from;
+            let is_holder = self.members.get(&from.name).is_some_and(|m| m.identity.run == from.run);
+            conflict.is_holder_alive |= is_holder && number >= conflict.min_request_number;
         }
         let change = self.health.reply_received(now, number);
-        self.on_doubt_change(now, change);
+        self.on_health_change(now, change);
         Ok(())
     }
 
-    fn receive_join(&mut self, now: Time, asker: &Identity, number: u64) -> Result<(), DropReason> {
-        if !self.takes_part() {
+    fn receive_join(&mut self, now: Time, joiner: &Identity, number: u64) -> Result<(), DropReason> {
+        if !self.is_participating() {
             return Err(DropReason::NotParticipating);
         }
-        if *asker == self.local {
+        if *joiner == self.local {
             return Err(DropReason::NameConflict);
         }
-        if let Some(response) = self.admit(now, asker) {
+        if let Some(response) = self.admit(now, joiner) {
             let from = self.local.clone();
-            self.send(asker.addr, &Packet::JoinReply { from, number, response });
+            self.send(joiner.addr, &Packet::JoinReply { from, number, response });
         }
         Ok(())
     }
 
-    /// A message of `foca`. `is_direct`: its sender sent it here itself.
+    /// Handles a message of `foca`. `is_direct` is `false` for a relayed message.
     fn receive_swim(&mut self, now: Time, swim: &[u8], is_direct: bool) -> Result<(), DropReason> {
-        if !self.takes_part() && self.phase != Phase::Leaving {
+        if !self.is_participating() && self.phase != Phase::Leaving {
             return Err(DropReason::NotParticipating);
         }
         let (header, members) = parse_swim(swim).ok_or(DropReason::Malformed)?;
         self.check_swim(&header, &members)?;
-        if let Some(other) = self.find_namesake(&members) {
+        if let Some(other) = self.find_name_conflict(&members) {
             self.yield_name(now, other);
             return Err(DropReason::NameConflict);
         }
-        self.health.heard(now);
+        self.health.message_received(now);
         if is_direct {
-            self.on_heard_directly(now, &header);
+            self.on_direct_message(now, &header);
         }
         let is_suspect = |m: &Member<Identity>| *m.id() == self.local && m.state() == foca::State::Suspect;
         let is_suspected_itself = members.iter().any(is_suspect);
-        let is_news = self.is_news(&header, &members);
-        let mut is_understood = false;
-        self.with_foca(now, |foca, runtime| is_understood = foca.handle_data(swim, runtime).is_ok());
+        let contains_updates = self.contains_updates(&header, &members);
+        let mut is_handled = false;
+        self.with_foca(now, |foca, runtime| is_handled = foca.handle_data(swim, runtime).is_ok());
         if is_suspected_itself {
             self.health.extend_timeouts();
             self.refute(now);
         }
         self.apply_notices(now, true);
-        if is_news {
+        if contains_updates {
             self.sync_members(now);
         }
-        if is_understood { Ok(()) } else { Err(DropReason::Malformed) }
+        if is_handled { Ok(()) } else { Err(DropReason::Malformed) }
     }
 
-    /// Whether a message is from another member, for this one, and within the bound on members.
+    /// Checks that a message is from another member, is for this one, and keeps the member limit.
     fn check_swim(&self, header: &Header<Identity>, members: &[Member<Identity>]) -> Result<(), DropReason> {
         if header.src.name == self.local.name {
             return Err(DropReason::NameConflict);
@@ -170,16 +171,16 @@
         Ok(())
     }
 
-    /// Another process that bears this member's name and goes before it.
-    fn find_namesake<'a>(&self, members: &'a [Member<Identity>]) -> Option<&'a Identity> {
+    /// Returns another process that holds this member's name in the same or a later incarnation.
+    fn find_name_conflict<'a>(&self, members: &'a [Member<Identity>]) -> Option<&'a Identity> {
         members.iter().map(|member| member.id()).find(|id| {
             id.name == self.local.name && id.run != self.local.run && id.incarnation >= self.local.incarnation
         })
     }
 
-    fn on_heard_directly(&mut self, now: Time, header: &Header<Identity>) {
+    fn on_direct_message(&mut self, now: Time, header: &Header<Identity>) {
         let name = &header.src.name;
-        self.links.heard(name, now);
+        self.links.message_received(name, now);
         if let Message::Ack(number) = header.message
             && let Some(state) = self.links.probe_answered(name, number)
         {
@@ -187,15 +188,16 @@
         }
     }
 
-    /// Whether a message tells anything that `foca` did not hold when it was last looked at.
-    fn is_news(&self, header: &Header<Identity>, members: &[Member<Identity>]) -> bool {
+    /// Returns `true` if a message may change the state of a member since the last synchronization with
+    /// `foca`.
+    fn contains_updates(&self, header: &Header<Identity>, members: &[Member<Identity>]) -> bool {
         let sender_state = (foca::State::Alive, header.src_incarnation);
         let others = members.iter().filter(|member| *member.id() != self.local);
-        self.differs(&header.src, sender_state)
-            || others.into_iter().any(|m| self.differs(m.id(), (m.state(), m.incarnation())))
+        self.is_update(&header.src, sender_state)
+            || others.into_iter().any(|m| self.is_update(m.id(), (m.state(), m.incarnation())))
     }
 
-    fn differs(&self, identity: &Identity, (state, incarnation): SwimState) -> bool {
+    fn is_update(&self, identity: &Identity, (state, incarnation): SwimState) -> bool {
         let member = self.members.get(&identity.name).filter(|member| member.identity == *identity);
         let known = member.and_then(|member| member.swim_state);
         known.is_none_or(|(known_state, known_incarnation)| {
--- a/crates/membership/src/membership/relaying.rs
+++ b/crates/membership/src/membership/relaying.rs
@@ -1,4 +1,4 @@
-//! Sending: directly, and through others where the direct link may be cut.
+//! Sending datagrams directly, and through relays if the direct link may be cut.
 
 use std::net::SocketAddrV4;
 
@@ -13,7 +13,7 @@
 use crate::packet::{DropReason, Packet};
 use crate::swim_codec::{decode_header, parse_swim};
 
-/// Through so many members a message is relayed.
+/// Number of relays to which a message is sent.
 const RELAYS_PER_MESSAGE: usize = 2;
 
 impl Membership {
@@ -24,7 +24,7 @@
         self.actions.push(Action::Send { to, datagram });
     }
 
-    /// Relays a message to a member that its sender does not reach.
+    /// Forwards a message of `foca` to the member `to` on behalf of its sender.
     pub(super) fn relay(
         &mut self,
         now: Time,
@@ -41,8 +41,8 @@
             return Err(DropReason::NotParticipating);
         }
         if header.src.addr == from {
-            self.health.heard(now);
-            self.links.heard(&header.src.name, now);
+            self.health.message_received(now);
+            self.links.message_received(&header.src.name, now);
         }
         self.counters.relayed += 1;
         let from = self.local.name.clone();
@@ -50,13 +50,14 @@
         Ok(())
     }
 
-    /// Sends a message of `foca`.
+    /// Sends a message of `foca` directly, and through relays if the member did not answer the last
+    /// direct probe. An answer to a relayed message goes back through its relay only.
     pub(super) fn send_swim(&mut self, to: &Identity, swim: &[u8]) {
         let Some(header) = decode_header(&mut &swim[..]) else { return };
         if self.disabled.no_relays && matches!(header.message, Message::PingReq { .. }) {
             return;
         }
-        // At the end of a suspicion foca 2.0 tells the member that it is down, also where it has refuted it.
+        // At the end of a suspicion, foca 2.0 sends TurnUndead even if the member has refuted the suspicion.
         let is_active = || self.foca.iter_members().any(|member| member.id() == to);
         if header.message == Message::TurnUndead && is_active() {
             return;
@@ -66,8 +67,8 @@
         }
         let is_answer = matches!(header.message, Message::Ack(_) | Message::Announce);
         if let Some(relay) = self.relayed_by.filter(|_| is_answer) {
-            // Who could bring the question can bring the answer. It does not go directly as well: that would be
-            // taken for the answer to a direct probe, and a link that is cut one way for a whole one.
+            // The relay has a working path. The answer is not also sent directly: it would count as the
+            // answer to a direct probe, and hide a link that is cut in one direction.
             let to = to.name.clone();
             return self.send(relay, &Packet::Relay { to, swim });
         }
@@ -75,21 +76,22 @@
         let may_be_relayed =
             matches!(header.message, Message::Ping(_) | Message::Ack(_) | Message::TurnUndead);
         if may_be_relayed && !self.disabled.no_relays && self.links.needs_relay(&to.name) {
-            for relay in self.relays_to(&to.name) {
+            for relay in self.select_relays(&to.name) {
                 self.send(relay, &Packet::Relay { to: to.name.clone(), swim });
             }
         }
     }
 
-    /// Members that are likely to reach a member: present ones that are heard directly here and that neither side
-    /// reports as cut from the other; else any present ones.
-    fn relays_to(&mut self, to: &Name) -> Vec<SocketAddrV4> {
+    /// Chooses random relays to a member among the present members that need no relay themselves and
+    /// that neither side reports as cut off from the other; if there are none, among all present
+    /// members.
+    fn select_relays(&mut self, to: &Name) -> Vec<SocketAddrV4> {
         let notices = self.notices.lock();
         let report = notices.link_report(to);
         let is_suitable = |member: &&MemberEntry| {
             let name = &member.identity.name;
-            let reports_cut = notices.link_report(name).is_some_and(|report| !report.hears(to));
-            let is_reported_cut = report.is_some_and(|report| !report.hears(name));
+            let reports_cut = notices.link_report(name).is_some_and(|report| !report.reaches(to));
+            let is_reported_cut = report.is_some_and(|report| !report.reaches(name));
             name != to && !reports_cut && !is_reported_cut && !self.links.needs_relay(name)
         };
         let mut relays: Vec<_> = self.present().filter(is_suitable).map(|m| m.identity.addr).collect();
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! The timers: what is due when, by awake time.
+//! Timers of the state machine, set by awake time.
 
 use std::mem::discriminant;
 
@@ -10,35 +10,36 @@
 use crate::identity::{Identity, Name};
 use crate::local_health::DegradedReason;
 
-/// What a timer does when it fires.
+/// Action of a timer.
 #[derive(Clone, Debug)]
 pub(super) enum Timeout {
-    /// One of `foca`'s.
+    /// Timer of `foca`.
     Swim(Timer<Identity>),
     Join,
-    /// Probe others, while this member doubts itself.
-    ProbeOthers,
+    /// Probe other members while the local health is degraded.
+    RecoveryProbe,
     CheckHealth,
-    /// Ask seeds that nobody present bears the address of to let this member join.
-    SeekOthers,
+    /// Send joins to seeds and known members that aren't present.
+    ContactMissing,
     ReportLinks,
-    RememberMembers,
-    /// Tell a suspected member; so many rounds are left.
-    TellSuspect(Name, u32),
-    /// A suspicion that came from others, in this incarnation of `foca`: neither a refutation nor its end was
-    /// heard of. And then, with the member's own time to refute it over as well.
-    Unsettled(Identity, u16),
-    Overdue(Identity, u16),
-    /// Tell others that this member leaves; so many rounds are left.
+    SaveMembers,
+    /// Notify a suspected member; holds the number of rounds left.
+    NotifySuspect(Name, u32),
+    /// A member is still suspected in this SWIM incarnation, and neither a refutation nor an end was
+    /// received.
+    UnresolvedSuspicion(Identity, u16),
+    /// The further time that an unresolved suspect had to refute the suspicion is over.
+    ExpiredSuspicion(Identity, u16),
+    /// Announce that this member leaves; holds the number of rounds left.
     Leave(u32),
 }
 
 impl Timeout {
-    /// Whether it may lead to a member being declared failed.
+    /// Returns `true` if the timer may lead to a member being declared failed.
     pub fn may_declare_failed(&self) -> bool {
         matches!(
             self,
-            Timeout::Overdue(..)
+            Timeout::ExpiredSuspicion(..)
                 | Timeout::Swim(
                     Timer::ProbeRandomMember(_)
                         | Timer::SendIndirectProbe { .. }
@@ -49,7 +50,7 @@
 }
 
 impl Membership {
-    /// When `tick` is due.
+    /// Time at which [`Self::tick`] must be called next.
     pub fn next_deadline(&self) -> Option<Time> {
         self.timers.first_key_value().map(|((at, _), _)| self.health.clock_time(*at))
     }
@@ -59,8 +60,8 @@
         self.timers.insert((self.health.awake_time(now) + after, self.timers_set), timeout);
     }
 
-    /// Sets a timer and removes others of its kind. For what repeats: one is enough, also where the next life
-    /// begins it anew.
+    /// Sets a timer and removes all others of its variant. For periodic timers, which a new incarnation
+    /// starts again.
     pub(super) fn restart_timer(&mut self, now: Time, timeout: Timeout, after: Span) {
         let kind = discriminant(&timeout);
         self.timers.retain(|_, other| discriminant(other) != kind);
@@ -77,11 +78,11 @@
             }
             let timeout = entry.remove();
             let may_declare_failed = timeout.may_declare_failed();
-            // Where nobody was heard lately, it may be this member that is cut off.
+            // If no member was received from lately, this one may be isolated.
             if may_declare_failed && self.phase == Phase::In && self.health.is_isolated(now, &self.times) {
-                self.doubt(now, DegradedReason::Isolated);
+                self.degrade(now, DegradedReason::Isolated);
             }
-            if may_declare_failed && self.health.doubting().is_some() {
+            if may_declare_failed && self.health.degraded().is_some() {
                 postponed.push(timeout);
                 continue;
             }
@@ -96,17 +97,19 @@
         match timeout {
             Timeout::Swim(timer) => self.fire_swim_timer(now, timer),
             Timeout::Join => self.send_joins(now),
-            Timeout::ProbeOthers => self.probe_others(now),
+            Timeout::RecoveryProbe => self.send_recovery_probes(now),
             Timeout::CheckHealth => self.check_health(now),
-            Timeout::SeekOthers => self.seek_others(now),
+            Timeout::ContactMissing => self.contact_missing_members(now),
             Timeout::ReportLinks => self.report_links(now),
-            Timeout::RememberMembers => self.remember_members(),
-            Timeout::TellSuspect(name, rounds_left) => self.tell_suspect(now, name, rounds_left),
-            Timeout::Unsettled(suspect, swim_incarnation) => {
-                self.on_unsettled(now, suspect, swim_incarnation);
+            Timeout::SaveMembers => self.save_members(),
+            Timeout::NotifySuspect(name, rounds_left) => self.notify_suspect(now, name, rounds_left),
+            Timeout::UnresolvedSuspicion(suspect, swim_incarnation) => {
+                self.on_unresolved_suspicion(now, suspect, swim_incarnation);
             }
-            Timeout::Overdue(suspect, swim_incarnation) => self.on_overdue(now, suspect, swim_incarnation),
-            Timeout::Leave(rounds_left) => self.tell_leaving(now, rounds_left),
+            Timeout::ExpiredSuspicion(suspect, swim_incarnation) => {
+                self.on_expired_suspicion(now, suspect, swim_incarnation)
+            }
+            Timeout::Leave(rounds_left) => self.announce_leave(now, rounds_left),
         }
     }
 }
--- a/crates/membership/src/notices.rs
+++ b/crates/membership/src/notices.rs
@@ -1,8 +1,8 @@
-//! Notices: what spreads through the fleet besides who is alive. Who left, who is shut out or let in again, whose
-//! links are cut.
+//! Notices: gossip beside the membership state of `foca`. Members that left, members shut out by an
+//! operator or let in again, and link reports.
 //!
-//! Notices ride on `foca`'s own messages. Of one kind about one member the newest holds; an older or known one is
-//! not sent on.
+//! Notices are piggybacked on the messages of `foca`. For each topic and member the newest notice is
+//! valid; older and known ones are not forwarded.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,14 +13,14 @@
 use crate::identity::{Identity, Incarnation, Name};
 use crate::wire::{decode_name, encode_name};
 
-/// Longest reason, in bytes.
+/// Length limit of a reason, in bytes.
 const MAX_REASON_BYTES: usize = 96;
-/// Most members that one notice names.
-pub(crate) const MAX_NAMED_MEMBERS: usize = 12;
-/// Left, shut out or let in, links.
-const NOTICE_KINDS: usize = 3;
+/// Most members in one link report.
+pub(crate) const MAX_LISTED_MEMBERS: usize = 12;
+/// Number of topics: departure, admission and links.
+const TOPICS_PER_MEMBER: usize = 3;
 
-/// Kinds of notices on the wire.
+/// Notice kinds on the wire.
 mod kind {
     pub const LEFT: u8 = 1;
     pub const SHUT_OUT: u8 = 2;
@@ -28,12 +28,12 @@
     pub const LINKS: u8 = 4;
 }
 
-/// Why a member is shut out, in some words.
+/// An operator's reason for shutting a member out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShutOutReason(Box<str>);
 
 impl ShutOutReason {
-    /// Cuts the text to 96 bytes.
+    /// Creates a reason. Truncates the text to at most 96 bytes.
     pub fn new(text: &str) -> Self {
         let longest = text.len().min(MAX_REASON_BYTES);
         let end = (0..=longest).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
@@ -65,44 +65,45 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "notice")]
 pub enum Notice {
-    /// It said that it leaves.
+    /// The member announced that it leaves.
     Left {
-        /// The member.
+        /// Name of the member.
         name: Name,
-        /// In this incarnation.
+        /// Incarnation of the member that the notice is about.
         incarnation: Incarnation,
     },
-    /// It may not take part.
+    /// An operator shut the member out.
     ShutOut {
-        /// The member.
+        /// Name of the member.
         name: Name,
-        /// The higher number holds against `LetIn`; of equal ones, this notice does.
+        /// Admission number. The notice with the highest number is valid; this one if it equals that of
+        /// a `LetIn`.
         number: u32,
-        /// Why.
+        /// Reason that the operator gave.
         #[serde(rename = "why")]
         reason: ShutOutReason,
     },
-    /// It may take part again.
+    /// An operator let the member in again.
     LetIn {
-        /// The member.
+        /// Name of the member.
         name: Name,
-        /// The higher number holds against `ShutOut`.
+        /// Admission number. Must be higher than that of a `ShutOut` to be valid.
         number: u32,
     },
-    /// What the member says of its links.
+    /// Link report of the member.
     Links {
-        /// The member.
+        /// Name of the member.
         name: Name,
-        /// In this incarnation.
+        /// Incarnation of the member that the notice is about.
         incarnation: Incarnation,
-        /// Grows with each such notice of the incarnation.
+        /// Sequence number of the report within the incarnation.
         #[serde(rename = "order")]
         sequence: u32,
-        /// False: `named` are those that it does not hear and reach directly. True: they are the only ones that
-        /// it does.
+        /// `true` if `members` are the only members that it reaches directly; `false` if they are the
+        /// ones whose link is cut.
         #[serde(rename = "only")]
         lists_reachable: bool,
-        /// At most 12 members.
+        /// At most 12 members, which `lists_reachable` describes.
         #[serde(rename = "named")]
         members: Vec<Name>,
     },
@@ -115,7 +116,7 @@
     Links,
 }
 
-/// What a notice is about: a newer one of the same key replaces it.
+/// Topic and member of a notice. A newer notice with the same key replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct NoticeKey(Topic, Name);
 
@@ -126,7 +127,7 @@
 }
 
 impl Notice {
-    /// The member that it is about.
+    /// Name of the member that the notice is about.
     pub fn name(&self) -> &Name {
         let (Notice::Left { name, .. }
         | Notice::ShutOut { name, .. }
@@ -144,8 +145,8 @@
         NoticeKey(topic, self.name().clone())
     }
 
-    /// Of two notices with one key the higher one holds.
-    fn order(&self) -> (u64, u64) {
+    /// Order of the notices with one key: the highest is valid.
+    fn precedence(&self) -> (u64, u64) {
         match self {
             Notice::Left { incarnation, .. } => (incarnation.0, 0),
             Notice::ShutOut { number, .. } => (u64::from(*number), 1),
@@ -203,7 +204,7 @@
                 let sequence = from.try_get_u32().ok()?;
                 let lists_reachable = from.try_get_u8().ok()? == 1;
                 let count = usize::from(from.try_get_u8().ok()?);
-                if count > MAX_NAMED_MEMBERS {
+                if count > MAX_LISTED_MEMBERS {
                     return None;
                 }
                 let members = (0..count).map(|_| decode_name(&mut from)).collect::<Option<Vec<_>>>()?;
@@ -215,45 +216,46 @@
     }
 }
 
-/// What a member said of its links.
+/// Link report of a member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkReport<'a> {
-    /// Whether `named` are the only members that it hears, or those that it does not.
+    /// `true` if `members` are the only reachable ones; `false` if they are the ones whose link is cut.
     pub lists_reachable: bool,
     pub members: &'a [Name],
 }
 
 impl LinkReport<'_> {
-    /// Whether it says that it hears the member.
-    pub fn hears(&self, name: &Name) -> bool {
+    /// Returns `true` if the report counts the member as reachable.
+    pub fn reaches(&self, name: &Name) -> bool {
         self.members.contains(name) == self.lists_reachable
     }
 
-    /// Whether it names the member among the only ones that it hears.
-    pub fn hears_only_few_with(&self, name: &Name) -> bool {
+    /// Returns `true` if the report lists the member among the only reachable ones.
+    pub fn lists_as_reachable(&self, name: &Name) -> bool {
         self.lists_reachable && self.members.contains(name)
     }
 }
 
-/// All notices that hold, and those that are new.
+/// All valid notices, and those received since the last call of [`Notices::take_new`].
 #[derive(Debug, Default)]
 pub(crate) struct Notices {
     current: HashMap<NoticeKey, Notice>,
     new: Vec<Notice>,
     max_members: usize,
-    /// Sent on once more, though it is known.
-    repeated: Option<Notice>,
+    /// Known notice that is forwarded once more.
+    resend: Option<Notice>,
 }
 
 impl Notices {
-    /// Takes a notice in where it is newer than what is known. Returns its key where it is to be sent on.
+    /// Stores a notice that is newer than the known one with its key. Returns the key if the notice must be
+    /// forwarded, and `None` if it is known, older, or over the limit.
     fn insert(&mut self, notice: Notice) -> Option<NoticeKey> {
         let key = notice.key();
-        if self.repeated.take_if(|repeated| *repeated == notice).is_some() {
+        if self.resend.take_if(|resend| *resend == notice).is_some() {
             return Some(key);
         }
         let known = self.current.get(&key);
-        let is_known = known.is_some_and(|known| known.order() >= notice.order());
+        let is_known = known.is_some_and(|known| known.precedence() >= notice.precedence());
         if is_known || known.is_none() && self.is_full() {
             return None;
         }
@@ -263,14 +265,14 @@
     }
 
     fn is_full(&self) -> bool {
-        self.current.len() >= NOTICE_KINDS * self.max_members
+        self.current.len() >= TOPICS_PER_MEMBER * self.max_members
     }
 
     fn get(&self, topic: Topic, name: &Name) -> Option<&Notice> {
         self.current.get(&NoticeKey(topic, name.clone()))
     }
 
-    /// Why a member is shut out, if it is.
+    /// Reason for which a member is shut out, or `None` if it isn't.
     pub fn shut_out(&self, name: &Name) -> Option<&ShutOutReason> {
         match self.get(Topic::Admission, name) {
             Some(Notice::ShutOut { reason, .. }) => Some(reason),
@@ -278,7 +280,7 @@
         }
     }
 
-    /// The number of the last notice on whether the member may take part.
+    /// Number of the member's last admission notice, or 0 if there is none.
     pub fn admission_number(&self, name: &Name) -> u32 {
         match self.get(Topic::Admission, name) {
             Some(Notice::ShutOut { number, .. } | Notice::LetIn { number, .. }) => *number,
@@ -286,7 +288,7 @@
         }
     }
 
-    /// What the member said of its links.
+    /// Last link report of the member.
     pub fn link_report(&self, name: &Name) -> Option<LinkReport<'_>> {
         match self.get(Topic::Links, name) {
             Some(Notice::Links { lists_reachable, members, .. }) => {
@@ -296,53 +298,52 @@
         }
     }
 
-    /// The incarnation in which the member left.
-    pub fn left(&self, name: &Name) -> Option<Incarnation> {
+    /// Incarnation in which the member left.
+    pub fn left_incarnation(&self, name: &Name) -> Option<Incarnation> {
         match self.get(Topic::Left, name) {
             Some(Notice::Left { incarnation, .. }) => Some(*incarnation),
             _ => None,
         }
     }
 
-    /// Takes the notices that came since the last call.
+    /// Removes and returns the notices that were new since the last call.
     pub fn take_new(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.new)
     }
 
-    /// Notices that must not get lost: who is shut out or let in again is told once more when a member comes
-    /// back.
+    /// Returns the admission notices. They are gossiped again when a member comes back.
     pub fn durable(&self) -> Vec<Notice> {
         let is_durable = |notice: &&Notice| matches!(notice, Notice::ShutOut { .. } | Notice::LetIn { .. });
         self.current.values().filter(is_durable).cloned().collect()
     }
 
-    /// Has a known notice be sent on once more.
-    pub fn repeat(&mut self, notice: &Notice) {
-        self.repeated = Some(notice.clone());
+    /// Marks a known notice so that the next [`Self::insert`] of it forwards it once more.
+    pub fn resend(&mut self, notice: &Notice) {
+        self.resend = Some(notice.clone());
     }
 }
 
-/// The notices, shared between `foca`, which brings and spreads them, and [`crate::Membership`], which acts on
-/// them.
+/// Notices shared between `foca`, which receives and gossips them, and [`crate::Membership`], which
+/// applies them.
 #[derive(Clone, Debug)]
-pub(crate) struct NoticeBoard(Arc<Mutex<Notices>>);
+pub(crate) struct SharedNotices(Arc<Mutex<Notices>>);
 
-impl NoticeBoard {
+impl SharedNotices {
     pub fn new(max_members: usize) -> Self {
-        NoticeBoard(Arc::new(Mutex::new(Notices { max_members, ..Notices::default() })))
+        SharedNotices(Arc::new(Mutex::new(Notices { max_members, ..Notices::default() })))
     }
 
-    /// Not to be held over a call into `foca`, which locks it, too.
+    /// Locks the notices. Must not be held during a call of `foca`, which takes the same lock.
     pub fn lock(&self) -> MutexGuard<'_, Notices> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("a notice can't be read")]
+#[error("malformed notice")]
 pub(crate) struct MalformedNotice;
 
-impl foca::BroadcastHandler<Identity> for NoticeBoard {
+impl foca::BroadcastHandler<Identity> for SharedNotices {
     type Key = NoticeKey;
     type Error = MalformedNotice;
 
--- a/crates/membership/src/notices/tests.rs
+++ b/crates/membership/src/notices/tests.rs
@@ -28,21 +28,22 @@
     assert!(ShutOutReason::new(&"ü".repeat(100)).as_str().len() <= MAX_REASON_BYTES);
 }
 
-/// The higher number holds in whatever order they come; of the same number the one that keeps out.
+/// The notice with the highest number is valid in any order of arrival. With equal numbers, shutting out
+/// wins.
 #[test]
-fn the_highest_admission_number_holds() {
-    let out = |number| Notice::ShutOut { name: name("g1"), number, reason: ShutOutReason::new("why") };
+fn highest_admission_number_wins_in_any_order() {
+    let shut_out = |number| Notice::ShutOut { name: name("g1"), number, reason: ShutOutReason::new("why") };
     let let_in = |number| Notice::LetIn { name: name("g1"), number };
     let cases = [
-        (vec![out(1), let_in(2)], false),
-        (vec![let_in(2), out(1)], false),
-        (vec![let_in(2), out(2)], true),
-        (vec![out(2), let_in(2)], true),
-        (vec![out(1), let_in(2), out(3)], true),
-        (vec![out(3), out(1), let_in(2)], true),
+        (vec![shut_out(1), let_in(2)], false),
+        (vec![let_in(2), shut_out(1)], false),
+        (vec![let_in(2), shut_out(2)], true),
+        (vec![shut_out(2), let_in(2)], true),
+        (vec![shut_out(1), let_in(2), shut_out(3)], true),
+        (vec![shut_out(3), shut_out(1), let_in(2)], true),
     ];
     for (order, expected) in cases {
-        let board = NoticeBoard::new(10);
+        let board = SharedNotices::new(10);
         for notice in order.clone() {
             board.lock().insert(notice);
         }
@@ -51,8 +52,8 @@
 }
 
 #[test]
-fn memory_is_bounded() {
-    let board = NoticeBoard::new(4);
+fn number_of_stored_notices_is_limited() {
+    let board = SharedNotices::new(4);
     for n in 0..100 {
         board.lock().insert(Notice::LetIn { name: name(&format!("g{n}")), number: 1 });
     }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,13 +1,13 @@
-//! The datagrams among members: an envelope with version, fleet and checksum around messages of `foca` and our
-//! own. What can't be decoded is dropped with a reason, never answered.
+//! Datagrams between members: a header with version, fleet and checksum, followed by a message of `foca`
+//! or of this crate. A datagram that can't be decoded is dropped with a reason and not answered.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 0 | version of this layout |
 //! | 1 | kind of packet |
-//! | 2 to 9 | the fleet's id, big-endian |
+//! | 2 to 9 | fleet id, big-endian |
 //! | 10 to 13 | CRC-32 of all other bytes, big-endian |
-//! | 14 on | the packet |
+//! | 14 and up | body of the packet |
 
 use std::net::SocketAddrV4;
 use std::ops::Range;
@@ -21,7 +21,7 @@
     decode_address, decode_identity, decode_name, encode_address, encode_identity, encode_name,
 };
 
-/// Largest datagram, in bytes: it goes unfragmented over any usual path.
+/// Size limit of a datagram, in bytes, below the usual path MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 const VERSION: u8 = 1;
@@ -30,12 +30,12 @@
 const FLEET_AT: Range<usize> = 2..10;
 const CHECKSUM_AT: Range<usize> = 10..14;
 const HEADER_BYTES: usize = 14;
-/// What a relay adds: a name and an address.
+/// Upper bound of the bytes that a relay adds to a message of `foca`.
 const RELAY_OVERHEAD_BYTES: usize = 1 + MAX_NAME_BYTES + 6;
-/// Largest message of `foca`, so that it can be relayed whole.
+/// Size limit of a message of `foca`, in bytes, so that it can also be relayed.
 pub(crate) const MAX_SWIM_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - RELAY_OVERHEAD_BYTES;
 
-/// Kinds of packets on the wire.
+/// Packet kinds on the wire.
 mod kind {
     pub const SWIM: u8 = 1;
     pub const PROBE: u8 = 2;
@@ -49,7 +49,7 @@
     pub const NOTICE: u8 = 10;
 }
 
-/// Kinds of responses to a join on the wire.
+/// Join response kinds on the wire.
 mod response_kind {
     pub const ACCEPTED: u8 = 1;
     pub const STALE_INCARNATION: u8 = 2;
@@ -59,75 +59,75 @@
     pub const FULL: u8 = 6;
 }
 
-/// Tells the datagrams of one fleet from those of another.
+/// Identifier of a fleet in datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetId(u64);
 
 impl FleetId {
-    /// The id of a fleet's name, the same everywhere.
+    /// Returns the identifier for the name of a fleet, the hash of the name.
     pub fn of(fleet: &Name) -> Self {
         FleetId(fleet.key().to_bits())
     }
 }
 
-/// Why a datagram was dropped.
+/// Reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
-    /// Shorter than an envelope.
+    /// Shorter than a header.
     TooShort,
     /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Of a program that speaks another version.
+    /// Version of the layout that this program does not support.
     #[serde(rename = "version")]
     UnsupportedVersion,
-    /// Of another fleet.
+    /// Datagram of another fleet.
     #[serde(rename = "fleet")]
     OtherFleet,
-    /// Damaged on the way.
+    /// Wrong checksum: the datagram was damaged.
     #[serde(rename = "checksum")]
     BadChecksum,
-    /// Of a kind that is not known.
+    /// Unknown kind of packet.
     #[serde(rename = "kind")]
     UnknownKind,
-    /// The envelope is whole, and what is in it can't be decoded.
+    /// The header is valid, but the body can't be decoded.
     Malformed,
-    /// For an earlier incarnation, or for another member.
+    /// For another member or another incarnation, or an unexpected reply.
     NotForUs,
-    /// From, or for, somebody who is not a member here.
+    /// From or for a process that is not a known member.
     NotAMember,
-    /// It tells of more members than may be known.
+    /// It would exceed the limit of known members.
     Full,
-    /// It bears this member's name and is not from it.
+    /// From this member's own name, or shows that another process holds it.
     #[serde(rename = "our_name")]
     NameConflict,
-    /// This member does not take part now, or not any more.
+    /// This member is not in a phase that handles the packet.
     #[serde(rename = "not_taking_part")]
     NotParticipating,
 }
 
-/// The response to a member that asks to join.
+/// Response to a join.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum JoinResponse {
     Accepted,
-    /// The name had this incarnation or a later one already; its data directory was emptied. It is to begin after
-    /// this one.
+    /// The name already had this incarnation, which is not older than the joiner's. The joiner must
+    /// start a later one.
     StaleIncarnation(Incarnation),
-    /// Another process, at this address, bears the name and still answers.
+    /// Another process, at this address, holds the name.
     NameTaken(SocketAddrV4),
-    /// Another process bore the name until lately; it is being probed.
+    /// Another present process holds the name and is being probed.
     Pending,
     ShutOut(ShutOutReason),
-    /// More members may not be known.
+    /// The limit of known members is reached.
     Full,
 }
 
-/// A packet.
+/// Decoded packet.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Packet<'a> {
     /// A message of `foca`.
     Swim(&'a [u8]),
-    /// Whether the receiver answers. By its number a reply is known to be fresh.
+    /// Asks the receiver for a reply with the same number.
     Probe {
         from: Identity,
         number: u64,
@@ -145,28 +145,30 @@
         number: u64,
         response: JoinResponse,
     },
-    /// The receiver is to relay a message of `foca` to a member that the sender does not reach.
+    /// Asks the receiver to relay a message of `foca` to the member `to`.
     Relay {
         to: Name,
         swim: &'a [u8],
     },
-    /// A message of `foca` that `from` relays for its sender.
+    /// Message of `foca` relayed by `from`.
     Relayed {
         from: Name,
         swim: &'a [u8],
     },
-    /// `suspect` is suspected and is to refute it. `swim_incarnation`: the one of `foca` that is suspected.
+    /// Notifies that `suspect` is suspected by `from`, in the given SWIM incarnation, so that it can
+    /// refute it.
     Suspected {
         from: Identity,
         suspect: Identity,
         swim_incarnation: u16,
     },
-    /// Another life of the receiver's name had this incarnation or a later one: it is to begin after it.
+    /// Tells the receiver `identity` that its name already had the incarnation `known`; it must start a
+    /// later one.
     StaleIncarnation {
         identity: Identity,
         known: Incarnation,
     },
-    /// A notice, sent directly where few hear the sender.
+    /// Notice sent directly by a member that reaches few members.
     Notice {
         from: Name,
         notice: &'a [u8],
@@ -189,7 +191,7 @@
         }
     }
 
-    /// The datagram.
+    /// Encodes the packet into a datagram.
     pub fn encode(&self, fleet: FleetId) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         out.put_slice(&[VERSION, self.kind()]);
@@ -201,7 +203,7 @@
         out
     }
 
-    /// A `Vec` takes whatever is put into it.
+    /// Encodes the body. Writing to a `Vec` never fails.
     fn encode_body(&self, out: &mut Vec<u8>) {
         match self {
             Packet::Swim(swim) => out.put_slice(swim),
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The packet in a datagram of the fleet.
+    /// Decodes a datagram of the fleet.
     pub fn decode(fleet: FleetId, datagram: &[u8]) -> Result<Packet<'_>, DropReason> {
         if datagram.len() < HEADER_BYTES {
             return Err(DropReason::TooShort);
@@ -272,11 +274,11 @@
             .map(|(identity, known)| Packet::StaleIncarnation { identity, known: Incarnation(known) }),
         _ => return Err(DropReason::UnknownKind),
     };
-    // Nothing may follow a packet: what is not known is not understood.
+    // Reject trailing bytes.
     packet.filter(|_| rest.is_empty()).ok_or(DropReason::Malformed)
 }
 
-/// A name, and bytes to the end.
+/// Decodes a packet of a name and the remaining bytes.
 fn decode_wrapper(kind: u8, mut rest: &[u8]) -> Result<Packet<'_>, DropReason> {
     let name = decode_name(&mut rest).ok_or(DropReason::Malformed)?;
     Ok(match kind {
--- a/crates/membership/src/packet/tests.rs
+++ b/crates/membership/src/packet/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn packets_decode_as_encoded_and_damaged_ones_are_dropped() {
+fn packets_decode_as_encoded_and_damaged_datagrams_are_rejected() {
     let fleet = FleetId::of(&Name::new("one").expect("a name"));
     let other = FleetId::of(&Name::new("two").expect("a name"));
     for packet in all_kinds() {
@@ -57,11 +57,11 @@
     }
 }
 
-/// Written by the build before the types were renamed, one datagram a line.
+/// The golden file has the datagrams of `all_kinds` in hexadecimal, one per line.
 #[test]
-fn datagrams_keep_their_form() {
+fn datagrams_match_the_golden_file() {
     let path = format!("{}/tests/golden/datagrams.hex", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("golden");
+    let text = std::fs::read_to_string(path).expect("golden file");
     let fleet = FleetId::of(&Name::new("one").expect("a name"));
     let hex =
         |packet: &Packet| packet.encode(fleet).iter().map(|byte| format!("{byte:02x}")).collect::<String>();
@@ -69,9 +69,9 @@
 }
 
 proptest! {
-    /// Bytes of any kind are dropped for a reason, also where their checksum is right.
+    /// Guards against panics on untrusted input, also with a valid header and checksum.
     #[test]
-    fn no_bytes_do_harm(kind in 0u8..12, bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(kind in 0u8..12, bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let fleet = FleetId::of(&Name::new("one").expect("a name"));
         prop_assert!(Packet::decode(fleet, &bytes).is_err());
         let mut datagram = Packet::Swim(&bytes).encode(fleet);
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,31 +1,32 @@
-//! The states of a member as seen from here, and which may follow which.
+//! States of a member as seen by this one, and the allowed transitions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::Incarnation;
 
-/// What is known of a member.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Known by name only, from before a restart; or this member is isolated and can say nothing of it.
+    /// Known by name only: restored from disk, or let in again. In a view, also a present member while
+    /// this one is isolated.
     Unknown,
-    /// It asked to join, and others have not been heard of it yet.
+    /// The member sent a join, and no message or gossip about it was received yet.
     Joining,
-    /// It answers.
+    /// The member is alive.
     Alive,
-    /// It did not answer, neither directly nor to others, and has some time left to refute the suspicion.
+    /// The member answered neither a direct nor an indirect probe, and can still refute the suspicion.
     Suspected,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Failed,
-    /// It said that it leaves.
+    /// The member announced that it leaves.
     Left,
-    /// An operator excluded it; it stays out until it is readmitted.
+    /// An operator shut the member out. It stays out until it is let in again.
     ShutOut,
 }
 
 impl State {
-    /// All of them.
+    /// All states.
     pub const ALL: [State; 7] = [
         State::Unknown,
         State::Joining,
@@ -36,28 +37,28 @@
         State::ShutOut,
     ];
 
-    /// Whether a member in this state takes part.
+    /// Returns `true` if a member in this state is present in the fleet.
     pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspected)
     }
 
-    /// Whether only a later incarnation takes part again.
+    /// Returns `true` if only a later incarnation of the member can be present again.
     pub fn is_final(self) -> bool {
         matches!(self, State::Failed | State::Left | State::ShutOut)
     }
 }
 
-/// A change that is not allowed.
+/// Error: a state transition is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{from:?} of incarnation {from_incarnation} may not become {to:?} of incarnation {to_incarnation}")]
+#[error("{from:?} of incarnation {from_incarnation} can't become {to:?} of incarnation {to_incarnation}")]
 pub struct InvalidTransition {
-    /// The state that stays.
+    /// Current state, which stays.
     pub from: State,
-    /// Its incarnation.
+    /// Current incarnation.
     pub from_incarnation: Incarnation,
-    /// The state that was refused.
+    /// Rejected state.
     pub to: State,
-    /// Its incarnation.
+    /// Rejected incarnation.
     pub to_incarnation: Incarnation,
 }
 
@@ -69,30 +70,32 @@
 }
 
 impl MemberStatus {
-    /// A member known by name only.
+    /// Creates the status of a member in state `Unknown`.
     pub fn unknown(incarnation: Incarnation) -> Self {
         MemberStatus { state: State::Unknown, incarnation }
     }
 
-    /// The state.
+    /// State of the member.
     pub fn state(self) -> State {
         self.state
     }
 
-    /// The incarnation.
+    /// Incarnation of the member.
     pub fn incarnation(self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether a change is allowed. Incarnations never go back. A final state stays final within an incarnation,
-    /// but a member may be learnt to have ended otherwise: it had left before it was found silent.
+    /// Returns `true` if the transition is allowed. Incarnations never decrease. A final state can
+    /// change within an incarnation only to a final state of higher precedence (`Failed`, `Left`,
+    /// `ShutOut`), because a notice may arrive after the failure was detected; or from `ShutOut` to
+    /// `Unknown`.
     pub fn may_become(self, state: State, incarnation: Incarnation) -> bool {
         use State::*;
         if incarnation < self.incarnation {
             return false;
         }
         if incarnation > self.incarnation {
-            // A new life of this name. One that is shut out is readmitted first, which makes it Unknown.
+            // A member that is shut out must first be let in again, which sets Unknown.
             return self.state != ShutOut && state != Unknown;
         }
         match (self.state, state) {
@@ -102,16 +105,16 @@
             (Suspected, Alive | Failed | Left | ShutOut) => true,
             (Failed, Left | ShutOut) => true,
             (Left, ShutOut) => true,
-            // Readmitted: as if known by name only.
+            // Let in again.
             (ShutOut, Unknown) => true,
             _ => false,
         }
     }
 
-    /// Changes the status. Every change goes through here.
+    /// Changes the status. All changes go through this method.
     ///
     /// # Errors
-    /// The change is not allowed; nothing changes.
+    /// The transition is not allowed. The status stays as it is.
     pub fn change(&mut self, state: State, incarnation: Incarnation) -> Result<(), InvalidTransition> {
         if !self.may_become(state, incarnation) {
             return Err(InvalidTransition {
--- a/crates/membership/src/status/tests.rs
+++ b/crates/membership/src/status/tests.rs
@@ -4,29 +4,30 @@
 use crate::identity::Incarnation;
 
 #[test]
-fn a_final_state_ends_only_by_a_later_incarnation() {
+fn final_state_ends_only_with_a_later_incarnation() {
     for end in [State::Failed, State::Left] {
         let mut member = MemberStatus::unknown(Incarnation(3));
-        member.change(end, Incarnation(3)).expect("may");
+        member.change(end, Incarnation(3)).expect("allowed");
         assert!(member.change(State::Alive, Incarnation(3)).is_err(), "{end:?}");
         assert!(member.change(State::Alive, Incarnation(2)).is_err(), "{end:?}");
-        member.change(State::Alive, Incarnation(4)).expect("a later one may");
+        member.change(State::Alive, Incarnation(4)).expect("a later incarnation is allowed");
     }
 }
 
 #[test]
-fn an_excluded_member_must_be_readmitted() {
+fn shut_out_member_must_be_let_in_before_a_later_incarnation_is_alive() {
     let mut member = MemberStatus::unknown(Incarnation(3));
-    member.change(State::ShutOut, Incarnation(3)).expect("may");
+    member.change(State::ShutOut, Incarnation(3)).expect("allowed");
     assert!(member.change(State::Alive, Incarnation(9)).is_err());
-    member.change(State::Unknown, Incarnation(3)).expect("let in");
-    member.change(State::Alive, Incarnation(4)).expect("may");
+    member.change(State::Unknown, Incarnation(3)).expect("letting in is allowed");
+    member.change(State::Alive, Incarnation(4)).expect("allowed");
 }
 
 proptest! {
-    /// Whatever is asked for in whatever order: incarnations never go back, and one life ends once.
+    /// In any order of changes, incarnations never decrease, and a final state never becomes present
+    /// again within one incarnation.
     #[test]
-    fn incarnations_never_go_back_in_any_order(changes in proptest::collection::vec((0..7usize, 0..5u64), 0..60)) {
+    fn incarnations_never_decrease(changes in proptest::collection::vec((0..7usize, 0..5u64), 0..60)) {
         let mut member = MemberStatus::unknown(Incarnation(0));
         for (state, incarnation) in changes {
             let before = member;
--- a/crates/membership/src/swim_codec.rs
+++ b/crates/membership/src/swim_codec.rs
@@ -1,4 +1,4 @@
-//! How `foca`'s messages are encoded, and a look into them without it.
+//! Codec of `foca`'s messages, and a parser that reads them before `foca` does.
 
 use bytes::{Buf, BufMut};
 use foca::{Header, Member, Message, State};
@@ -6,7 +6,7 @@
 use crate::identity::Identity;
 use crate::wire::{decode_identity, encode_identity};
 
-/// Kinds of messages on the wire.
+/// Message kinds on the wire.
 mod kind {
     pub const PING: u8 = 1;
     pub const ACK: u8 = 2;
@@ -21,25 +21,25 @@
     pub const TURN_UNDEAD: u8 = 11;
 }
 
-/// States of members on the wire.
+/// Member states on the wire.
 mod state {
     pub const ALIVE: u8 = 1;
     pub const SUSPECT: u8 = 2;
     pub const DOWN: u8 = 3;
 }
 
-/// `foca`'s incarnation, and the kind and number of a message.
+/// Size of the SWIM incarnation, kind and probe number of a message.
 const MESSAGE_BYTES: usize = 4;
-/// `foca`'s incarnation and the state of a member.
+/// Size of the SWIM incarnation and state of a member.
 const MEMBER_STATE_BYTES: usize = 3;
 
-/// The codec of `foca`'s messages.
+/// Codec of `foca`'s messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SwimCodec;
 
-/// Something did not fit into a datagram, or can't be decoded.
+/// Error: a message does not fit into the datagram or can't be decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("not to be written or read")]
+#[error("message does not fit into the datagram or can't be decoded")]
 pub(crate) struct SwimCodecError;
 
 impl foca::Codec<Identity> for SwimCodec {
@@ -86,7 +86,7 @@
     other.map_or(Some(()), |identity| encode_identity(&mut buf, identity))
 }
 
-/// The header of a message.
+/// Decodes the header of a message.
 pub(crate) fn decode_header(buf: &mut impl Buf) -> Option<Header<Identity>> {
     let (src, dst) = (decode_identity(buf)?, decode_identity(buf)?);
     let src_incarnation = buf.try_get_u16().ok()?;
@@ -132,7 +132,7 @@
     Some(Member::new(identity, swim_incarnation, state))
 }
 
-/// A message of `foca`, parsed without it: its header, and the members that it tells of.
+/// Parses a message of `foca` into its header and its member updates.
 pub(crate) fn parse_swim(mut swim: &[u8]) -> Option<(Header<Identity>, Vec<Member<Identity>>)> {
     let header = decode_header(&mut swim)?;
     let mut members = Vec::new();
--- a/crates/membership/src/times.rs
+++ b/crates/membership/src/times.rs
@@ -1,4 +1,4 @@
-//! Intervals and timeouts, and the parts that trials disable.
+//! Intervals, time-outs and limits of the protocol, and the safeguards that tests can disable.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -8,39 +8,41 @@
 
 use crate::packet::MAX_SWIM_BYTES;
 
-/// How long `foca`'s timeout for a suspected member is where trials disable suspicion.
-const NO_SUSPICION: Span = Span::from_millis(1);
+/// Suspicion time-out of `foca` if suspicion is disabled.
+const DISABLED_SUSPICION_TIMEOUT: Span = Span::from_millis(1);
+/// Members asked to probe a member that did not answer directly.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).expect("not zero");
-/// How often news of a member is sent on.
+/// Number of times that an update about a member is gossiped.
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(12).expect("not zero");
 const MAX_PACKET_BYTES: NonZeroUsize = NonZeroUsize::new(MAX_SWIM_BYTES).expect("not zero");
 const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(3).expect("not zero");
 const EXCHANGE_FANOUT: NonZeroUsize = NonZeroUsize::MIN;
 const EXCHANGE_FAILED_FANOUT: NonZeroUsize = NonZeroUsize::new(2).expect("not zero");
 
-/// Intervals and timeouts. With the defaults 99 of 100 deaths are found within 4 s among a thousand members
-/// (docs/results.md has the measurement).
+/// Intervals, time-outs and limits of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// How often a member is probed.
+    /// Interval between two probes.
     pub probe_interval: Span,
-    /// After so long without a direct answer, others are asked to probe it.
+    /// Time without a direct answer after which other members are asked to probe the target.
     pub probe_timeout: Span,
-    /// A suspected member has so long to refute the suspicion.
+    /// Time that a suspected member has to refute the suspicion.
     pub suspicion_timeout: Span,
-    /// How often news is sent to three members.
+    /// Interval at which updates are gossiped to three members.
     pub gossip_interval: Span,
-    /// A timer that fires so much too late shows that this process was paused.
+    /// Delay of a timer above which the process counts as paused.
     pub pause_threshold: Span,
-    /// A member that hears nobody for so long takes itself for isolated.
+    /// Time without a received message after which this member counts as isolated.
     pub isolation_threshold: Span,
-    /// Between two attempts to join.
+    /// Interval between two joins.
     pub join_interval: Span,
-    /// How often a random member is asked for all it knows, and failed members are tried.
+    /// Interval at which `foca` announces this member to one random member, which replies with members
+    /// that it knows, and to two failed members. Also the interval of joins to members that aren't
+    /// present, and of link reports.
     pub exchange_interval: Span,
-    /// For how long a failed or departed member is remembered.
+    /// Time after which `foca` removes a failed or departed member.
     pub forget_after: Span,
-    /// Most members known.
+    /// Limit of known members.
     pub max_members: usize,
 }
 
@@ -61,19 +63,20 @@
     }
 }
 
-/// Safeguards that trials disable, to show that their checks find what follows. Never set in service.
+/// Safeguards that tests disable to show that their checks detect the resulting faults. Never set in
+/// production.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct DisabledParts {
     /// A member that does not answer is declared failed at once.
     pub no_suspicion: bool,
-    /// Pauses and isolation of the own process are not noticed.
+    /// Pauses and isolation of this process are not detected.
     #[serde(rename = "no-lateness")]
     pub no_local_health: bool,
-    /// Each start begins with incarnation 1 again.
+    /// Each start ignores the stored incarnation and begins with incarnation 1.
     #[serde(rename = "no-incarnation")]
     pub no_stored_incarnation: bool,
-    /// Nobody probes for another, and nothing is relayed.
+    /// No indirect probes are sent, and no messages are relayed.
     pub no_relays: bool,
 }
 
@@ -86,7 +89,8 @@
         let periodic = |interval: Span, num_members: NonZeroUsize| {
             Some(foca::PeriodicParams { frequency: to_duration(interval), num_members })
         };
-        let suspicion_timeout = if disabled.no_suspicion { NO_SUSPICION } else { self.suspicion_timeout };
+        let suspicion_timeout =
+            if disabled.no_suspicion { DISABLED_SUSPICION_TIMEOUT } else { self.suspicion_timeout };
         foca::Config {
             probe_period: to_duration(self.probe_interval),
             probe_rtt: to_duration(self.probe_timeout),
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What one member answers when an operator asks who is present.
+//! One member's view of the fleet, reported to operators.
 
 use std::net::SocketAddrV4;
 
@@ -10,61 +10,61 @@
 use crate::local_health::DegradedReason;
 use crate::status::State;
 
-/// Another member as seen from here.
+/// Another member as seen by this one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its name.
+    /// Name of the member.
     pub name: Name,
-    /// Its zone.
+    /// Zone of the member.
     #[serde(rename = "hall")]
     pub zone: Name,
-    /// Where it is reached.
+    /// Address of the member.
     pub addr: SocketAddrV4,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// `Unknown` while this member is isolated.
+    /// Current state. `Unknown` for a present member while this one is isolated.
     pub state: State,
-    /// The last state that was known.
+    /// Last known state.
     #[serde(rename = "last")]
     pub last_state: State,
-    /// For how long it has been in `state`, in milliseconds.
+    /// Time in `state`, in milliseconds.
     pub for_ms: u64,
-    /// Why.
+    /// Reason of the last change of the state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The direct link to it.
+    /// Direct link to the member.
     pub link: LinkView,
 }
 
-/// The direct link to a member.
+/// Direct link to a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinkView {
-    /// Its state.
+    /// State of the link.
     pub state: LinkState,
-    /// How long ago a datagram came directly from the member, in milliseconds; `None`: never.
+    /// Time since a datagram last came directly from the member, in milliseconds, or `None` if none came.
     #[serde(rename = "heard_ms_ago")]
     pub last_received_ms_ago: Option<u64>,
 }
 
-/// Everything that one member knows.
+/// One member's view of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// The member itself.
+    /// Identity of the reporting member.
     #[serde(rename = "me")]
     pub local: Identity,
-    /// Its phase.
+    /// Phase of the reporting member.
     pub phase: Phase,
-    /// Why it is in this phase.
+    /// Reason of the last change of the phase.
     #[serde(rename = "phase_why")]
     pub phase_reason: String,
-    /// Why it doubts itself, and for how many milliseconds.
+    /// Reason for the degraded local health and its duration in milliseconds; `None` while healthy.
     #[serde(rename = "doubt")]
     pub degraded: Option<(DegradedReason, u64)>,
-    /// By how many times their length its timeouts are extended now.
+    /// Time-outs are multiplied by one more than this.
     #[serde(rename = "wider")]
     pub timeout_extension: u8,
-    /// The other members.
+    /// Other members.
     pub members: Vec<MemberView>,
-    /// What was counted.
+    /// Counters of the reporting member.
     pub counters: Counters,
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! Names, addresses and identities in datagrams. Integers are big-endian; a text is preceded by its length in one
-//! byte.
+//! Encoding of names, addresses and identities in datagrams. Integers are big-endian; a text is preceded
+//! by its length in one byte.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,10 +8,10 @@
 use crate::identity::{Identity, Incarnation, MAX_NAME_BYTES, Name};
 
 const ADDRESS_BYTES: usize = 6;
-/// Incarnation and run of an identity.
-const LIFE_BYTES: usize = 12;
+/// Size of the incarnation and run of an identity.
+const INCARNATION_AND_RUN_BYTES: usize = 12;
 
-/// `None`: it does not fit. The same of the functions below.
+/// Encodes a name. The encoding functions return `None` if the buffer is too small.
 pub(crate) fn encode_name(out: &mut impl BufMut, name: &Name) -> Option<()> {
     let bytes = name.as_str().as_bytes();
     (out.remaining_mut() > bytes.len()).then(|| {
@@ -20,7 +20,7 @@
     })
 }
 
-/// `None`: there is none. The same of the functions below.
+/// Decodes a name. The decoding functions return `None` if the buffer doesn't hold a valid value.
 pub(crate) fn decode_name(from: &mut impl Buf) -> Option<Name> {
     let length = usize::from(from.try_get_u8().ok()?);
     if length > MAX_NAME_BYTES || from.remaining() < length {
@@ -47,7 +47,7 @@
     encode_name(out, &identity.name)?;
     encode_name(out, &identity.zone)?;
     encode_address(out, identity.addr)?;
-    (out.remaining_mut() >= LIFE_BYTES).then(|| {
+    (out.remaining_mut() >= INCARNATION_AND_RUN_BYTES).then(|| {
         out.put_u64(identity.incarnation.0);
         out.put_u32(identity.run);
     })
