--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -37,7 +37,7 @@
 const LEAVE_ROUNDS: u32 = 4;
 /// Factor of the join interval between the joins of a member that was refused or is shut out.
 const REFUSED_BACKOFF_FACTOR: f64 = 8.0;
-/// Exchange intervals between two writes of the present members to disk.
+/// Exchange intervals between two writes of the present members to disk, if they changed.
 const SAVE_MEMBERS_EXCHANGES: f64 = 5.0;
 
 /// Start-up parameters of a member.
--- a/crates/membership/src/membership/health_checks.rs
+++ b/crates/membership/src/membership/health_checks.rs
@@ -37,7 +37,7 @@
 
     /// Handles the recovery of the local health. Reschedules timers that are due within one suspicion
     /// time-out and may declare a member failed: the end of a suspicion to twice that time-out from now,
-    /// probes to the probe time-out. Members can so answer first.
+    /// probes to the probe time-out. This gives members time to answer first.
     pub(super) fn on_health_change(&mut self, now: Time, change: Option<HealthChange>) {
         let Some(HealthChange::Recovered { since }) = change else { return };
         self.emit(Event::HealthRecovered { ms: (now - since).nanos() / 1_000_000 });
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -227,7 +227,7 @@
             return;
         }
         if matches!(self.phase, Phase::Refused | Phase::ShutOut) {
-            // Other members hold the current incarnation as ended.
+            // For other members, the current incarnation has ended.
             return self.start_incarnation_after(self.local.incarnation, "let in again");
         }
         if self.phase != Phase::In {
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -235,8 +235,8 @@
     }
 
     /// Warns a newly suspected member if this one has received from it directly: the members that
-    /// suspect it may not reach it. In a large fleet, a random part of the members does so, besides
-    /// recent receivers and those that the suspect reports as reachable.
+    /// suspect it may not reach it. In a large fleet, only a random part of the members does so, and those
+    /// that received from it recently or that it lists as reachable.
     pub(super) fn warn_suspect(&mut self, now: Time, suspect: &Identity, swim_incarnation: u16) {
         let name = &suspect.name;
         let last_received_at = self.links.get(name).and_then(|link| link.last_received_at());
--- a/crates/membership/src/packet/tests.rs
+++ b/crates/membership/src/packet/tests.rs
@@ -71,7 +71,7 @@
 proptest! {
     /// Guards against panics on untrusted input, also with a valid header and checksum.
     #[test]
-    fn arbitrary_bytes_do_not_panic(kind in 0u8..12, bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_do_not_panic(kind in 0u8..12, bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let fleet = FleetId::of(&Name::new("one").expect("a name"));
         prop_assert!(Packet::decode(fleet, &bytes).is_err());
         let mut datagram = Packet::Swim(&bytes).encode(fleet);
