--- a/crates/control-state/src/config_store.rs
+++ b/crates/control-state/src/config_store.rs
@@ -226,7 +226,7 @@
     /// Parses a newer table, reusing rows that are already parsed here.
     fn configuration_after(&self, table: &ConfigTable) -> Result<Configuration, ValueError> {
         let older = self.configuration().map(|configuration| (&self.table, &**configuration));
-        Configuration::from_table_after(table, older)
+        Configuration::from_table_reusing(table, older)
     }
 
     /// Returns `true` if the command is in the table of recently applied commands.
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -101,7 +101,7 @@
         rng_seed: now.nanos() ^ u64::from(me.port()) << 48 ^ fnv1a(FNV_OFFSET, &settings.node),
         stored,
         bootstrap,
-        tolerated_disk_losses: settings.tolerated,
+        tolerated_disk_losses: settings.fault_budget_machines,
         catch_up_time: settings.bounds.catch_up,
     };
     Ok(ControllerState {
--- a/crates/proxy/src/worker_reply.rs
+++ b/crates/proxy/src/worker_reply.rs
@@ -68,7 +68,7 @@
     let received = bytes.len() - head;
     match (http::response_extent(bytes, stream, MAX_BUFFERED_UNSIZED_BYTES), long_body) {
         (Ok(Some(extent)), _) => {
-            reply.is_clean =
+            reply.allows_reuse =
                 extent.keep_alive && extent.total == inbound.len() && stream == StreamState::Open;
             Ok(Some(FoundReply { head: reply, extent, remaining: 0, keep_alive }))
         }
@@ -81,7 +81,7 @@
             Ok(Some(FoundReply { head: reply, extent, remaining: length - received, keep_alive }))
         }
         (Ok(None), _) => Ok(None),
-        (Err(_), _) => Err(AttemptEvent::Garbled),
+        (Err(_), _) => Err(AttemptEvent::MalformedReply),
     }
 }
 
@@ -89,7 +89,7 @@
     let (response, head) = match http::parse_response_head(bytes) {
         Ok(Some(found)) => found,
         Ok(None) => return Ok(None),
-        Err(_) => return Err(AttemptEvent::Garbled),
+        Err(_) => return Err(AttemptEvent::MalformedReply),
     };
     let headers = &response.headers;
     let has = |name| headers.get(name).is_some();
@@ -104,10 +104,10 @@
         reply: ReplyHead {
             owner,
             status: response.status,
-            says_not_run: has("not-run"),
+            reports_not_run: has("not-run"),
             is_sealed: has("server-seal"),
             is_encoded: has("content-encoding"),
-            is_clean: false,
+            allows_reuse: false,
         },
         length: head,
         long_body: length.filter(|l| *l > MAX_BUFFERED_BODY_BYTES && !has("transfer-encoding")),
