--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -113,7 +113,7 @@
         let held = shown.duties.iter().flatten().find(|d| d.duty == name);
         let heard = shown.heard.iter().find(|h| h.duty == name).map_or("nothing".to_string(), |h| {
             let who = h.owner.as_deref().unwrap_or("nobody");
-            match h.heard_ms_ago {
+            match h.last_received_ms_ago {
                 Some(ms) => format!("{who} in epoch {}, {:.1} s ago", h.epoch.0, ms as f64 / 1e3),
                 None => "nothing".to_string(),
             }
--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -159,12 +159,12 @@
 
     /// The epoch in which an effect of the duty may begin now; `None` without a lease.
     pub fn may_begin(&self, now: Time, duty: &str) -> Option<Epoch> {
-        lock(&self.state).holder.may_begin(now, duty)
+        lock(&self.state).holder.leased_epoch(now, duty)
     }
 
     /// An effect was refused: a higher epoch was seen where it was to land.
     pub fn refused(&self, now: Time, duty: &str, highest_epoch: Epoch) {
-        self.update(now, |state| state.holder.on_refused(now, duty, highest_epoch));
+        self.update(now, |state| state.holder.on_fenced(now, duty, highest_epoch));
     }
 
     pub fn leave(&self, now: Time) {
--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -57,8 +57,8 @@
         Event::Granted { duty, owner, epoch, .. } => info!(%duty, %owner, epoch = epoch.0, "fleet: granted"),
         Event::Released { duty, owner, epoch } => info!(%duty, %owner, epoch = epoch.0, "fleet: released"),
         Event::Voters { names } => info!(names = %names.join(", "), "fleet: voters"),
-        Event::Owns { duty, epoch } => info!(%duty, epoch = epoch.0, "fleet: owns"),
-        Event::OwnsNoMore { duty, epoch, reason } => {
+        Event::OwnershipAcquired { duty, epoch } => info!(%duty, epoch = epoch.0, "fleet: owns"),
+        Event::OwnershipLost { duty, epoch, reason } => {
             info!(%duty, epoch = epoch.0, why = %reason, "fleet: owns no more");
         }
     }
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -223,7 +223,7 @@
     pub fn owners(&self) -> Vec<usize> {
         let owns = |who: &usize| {
             let process = self.nodes[*who].process.as_ref();
-            process.is_some_and(|p| !p.stopped && p.holder.may_begin(self.clock(*who), DUTY).is_some())
+            process.is_some_and(|p| !p.stopped && p.holder.leased_epoch(self.clock(*who), DUTY).is_some())
         };
         (0..self.nodes.len()).filter(owns).collect()
     }
@@ -313,7 +313,7 @@
                     self.place.refused += 1;
                     let (now, seen) = (self.clock(who), self.place.seen);
                     if let Some(process) = self.nodes[who].process.as_mut().filter(|p| !p.stopped) {
-                        process.holder.on_refused(now, DUTY, seen);
+                        process.holder.on_fenced(now, DUTY, seen);
                     }
                     return;
                 }
--- a/crates/emulator/src/owners/judging.rs
+++ b/crates/emulator/src/owners/judging.rs
@@ -18,8 +18,8 @@
         if process.stopped {
             return;
         }
-        let may = process.holder.may_begin(now, DUTY);
-        let kept = process.holder.state(DUTY).try_into().map_or(0, u64::from_be_bytes);
+        let may = process.holder.leased_epoch(now, DUTY);
+        let kept = process.holder.stored_state(DUTY).try_into().map_or(0, u64::from_be_bytes);
         if let Some(epoch) = may {
             process.effects = process.effects.max(kept) + 1;
             process.checked = Some((epoch, process.effects));
@@ -51,18 +51,19 @@
                     self.breaks("epoch-has-one-owner", what);
                 }
             }
-            Event::Owns { epoch, .. } => {
+            Event::OwnershipAcquired { epoch, .. } => {
                 if self.granted.get(epoch).is_some_and(|(n, _)| *n != name(who)) {
                     let what = format!("{} owns in {epoch:?}, and it was given to another", name(who));
                     self.breaks("epoch-has-one-owner", what);
                 }
                 let again = |(_, w, e): &(Time, usize, Event)| {
-                    *w == who && matches!(e, Event::Owns { epoch: before, .. } if before == epoch)
+                    *w == who
+                        && matches!(e, Event::OwnershipAcquired { epoch: before, .. } if before == epoch)
                 };
                 let first = !self.events.iter().rev().take(2_000).any(again);
                 let process = self.nodes[who].process.as_ref();
-                let state =
-                    process.map_or(0, |p| p.holder.state(DUTY).try_into().map_or(0, u64::from_be_bytes));
+                let state = process
+                    .map_or(0, |p| p.holder.stored_state(DUTY).try_into().map_or(0, u64::from_be_bytes));
                 if first && state < self.promised {
                     let what =
                         format!("{} was promised to be kept, and {} finds {state}", self.promised, name(who));
--- a/crates/leases/src/envelope.rs
+++ b/crates/leases/src/envelope.rs
@@ -34,16 +34,20 @@
 pub enum DecodeError {
     /// Too short or too long.
     #[error("its length is not that of a datagram")]
-    Length,
+    #[serde(rename = "length")]
+    InvalidLength,
     /// Another protocol or layout.
     #[error("another protocol or version")]
-    Version,
+    #[serde(rename = "version")]
+    UnsupportedVersion,
     /// Another fleet.
     #[error("another fleet")]
-    Fleet,
+    #[serde(rename = "fleet")]
+    OtherFleet,
     /// Damaged on the way.
     #[error("its checksum differs")]
-    Checksum,
+    #[serde(rename = "checksum")]
+    BadChecksum,
     /// No message.
     #[error("no message")]
     Malformed,
@@ -80,16 +84,16 @@
     /// The datagram is to be dropped.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() <= HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(DecodeError::Length);
+            return Err(DecodeError::InvalidLength);
         }
         if bytes[0] != FIRST_BYTE || bytes[1] != VERSION {
-            return Err(DecodeError::Version);
+            return Err(DecodeError::UnsupportedVersion);
         }
         if bytes[FLEET_AT] != self.fleet_hash.to_be_bytes() {
-            return Err(DecodeError::Fleet);
+            return Err(DecodeError::OtherFleet);
         }
         if bytes[CHECKSUM_AT] != checksum(bytes) {
-            return Err(DecodeError::Checksum);
+            return Err(DecodeError::BadChecksum);
         }
         postcard::from_bytes(&bytes[HEADER_BYTES..]).map_err(|_| DecodeError::Malformed)
     }
--- a/crates/leases/src/envelope/tests.rs
+++ b/crates/leases/src/envelope/tests.rs
@@ -8,7 +8,7 @@
     let message = Message::Request { from: "g1".to_string(), number: 7, request: Request::ReadTable };
     let datagram = envelope.encode(&message).expect("short");
     assert_eq!(envelope.decode(&datagram), Ok(message));
-    assert_eq!(Envelope::new("other").decode(&datagram), Err(DecodeError::Fleet));
+    assert_eq!(Envelope::new("other").decode(&datagram), Err(DecodeError::OtherFleet));
     for at in 0..datagram.len() {
         let mut damaged = datagram.clone();
         damaged[at] ^= 0x41;
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -80,14 +80,16 @@
         names: Vec<String>,
     },
     /// This member began to own a duty.
-    Owns {
+    #[serde(rename = "owns")]
+    OwnershipAcquired {
         /// The duty.
         duty: String,
         /// In this epoch.
         epoch: Epoch,
     },
     /// This member ceased to own a duty.
-    OwnsNoMore {
+    #[serde(rename = "owns_no_more")]
+    OwnershipLost {
         /// The duty.
         duty: String,
         /// In this epoch.
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -75,7 +75,8 @@
     /// In this epoch.
     pub epoch: Epoch,
     /// How long ago that was; `None`: never.
-    pub heard_ms_ago: Option<u64>,
+    #[serde(rename = "heard_ms_ago")]
+    pub last_received_ms_ago: Option<u64>,
 }
 
 /// A request without a response yet.
@@ -180,7 +181,7 @@
 
     /// The epoch in which an effect may begin now; `None` without a lease. To be asked before each effect: a
     /// process that was paused finds here that its lease is over.
-    pub fn may_begin(&self, now: Time, duty: &str) -> Option<Epoch> {
+    pub fn leased_epoch(&self, now: Time, duty: &str) -> Option<Epoch> {
         let claim = self.claims.get(duty)?;
         match claim.state {
             HolderState::Owner { epoch } if now < claim.lease_until || self.disabled.no_leases => Some(epoch),
@@ -189,7 +190,7 @@
     }
 
     /// What is stored with a duty, as of the last confirmation.
-    pub fn state(&self, duty: &str) -> &[u8] {
+    pub fn stored_state(&self, duty: &str) -> &[u8] {
         self.claims.get(duty).map_or(&[], |claim| &claim.stored)
     }
 
@@ -207,7 +208,7 @@
                 state: claim.state,
                 owner: seen.and_then(|seen| seen.owner.clone()),
                 epoch: seen.map_or(Epoch(0), |seen| seen.epoch),
-                heard_ms_ago: seen.map(|seen| (now - seen.at).nanos() / 1_000_000),
+                last_received_ms_ago: seen.map(|seen| (now - seen.at).nanos() / 1_000_000),
             }
         };
         self.claims.iter().map(view).collect()
@@ -223,10 +224,10 @@
         let duty = duty.to_string();
         if let HolderState::Owner { epoch } = from {
             let (duty, reason) = (duty.clone(), reason.to_string());
-            self.actions.push(Action::Emit(Event::OwnsNoMore { duty, epoch, reason }));
+            self.actions.push(Action::Emit(Event::OwnershipLost { duty, epoch, reason }));
         }
         if let HolderState::Owner { epoch } = to {
-            self.actions.push(Action::Emit(Event::Owns { duty, epoch }));
+            self.actions.push(Action::Emit(Event::OwnershipAcquired { duty, epoch }));
         }
     }
 
@@ -406,7 +407,7 @@
     }
 
     /// An effect was refused where it landed: a higher epoch was seen there.
-    pub fn on_refused(&mut self, now: Time, duty: &str, highest_epoch: Epoch) {
+    pub fn on_fenced(&mut self, now: Time, duty: &str, highest_epoch: Epoch) {
         let Some(claim) = self.claims.get_mut(duty) else { return };
         claim.highest_epoch = claim.highest_epoch.max(highest_epoch);
         claim.next_request_at = now;
@@ -437,7 +438,7 @@
     /// Stores a state with a duty that this member owns. Returns false where it does not own it, or the state is
     /// longer than [`MAX_STATE_BYTES`].
     pub fn store(&mut self, now: Time, duty: &str, state: &[u8]) -> bool {
-        let Some(epoch) = self.may_begin(now, duty).filter(|_| state.len() <= MAX_STATE_BYTES) else {
+        let Some(epoch) = self.leased_epoch(now, duty).filter(|_| state.len() <= MAX_STATE_BYTES) else {
             return false;
         };
         let is_superseded =
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -69,7 +69,8 @@
     #[serde(rename = "why")]
     pub reason: String,
     /// For how long it has been.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub time_in_phase_ms: u64,
     /// Raft's term.
     pub term: u64,
     /// The leader, as far as it knows.
@@ -77,7 +78,8 @@
     /// Entries in its log.
     pub log_entries: u64,
     /// Datagrams that it could not decode.
-    pub dropped: u64,
+    #[serde(rename = "dropped")]
+    pub dropped_datagrams: u64,
 }
 
 /// What `raft` waits for from the disk.
@@ -120,7 +122,7 @@
     next_hello: Time,
     /// How long a write took lately.
     disk_latency: Span,
-    dropped: u64,
+    dropped_datagrams: u64,
     actions: Vec<Action>,
 }
 
@@ -154,7 +156,7 @@
             next_tick: now,
             next_hello: now,
             disk_latency: Span::ZERO,
-            dropped: 0,
+            dropped_datagrams: 0,
             actions: Vec::new(),
         };
         voter.start_from_records(now);
@@ -188,11 +190,11 @@
             id: self.info.id,
             phase: self.phase,
             reason: self.phase_reason.clone(),
-            for_ms: (now - self.phase_since).nanos() / 1_000_000,
+            time_in_phase_ms: (now - self.phase_since).nanos() / 1_000_000,
             term: node.map_or(0, RaftNode::term),
             leader: node.and_then(RaftNode::leader).map(|voter| voter.name.clone()),
             log_entries: node.map_or(0, |node| node.raft.store().entries.len() as u64),
-            dropped: self.dropped,
+            dropped_datagrams: self.dropped_datagrams,
         }
     }
 
@@ -343,7 +345,7 @@
         from: SocketAddrV4,
         datagram: &[u8],
     ) -> Result<Option<HolderMessage>, DecodeError> {
-        let message = self.envelope.decode(datagram).inspect_err(|_| self.dropped += 1)?;
+        let message = self.envelope.decode(datagram).inspect_err(|_| self.dropped_datagrams += 1)?;
         match message {
             Message::Response { number, response } => {
                 return Ok(Some(HolderMessage::Response { number, response }));
--- a/crates/leases/src/voter/joining.rs
+++ b/crates/leases/src/voter/joining.rs
@@ -182,7 +182,7 @@
 
     pub(super) fn receive_raft(&mut self, now: Time, from: SocketAddrV4, cluster_id: ClusterId, body: &[u8]) {
         let Ok(message) = RaftMessage::parse_from_bytes(body) else {
-            self.dropped += 1;
+            self.dropped_datagrams += 1;
             return;
         };
         if message.to != self.info.id.0 || self.info.id == VoterId::NONE {
--- a/crates/record-log/src/error.rs
+++ b/crates/record-log/src/error.rs
@@ -12,10 +12,10 @@
     #[error("{}: another process has this folder open", .0.display())]
     InUse(PathBuf),
     /// The folder holds the records of somebody else.
-    #[error("{}: the records are those of {found}, not of {wanted}; name another folder", file.display())]
+    #[error("{}: the records are those of {found}, not of {wanted}; name another folder", path.display())]
     OtherOwner {
         /// The file.
-        file: PathBuf,
+        path: PathBuf,
         /// Whose records it holds.
         found: String,
         /// Whose were asked for.
@@ -23,38 +23,38 @@
     },
     /// The file is not as it was written. Trying again does not help.
     #[error(
-        "{}: damaged at byte {at}, in record {number}: {what}; put the file aside or bring it back from a copy",
-        file.display()
+        "{}: damaged at byte {offset}, in record {number}: {reason}; put the file aside or bring it back from a copy",
+        path.display()
     )]
     Damaged {
         /// The file.
-        file: PathBuf,
+        path: PathBuf,
         /// Where, in bytes.
-        at: u64,
+        offset: u64,
         /// In which record; 0 in the head of the file.
         number: u64,
         /// What is wrong.
-        what: &'static str,
+        reason: &'static str,
     },
     /// A newer program wrote the file.
-    #[error("{}: written by a newer program (layout {found}, this one knows {VERSION})", file.display())]
-    Newer {
+    #[error("{}: written by a newer program (layout {found}, this one knows {VERSION})", path.display())]
+    UnsupportedVersion {
         /// The file.
-        file: PathBuf,
+        path: PathBuf,
         /// The version of its layout.
         found: u8,
     },
     /// The disk is full. Trying again helps once there is room.
     #[error("{}: the disk is full", .0.display())]
-    Full(PathBuf),
+    DiskFull(PathBuf),
     /// A record is too long, in bytes.
     #[error("a record of {0} bytes is longer than {MAX_RECORD}")]
-    TooLong(usize),
+    RecordTooLong(usize),
     /// The system refuses to read or write. Trying again may help.
-    #[error("{}: {source}", file.display())]
+    #[error("{}: {source}", path.display())]
     Io {
         /// The file or folder.
-        file: PathBuf,
+        path: PathBuf,
         /// Why.
         source: io::Error,
     },
@@ -62,16 +62,16 @@
 
 impl Error {
     /// For `map_err`: the error of an operation on a file.
-    pub(crate) fn io(file: &Path) -> impl FnOnce(io::Error) -> Error + use<> {
-        let file = file.to_path_buf();
+    pub(crate) fn io(path: &Path) -> impl FnOnce(io::Error) -> Error + use<> {
+        let path = path.to_path_buf();
         move |source| match source.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Error::Full(file),
-            _ => Error::Io { file, source },
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Error::DiskFull(path),
+            _ => Error::Io { path, source },
         }
     }
 
     /// Whether a later try may succeed once there is room on the disk.
-    pub fn is_full(&self) -> bool {
-        matches!(self, Error::Full(_))
+    pub fn is_disk_full(&self) -> bool {
+        matches!(self, Error::DiskFull(_))
     }
 }
--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -99,8 +99,8 @@
 }
 
 impl<'a> Reader<'a> {
-    fn damaged(&self, at: usize, number: u64, what: &'static str) -> Error {
-        Error::Damaged { file: self.path.to_path_buf(), at: at as u64, number, what }
+    fn damaged(&self, offset: usize, number: u64, reason: &'static str) -> Error {
+        Error::Damaged { path: self.path.to_path_buf(), offset: offset as u64, number, reason }
     }
 
     /// Checks the head; where it ends, and the hash that the chain begins with.
@@ -110,7 +110,7 @@
             return Err(self.damaged(0, 0, "no ledger"));
         }
         if bytes[8] > VERSION {
-            return Err(Error::Newer { file: self.path.to_path_buf(), found: bytes[8] });
+            return Err(Error::UnsupportedVersion { path: self.path.to_path_buf(), found: bytes[8] });
         }
         let hash_at = FIXED_HEAD + usize::from(bytes[9]);
         let crc_at = hash_at + HASH;
@@ -121,8 +121,8 @@
         }
         let found = String::from_utf8_lossy(&bytes[FIXED_HEAD..hash_at]).into_owned();
         if found != owner {
-            let (file, wanted) = (self.path.to_path_buf(), owner.to_string());
-            return Err(Error::OtherOwner { file, found, wanted });
+            let (path, wanted) = (self.path.to_path_buf(), owner.to_string());
+            return Err(Error::OtherOwner { path, found, wanted });
         }
         Ok((end, array(bytes, hash_at)))
     }
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -14,5 +14,5 @@
 mod writer;
 
 pub use error::Error;
-pub use record_log::{Opened, RecordLog, Repair, WriteFault};
-pub use writer::{OnWritten, Retained, Writer};
+pub use record_log::{OpenedLog, RecordLog, Repair, WriteFault};
+pub use writer::{OnWritten, RetainedRecords, Writer};
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -49,7 +49,7 @@
 }
 
 /// A log and what was found in it.
-pub struct Opened {
+pub struct OpenedLog {
     /// The log.
     pub log: RecordLog,
     /// Its records, in their order.
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// Each thing that can be wrong is one of its own; nothing is changed then.
-    pub fn open(folder: &Path, owner: &str, fault: Option<WriteFault>) -> Result<Opened, Error> {
+    pub fn open(folder: &Path, owner: &str, fault: Option<WriteFault>) -> Result<OpenedLog, Error> {
         let owner: String = owner.chars().take(MAX_OWNER).collect();
         fs::create_dir_all(folder).map_err(Error::io(folder))?;
         let lock = lock(folder)?;
@@ -102,7 +102,7 @@
         }
         let folder = folder.to_path_buf();
         let log = RecordLog { folder, path, owner, file, end, number, hash, fault, _lock: lock };
-        Ok(Opened { log, records, repairs })
+        Ok(OpenedLog { log, records, repairs })
     }
 
     /// How long the file is, in bytes.
@@ -116,7 +116,7 @@
     }
 
     /// The hash of all records.
-    pub fn hash(&self) -> ChainHash {
+    pub fn chain_hash(&self) -> ChainHash {
         self.hash
     }
 
@@ -126,7 +126,7 @@
     /// Where it can't be written; what was there before still is, and a later try may succeed.
     pub fn append(&mut self, content: &[u8]) -> Result<u64, Error> {
         if content.len() > MAX_RECORD {
-            return Err(Error::TooLong(content.len()));
+            return Err(Error::RecordTooLong(content.len()));
         }
         let mut hash = self.hash;
         let bytes = format::encode_record(&mut hash, self.number + 1, content);
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -15,7 +15,7 @@
 pub type OnWritten<T> = Box<dyn Fn(T, Result<(), Error>) + Send>;
 
 /// What a file that grew long is to hold instead.
-pub type Retained = Box<dyn Fn() -> Vec<Vec<u8>> + Send>;
+pub type RetainedRecords = Box<dyn Fn() -> Vec<Vec<u8>> + Send>;
 
 enum Task<T> {
     Append { context: T, content: Vec<u8> },
@@ -33,7 +33,11 @@
     ///
     /// # Errors
     /// Where no thread can be had.
-    pub fn start(log: RecordLog, on_written: OnWritten<T>, retained: Retained) -> std::io::Result<Self> {
+    pub fn start(
+        log: RecordLog,
+        on_written: OnWritten<T>,
+        retained: RetainedRecords,
+    ) -> std::io::Result<Self> {
         let (tasks, queue) = sync_channel(MAX_WAITING);
         let thread = thread::Builder::new().name("ledger".to_string());
         let thread = thread.spawn(move || run(log, &queue, &on_written, &retained))?;
@@ -49,7 +53,7 @@
     }
 
     /// Writes what waits, and ends.
-    pub fn end(mut self) {
+    pub fn finish(mut self) {
         let _ = self.tasks.send(Task::End);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -57,7 +61,12 @@
     }
 }
 
-fn run<T>(mut log: RecordLog, queue: &Receiver<Task<T>>, on_written: &OnWritten<T>, retained: &Retained) {
+fn run<T>(
+    mut log: RecordLog,
+    queue: &Receiver<Task<T>>,
+    on_written: &OnWritten<T>,
+    retained: &RetainedRecords,
+) {
     while let Ok(Task::Append { context, content }) = queue.recv() {
         let result = log.append(&content).map(drop);
         if result.is_ok() && log.len() > REWRITE_LEN {
--- a/crates/record-log/tests/record_log.rs
+++ b/crates/record-log/tests/record_log.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::channel;
 
-use lynxstair_record_log::{Error, Opened, RecordLog, Repair, Writer};
+use lynxstair_record_log::{Error, OpenedLog, RecordLog, Repair, Writer};
 use tempfile::TempDir;
 
 /// In memory where there is such a place: hundreds of files are opened, and a disk takes 50 ms to say that it
@@ -16,7 +16,7 @@
     tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
 }
 
-fn open(folder: &Path) -> Result<Opened, Error> {
+fn open(folder: &Path) -> Result<OpenedLog, Error> {
     RecordLog::open(folder, "fleet/g1", None)
 }
 
@@ -29,7 +29,7 @@
     fs::read(folder.join("ledger")).expect("there")
 }
 
-fn records(opened: &Opened) -> Vec<&str> {
+fn records(opened: &OpenedLog) -> Vec<&str> {
     opened.records.iter().map(|r| std::str::from_utf8(r).expect("text")).collect()
 }
 
@@ -73,7 +73,10 @@
         fs::write(dir.path().join("ledger"), &flipped).expect("written");
         let opened = open(dir.path()).map(|o| records(&o).len());
         assert!(
-            matches!(opened, Err(Error::Damaged { .. } | Error::Newer { .. } | Error::OtherOwner { .. })),
+            matches!(
+                opened,
+                Err(Error::Damaged { .. } | Error::UnsupportedVersion { .. } | Error::OtherOwner { .. })
+            ),
             "{at}: {opened:?}"
         );
         assert_eq!(fs::read(dir.path().join("ledger")).expect("there"), flipped, "{at}: left as it was");
@@ -120,8 +123,8 @@
     let mut ledger = RecordLog::open(dir.path(), "o", Some(Arc::new(failing))).expect("opens").log;
     ledger.append(b"one").expect("written");
     full.store(true, Ordering::SeqCst);
-    assert!(ledger.append(b"two").expect_err("full").is_full());
-    assert!(ledger.rewrite(&[]).expect_err("full").is_full());
+    assert!(ledger.append(b"two").expect_err("full").is_disk_full());
+    assert!(ledger.rewrite(&[]).expect_err("full").is_disk_full());
     full.store(false, Ordering::SeqCst);
     ledger.append(b"three").expect("written");
     drop(ledger);
@@ -135,9 +138,9 @@
     let dir = folder();
     three(dir.path());
     let mut ledger = open(dir.path()).expect("opens").log;
-    let before = ledger.hash();
+    let before = ledger.chain_hash();
     ledger.rewrite(&[b"kept".to_vec()]).expect("written");
-    assert_ne!(ledger.hash(), before);
+    assert_ne!(ledger.chain_hash(), before);
     ledger.append(b"more").expect("written");
     drop(ledger);
     fs::write(dir.path().join("ledger.next"), b"half of it").expect("written");
@@ -162,7 +165,7 @@
             std::thread::yield_now();
         }
     }
-    writer.end();
+    writer.finish();
     assert_eq!(heard.iter().collect::<Vec<_>>(), (0..40).map(|t| (t, true)).collect::<Vec<_>>());
     assert!(fs::metadata(dir.path().join("ledger")).expect("there").len() < 1_300_000);
     assert_eq!(open(dir.path()).expect("opens").records[0], b"kept");
