--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lynxstair_fakes::{config_named, free_port};
+use lynxstair_fakes::{named_gatekeeper_config, unused_address};
 use nix::sys::signal::Signal;
 use support::{Hand, gatekeeper, run, until};
 
@@ -156,7 +156,8 @@
     let again = |fleet: String| {
         let file = hand.folder.path().join("again.toml");
         fs::write(&file, fleet).expect("written");
-        let config = config_named("g9", free_port(), "{}", free_port(), free_port());
+        let config =
+            named_gatekeeper_config("g9", unused_address(), "{}", unused_address(), unused_address());
         let config_file = hand.folder.path().join("again.json");
         fs::write(&config_file, config).expect("written");
         let mut command = Command::new(gatekeeper());
@@ -166,7 +167,7 @@
         String::from_utf8_lossy(&out.stderr).into_owned()
     };
     let good = fs::read_to_string(hand.fleet_file(0)).expect("there");
-    let elsewhere = good.replace(&hand.member(0).to_string(), &free_port().to_string());
+    let elsewhere = good.replace(&hand.member(0).to_string(), &unused_address().to_string());
     let said = again(elsewhere.clone());
     assert!(said.contains("another process has this folder open"), "{said}");
     fs::create_dir(hand.folder.path().join("copy")).expect("made");
@@ -201,9 +202,9 @@
 #[test]
 fn nothing_of_it_without_a_fleet() {
     let folder = tempfile::tempdir().expect("a folder");
-    let listen = free_port();
+    let listen = unused_address();
     let known = r#"{"revision":1,"complete":true,"members":[]}"#;
-    let config = config_named("g1", listen, known, free_port(), free_port());
+    let config = named_gatekeeper_config("g1", listen, known, unused_address(), unused_address());
     let file = folder.path().join("g1.json");
     fs::write(&file, config).expect("written");
     let mut child = Command::new(gatekeeper())
--- a/crates/cli/tests/owners.rs
+++ b/crates/cli/tests/owners.rs
@@ -93,11 +93,11 @@
     };
     load.start_clients(&serving);
     until("use arrives", || taken(&sink) > 20_000);
-    sink.lose_answers.store(3, Ordering::SeqCst);
+    sink.responses_to_lose.store(3, Ordering::SeqCst);
     thread::sleep(Duration::from_millis(700));
-    sink.down.store(true, Ordering::SeqCst);
+    sink.is_down.store(true, Ordering::SeqCst);
     thread::sleep(Duration::from_millis(700));
-    sink.down.store(false, Ordering::SeqCst);
+    sink.is_down.store(false, Ordering::SeqCst);
     // A copy, to be set back to: a file of an earlier moment.
     std::fs::create_dir_all(&copy).expect("made");
     std::fs::copy(now.join("ledger"), copy.join("ledger")).expect("copied");
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use lynxstair_fakes::{Load, config_named, exchange, free_port};
+use lynxstair_fakes::{Load, exchange, named_gatekeeper_config, unused_address};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use tempfile::TempDir;
@@ -89,11 +89,11 @@
 
     pub fn start_one(&mut self, n: usize) {
         let name = format!("g{}", n + 1);
-        let nobody = free_port();
+        let nobody = unused_address();
         let known = r#"{"revision":1,"complete":true,"members":[]}"#;
         let (known, counter, discovery) =
             self.load.as_ref().map_or((known, nobody, nobody), |(k, c, d)| (k.as_str(), *c, *d));
-        let config = config_named(&name, self.serving(n).into(), known, counter, discovery);
+        let config = named_gatekeeper_config(&name, self.serving(n).into(), known, counter, discovery);
         let fleet = format!(
             "fleet = \"hand\"\nname = \"{name}\"\nhall = \"h1\"\nbind = \"{}\"\nseeds = [\"{}\"]\ndata = \"{name}\"\n{}",
             self.member(n),
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -32,19 +32,22 @@
     Json,
 }
 
-/// For trials only; never set in service.
+/// Fault injection for trials. All of it is off in production.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TrialSwitches {
-    /// Parts of membership that are taken out, to show that trials miss them.
-    pub broken: DisabledParts,
-    /// The same of duties and their voters.
-    pub broken_ownership: lynxstair_leases::DisabledParts,
-    /// While this file exists, writing records fails as on a full disk.
+    /// Safety mechanisms of membership that are disabled, to check that a trial detects their absence.
+    #[serde(rename = "broken")]
+    pub disabled_membership_parts: DisabledParts,
+    /// Safety mechanisms of leases and of the voters that are disabled.
+    #[serde(rename = "broken_ownership")]
+    pub disabled_lease_parts: lynxstair_leases::DisabledParts,
+    /// While this file exists, writes of records fail as on a full disk.
     pub disk_full_while: Option<PathBuf>,
-    /// The owner of the duty `export` pauses so many milliseconds between its check and its write.
-    pub stall_ms: u64,
-    /// The process is killed when the one of this id, which started it, ends, however that ends.
+    /// Pause of the exporter between its lease check and its write, in milliseconds.
+    #[serde(rename = "stall_ms")]
+    pub export_pause_ms: u64,
+    /// Process id of the parent. The kernel kills this process when that parent ends.
     pub ends_with_parent: Option<i32>,
 }
 
--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -71,8 +71,8 @@
         for repair in &opened.repairs {
             warn!(?repair, "fleet: a voter's records were mended");
         }
-        if config.trial.broken_ownership != DisabledParts::default() {
-            let broken = config.trial.broken_ownership;
+        if config.trial.disabled_lease_parts != DisabledParts::default() {
+            let broken = config.trial.disabled_lease_parts;
             warn!(?broken, "fleet: parts are taken out for a trial; not for service");
         }
         let has_lost_records = opened.repairs.iter().any(|r| matches!(r, Repair::TornEnd { .. }));
@@ -209,7 +209,7 @@
         // An identity that is drawn again after the records were lost must be another one.
         seed: identity.seed ^ u64::from(identity.run) << 32,
         times: duty_config.times,
-        disabled: config.trial.broken_ownership,
+        disabled: config.trial.disabled_lease_parts,
     }
 }
 
@@ -222,7 +222,7 @@
         seed: identity.seed,
         incarnation: u64::from(identity.run),
         times: duty_config.times,
-        disabled: config.trial.broken_ownership,
+        disabled: config.trial.disabled_lease_parts,
     }
 }
 
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -194,7 +194,7 @@
         known_members: records.known_members.clone(),
         notices: records.notices(),
         times: config.times,
-        disabled: config.trial.broken,
+        disabled: config.trial.disabled_membership_parts,
     }
 }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -85,8 +85,8 @@
         let outputs = open_outputs(&config, clock, identity)?;
         let control_port = ControlPort::listen(config.control, clock, outputs.ticker.clone())?;
         let membership = MembershipService::start(&config, clock, outputs.clone(), identity)?;
-        if config.trial.broken != Default::default() {
-            warn!(broken = ?config.trial.broken, "fleet: parts are taken out for a trial; not for service");
+        if config.trial.disabled_membership_parts != Default::default() {
+            warn!(broken = ?config.trial.disabled_membership_parts, "fleet: parts are taken out for a trial; not for service");
         }
         let start_duties =
             |duty_config| Duties::start(&config, duty_config, clock, outputs.clone(), identity);
@@ -103,7 +103,7 @@
             _log: log,
         });
         if let Some(sink) = node.config.sink {
-            let stall = Duration::from_millis(node.config.trial.stall_ms);
+            let stall = Duration::from_millis(node.config.trial.export_pause_ms);
             Exporter::start(node.clone(), sink, identity.seed, stall)
                 .map_err(|source| StartError::Thread { thread: "export", source })?;
         }
--- a/crates/fakes/src/config.rs
+++ b/crates/fakes/src/config.rs
@@ -12,12 +12,17 @@
  "rules":{"fall":2000000000,"fallMultiple":2,"startCapacity":0.2,"stopSendingWithin":250000000,"warmWithin":10000000000}}"#;
 
 /// The configuration of the gatekeeper n0. `known`: the list of workers that it starts with.
-pub fn config(listen: SocketAddr, known: &str, counter: SocketAddr, discovery: SocketAddr) -> String {
-    config_named("n0", listen, known, counter, discovery)
+pub fn gatekeeper_config(
+    listen: SocketAddr,
+    known: &str,
+    counter: SocketAddr,
+    discovery: SocketAddr,
+) -> String {
+    named_gatekeeper_config("n0", listen, known, counter, discovery)
 }
 
 /// The configuration of any gatekeeper.
-pub fn config_named(
+pub fn named_gatekeeper_config(
     name: &str,
     listen: SocketAddr,
     known: &str,
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -14,40 +14,41 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// The request lines that it received.
-    pub calls: Arc<Mutex<Vec<String>>>,
+    pub request_lines: Arc<Mutex<Vec<String>>>,
     /// Connections that ended.
-    pub closed: Arc<AtomicU32>,
+    pub connections_closed: Arc<AtomicU32>,
 }
 
 /// A counter that always gives the same total; `None`: it never responds.
-pub fn counter(total: Option<f64>) -> Counter {
-    counter_with_response(total.map(|total| ok_response(&total.to_string())))
+pub fn start_counter(total: Option<f64>) -> Counter {
+    start_counter_with_response(total.map(|total| ok_response(&total.to_string())))
 }
 
 /// A counter that always gives the same response; `None`: it never responds.
-pub fn counter_with_response(response: Option<String>) -> Counter {
+pub fn start_counter_with_response(response: Option<String>) -> Counter {
     let (on, addr) = listener();
-    let counter = Counter { addr, calls: Arc::default(), closed: Arc::default() };
-    let (calls, closed) = (counter.calls.clone(), counter.closed.clone());
+    let counter = Counter { addr, request_lines: Arc::default(), connections_closed: Arc::default() };
+    let (request_lines, connections_closed) =
+        (counter.request_lines.clone(), counter.connections_closed.clone());
     serve(on, move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some(message) = HttpMessage::read(&mut reader) {
-            lock(&calls).push(message.start_line);
+            lock(&request_lines).push(message.start_line);
             if let Some(response) = &response {
                 let _ = (&stream).write_all(response.as_bytes());
             }
         }
-        closed.fetch_add(1, Ordering::SeqCst);
+        connections_closed.fetch_add(1, Ordering::SeqCst);
     });
     counter
 }
 
 /// A counter that adds, as the protocol's page has it. It forgets nothing: the names of later windows differ.
-pub fn adding_counter() -> Counter {
+pub fn start_adding_counter() -> Counter {
     let (on, addr) = listener();
-    let counter = Counter { addr, calls: Arc::default(), closed: Arc::default() };
+    let counter = Counter { addr, request_lines: Arc::default(), connections_closed: Arc::default() };
     let totals: Mutex<HashMap<String, f64>> = Mutex::default();
-    let closed = counter.closed.clone();
+    let connections_closed = counter.connections_closed.clone();
     serve(on, move |stream| {
         let Ok(reading) = stream.try_clone() else { return };
         let mut reader = BufReader::new(reading);
@@ -60,7 +61,7 @@
                 break;
             }
         }
-        closed.fetch_add(1, Ordering::SeqCst);
+        connections_closed.fetch_add(1, Ordering::SeqCst);
     });
     counter
 }
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -19,7 +19,7 @@
     /// What later watchers are sent first.
     published: Arc<Mutex<Vec<String>>>,
     /// The request lines that it received.
-    pub calls: Arc<Mutex<Vec<String>>>,
+    pub request_lines: Arc<Mutex<Vec<String>>>,
 }
 
 /// One line as a chunk.
@@ -28,10 +28,14 @@
 }
 
 /// A service that has nothing to send yet, on a free port.
-pub fn discovery() -> Discovery {
+pub fn start_discovery() -> Discovery {
     let (on, addr) = listener();
-    let discovery =
-        Discovery { addr, watchers: Arc::default(), published: Arc::default(), calls: Arc::default() };
+    let discovery = Discovery {
+        addr,
+        watchers: Arc::default(),
+        published: Arc::default(),
+        request_lines: Arc::default(),
+    };
     let shared = discovery.clone();
     serve(on, move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
@@ -39,7 +43,7 @@
         let published: String = lock(&shared.published).iter().map(|update| chunk(update)).collect();
         if stream.write_all(STREAM_HEAD).is_ok() && stream.write_all(published.as_bytes()).is_ok() {
             lock(&shared.watchers).push(stream);
-            lock(&shared.calls).push(message.start_line);
+            lock(&shared.request_lines).push(message.start_line);
         }
     });
     discovery
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -27,14 +27,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-pub use config::{config, config_named};
-pub use counter::{Counter, adding_counter, counter, counter_with_response};
-pub use discovery::{Discovery, discovery, worker_entry};
+pub use config::{gatekeeper_config, named_gatekeeper_config};
+pub use counter::{Counter, start_adding_counter, start_counter, start_counter_with_response};
+pub use discovery::{Discovery, start_discovery, worker_entry};
 pub use load::{Load, LoadPlan, ReceivedAttempt, RequestOutcome, Traffic, monotonic_nanos};
 pub use message::{HttpMessage, exchange, request_text};
 pub use sink::{ReceivedBatch, Sink};
 pub use wait::{WAIT_TIMEOUT, wait_until};
-pub use worker::{WorkerAction, WorkerLog, worker};
+pub use worker::{WorkerAction, WorkerLog, start_worker};
 
 /// Serves each connection on a thread of its own.
 fn serve(listener: TcpListener, handle: impl Fn(TcpStream) + Send + Sync + 'static) {
@@ -48,7 +48,7 @@
 }
 
 /// An address of loopback on which nobody listens.
-pub fn free_port() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     listener().1
 }
 
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -1,5 +1,5 @@
 //! A load of clients on several gatekeepers, with workers, a counter and discovery of their own, and a record of
-//! all that was sent and received. One worker may be drained meanwhile.
+//! all that was sent and received. One worker may be drained_worker meanwhile.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,8 +11,8 @@
 use nix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
-use crate::counter::adding_counter;
-use crate::discovery::{Discovery, discovery, worker_entry};
+use crate::counter::start_adding_counter;
+use crate::discovery::{Discovery, start_discovery, worker_entry};
 use crate::message::{HttpMessage, tenant_request_text};
 use crate::{Counter, listener, lock, ok_response, serve};
 
@@ -83,8 +83,8 @@
     pub outcomes: Mutex<Vec<RequestOutcome>>,
     /// What workers saw.
     pub attempts: Mutex<Vec<ReceivedAttempt>>,
-    /// The worker that was drained, and when all were told.
-    pub drained: Mutex<Option<(usize, u64)>>,
+    /// The worker that was drained_worker, and when all were told.
+    pub drained_worker: Mutex<Option<(usize, u64)>>,
 }
 
 /// How much load there is.
@@ -115,12 +115,12 @@
     /// Starts the peers; no client yet.
     pub fn new(plan: LoadPlan) -> Self {
         let traffic = Arc::new(Traffic::default());
-        let workers = (0..plan.workers).map(|number| worker(number, traffic.clone())).collect();
+        let workers = (0..plan.workers).map(|number| start_worker(number, traffic.clone())).collect();
         Load {
             plan,
             workers,
-            counter: adding_counter(),
-            discovery: discovery(),
+            counter: start_adding_counter(),
+            discovery: start_discovery(),
             traffic,
             stop: Arc::default(),
             clients: Vec::new(),
@@ -162,7 +162,7 @@
         let entry = worker_entry(0, self.workers[0], "DRAINING");
         let update = format!(r#"{{"revision":8,"complete":false,"members":[{entry}]}}"#);
         self.discovery.publish(&update);
-        *lock(&self.traffic.drained) = Some((0, monotonic_nanos()));
+        *lock(&self.traffic.drained_worker) = Some((0, monotonic_nanos()));
     }
 
     /// Stops the clients, each after its request.
@@ -181,7 +181,7 @@
 }
 
 /// A worker that runs every attempt and records it.
-fn worker(number: usize, traffic: Arc<Traffic>) -> SocketAddr {
+fn start_worker(number: usize, traffic: Arc<Traffic>) -> SocketAddr {
     let (on, addr) = listener();
     serve(on, move |stream| {
         let Ok(reading) = stream.try_clone() else { return };
--- a/crates/fakes/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -100,11 +100,11 @@
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     /// It closes each connection without a response.
-    pub down: Arc<AtomicBool>,
+    pub is_down: Arc<AtomicBool>,
     /// So many further responses are lost; what was asked for is done.
-    pub lose_answers: Arc<AtomicU32>,
+    pub responses_to_lose: Arc<AtomicU32>,
     /// For trials: it accepts lower epochs than it saw.
-    pub no_refusal: Arc<AtomicBool>,
+    pub accepts_stale_epochs: Arc<AtomicBool>,
 }
 
 impl Sink {
@@ -117,22 +117,24 @@
         let sink = Sink {
             addr,
             inner: Arc::new(Mutex::new(Inner::open(directory)?)),
-            down: Arc::default(),
-            lose_answers: Arc::default(),
-            no_refusal: Arc::default(),
+            is_down: Arc::default(),
+            responses_to_lose: Arc::default(),
+            accepts_stale_epochs: Arc::default(),
         };
         let inner = sink.inner.clone();
-        let (down, lose_answers) = (sink.down.clone(), sink.lose_answers.clone());
-        let no_refusal = sink.no_refusal.clone();
+        let (is_down, responses_to_lose) = (sink.is_down.clone(), sink.responses_to_lose.clone());
+        let accepts_stale_epochs = sink.accepts_stale_epochs.clone();
         serve(on, move |stream| {
             let Ok(reading) = stream.try_clone() else { return };
             let mut reader = BufReader::new(reading);
             while let Some(message) = HttpMessage::read(&mut reader) {
-                if down.load(Ordering::SeqCst) {
+                if is_down.load(Ordering::SeqCst) {
                     return;
                 }
-                let response = answer(&mut lock(&inner), &message, no_refusal.load(Ordering::SeqCst));
-                if take_one(&lose_answers) || (&stream).write_all(response.encode().as_bytes()).is_err() {
+                let response =
+                    answer(&mut lock(&inner), &message, accepts_stale_epochs.load(Ordering::SeqCst));
+                if take_one(&responses_to_lose) || (&stream).write_all(response.encode().as_bytes()).is_err()
+                {
                     return;
                 }
             }
@@ -187,27 +189,33 @@
     }
 }
 
-fn answer(inner: &mut Inner, message: &HttpMessage, no_refusal: bool) -> HttpResponse {
+fn answer(inner: &mut Inner, message: &HttpMessage, accepts_stale_epochs: bool) -> HttpResponse {
     let mut words = message.start_line.split(' ');
     let (method, target) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let epoch = query.strip_prefix("epoch=").and_then(|epoch| epoch.parse::<u64>().ok());
     let Some(epoch) = epoch else { return HttpResponse::new(400, "no epoch") };
     let result = match (method, path) {
-        ("GET", "/duties/export") => positions(inner, epoch, no_refusal),
-        ("POST", "/duties/export/batches") => receive_batch(inner, epoch, &message.body, no_refusal),
-        ("POST", "/duties/export/marks") => receive_status(inner, epoch, &message.body, no_refusal),
+        ("GET", "/duties/export") => positions(inner, epoch, accepts_stale_epochs),
+        ("POST", "/duties/export/batches") => {
+            receive_batch(inner, epoch, &message.body, accepts_stale_epochs)
+        }
+        ("POST", "/duties/export/marks") => receive_status(inner, epoch, &message.body, accepts_stale_epochs),
         _ => Err(HttpResponse::new(404, "nothing here")),
     };
     result.unwrap_or_else(|response| response)
 }
 
 /// Tells how far it is; a lower epoch than this is refused from then on.
-fn positions(inner: &mut Inner, epoch: u64, no_refusal: bool) -> Result<HttpResponse, HttpResponse> {
+fn positions(
+    inner: &mut Inner,
+    epoch: u64,
+    accepts_stale_epochs: bool,
+) -> Result<HttpResponse, HttpResponse> {
     if epoch > inner.state.highest_epoch {
         inner.append(&Record::Epoch { epoch })?;
     }
-    if !inner.state.observe_epoch(epoch) && !no_refusal {
+    if !inner.state.observe_epoch(epoch) && !accepts_stale_epochs {
         return Err(inner.fenced());
     }
     let positions: Vec<_> = inner.state.positions.iter().collect();
@@ -219,10 +227,10 @@
     inner: &mut Inner,
     epoch: u64,
     body: &[u8],
-    no_refusal: bool,
+    accepts_stale_epochs: bool,
 ) -> Result<HttpResponse, HttpResponse> {
     let batch: Batch = serde_json::from_slice(body).map_err(|_| HttpResponse::new(400, "no batch"))?;
-    let checked_epoch = if no_refusal { inner.state.highest_epoch.max(epoch) } else { epoch };
+    let checked_epoch = if accepts_stale_epochs { inner.state.highest_epoch.max(epoch) } else { epoch };
     let reply = inner.state.check(checked_epoch, &batch);
     if reply == (BatchReply::Accepted { already_stored: false }) {
         inner.append(&Record::Batch { epoch, batch: batch.clone() })?;
@@ -243,10 +251,10 @@
     inner: &mut Inner,
     epoch: u64,
     body: &[u8],
-    no_refusal: bool,
+    accepts_stale_epochs: bool,
 ) -> Result<HttpResponse, HttpResponse> {
     let status: StreamStatus = serde_json::from_slice(body).map_err(|_| HttpResponse::new(400, "no mark"))?;
-    if epoch < inner.state.highest_epoch && !no_refusal {
+    if epoch < inner.state.highest_epoch && !accepts_stale_epochs {
         return Err(inner.fenced());
     }
     inner.append(&Record::Status { epoch, status: status.clone() })?;
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -47,7 +47,7 @@
     /// Connections accepted.
     pub connections: AtomicU32,
     /// Connections that ended.
-    pub closed: AtomicU32,
+    pub connections_closed: AtomicU32,
 }
 
 impl WorkerLog {
@@ -70,7 +70,7 @@
 type Script = HashMap<String, Vec<WorkerAction>>;
 
 /// A worker that follows a script. Returns where it listens.
-pub fn worker(number: usize, log: Arc<WorkerLog>, script: Arc<Mutex<Script>>) -> SocketAddr {
+pub fn start_worker(number: usize, log: Arc<WorkerLog>, script: Arc<Mutex<Script>>) -> SocketAddr {
     let (on, addr) = listener();
     serve(on, move |stream| {
         log.connections.fetch_add(1, Ordering::SeqCst);
@@ -84,7 +84,7 @@
             }
         }
         let _ = stream.shutdown(Shutdown::Both);
-        log.closed.fetch_add(1, Ordering::SeqCst);
+        log.connections_closed.fetch_add(1, Ordering::SeqCst);
     });
     addr
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -24,7 +24,7 @@
 use lynxstair_cluster::protocol::{Request, Response};
 use lynxstair_export::BatchReply;
 use lynxstair_fakes::{
-    HttpMessage, Load, LoadPlan, Sink, config_named, exchange, free_port, monotonic_nanos,
+    HttpMessage, Load, LoadPlan, Sink, exchange, monotonic_nanos, named_gatekeeper_config, unused_address,
 };
 use lynxstair_leases::{DutyView, HolderState};
 use lynxstair_membership::{DisabledParts, Phase, State};
@@ -157,7 +157,7 @@
         _ => None,
     };
     if let Some(sink) = &sink {
-        sink.no_refusal.store(stage.broken_ownership.no_refusal, Ordering::SeqCst);
+        sink.accepts_stale_epochs.store(stage.broken_ownership.no_refusal, Ordering::SeqCst);
     }
     let gatekeepers = (0..trial.gatekeepers)
         .map(|n| Gatekeeper {
--- a/crates/fault-injection/src/run/finish.rs
+++ b/crates/fault-injection/src/run/finish.rs
@@ -83,7 +83,7 @@
             observed.answered = traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
             observed.delivered = traffic.attempts.lock().map(|d| d.clone()).unwrap_or_default();
             observed.landed = self.sink.as_ref().map(Sink::received);
-            observed.drained = traffic.drained.lock().ok().and_then(|d| *d);
+            observed.drained = traffic.drained_worker.lock().ok().and_then(|d| *d);
         }
         if self.stage.keep.is_some() {
             self.leave_behind(observed).map_err(failed("what is kept"))?;
--- a/crates/fault-injection/src/run/processes.rs
+++ b/crates/fault-injection/src/run/processes.rs
@@ -47,12 +47,12 @@
             );
         }
         fs::write(self.folder.join(format!("{name}.toml")), fleet)?;
-        let nobody = free_port();
+        let nobody = unused_address();
         let (known, counter, discovery) = match &self.load {
             Some(load) => (load.worker_list(), load.counter.addr, load.discovery.addr),
             None => (r#"{"revision":1,"complete":true,"members":[]}"#.to_string(), nobody, nobody),
         };
-        let config = config_named(name, self.place.serving(n).into(), &known, counter, discovery);
+        let config = named_gatekeeper_config(name, self.place.serving(n).into(), &known, counter, discovery);
         fs::write(self.folder.join(format!("{name}.json")), config)
     }
 
--- a/crates/gatekeeper/tests/sockets.rs
+++ b/crates/gatekeeper/tests/sockets.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use support::{
-    HttpMessage, WorkerAction, World, config, counter, discovery, exchange, program, request_text,
-    worker_entry,
+    HttpMessage, WorkerAction, World, exchange, gatekeeper_config, program, request_text, start_counter,
+    start_discovery, worker_entry,
 };
 
 /// What the client gets, and how many attempts were made, by what becomes of each of them.
@@ -153,7 +153,7 @@
     (&client).write_all(put.as_bytes()).expect("written");
     world.until("the next has come", || world.seen.attempts_of(&id).len() == 2);
     drop(client);
-    world.until("the client is gone", || world.seen.closed.load(Ordering::SeqCst) == 1);
+    world.until("the client is gone", || world.seen.connections_closed.load(Ordering::SeqCst) == 1);
     assert_eq!(world.invoke(&put).expect("an answer").status(), 200);
     assert_eq!(world.seen.attempts_of(&id).len(), 3);
 }
@@ -266,7 +266,8 @@
     assert_eq!(world.seen.connections.load(Ordering::SeqCst), 2);
     // The settings' idle time is 1.5 s.
     let started = Instant::now();
-    world.until("the idle connection is closed", || world.seen.closed.load(Ordering::SeqCst) == 2);
+    world
+        .until("the idle connection is closed", || world.seen.connections_closed.load(Ordering::SeqCst) == 2);
     let took = started.elapsed();
     assert!(took > Duration::from_millis(700) && took < Duration::from_millis(1_500), "{took:?}");
 }
@@ -280,14 +281,14 @@
         let client = world.client();
         (&client).write_all(request_text("put", "wide", &id, 600).as_bytes()).expect("written");
         world.until("the delivery has come", || world.seen.attempts_of(&id).len() == 1);
-        assert_eq!(world.seen.closed.load(Ordering::SeqCst), 0);
+        assert_eq!(world.seen.connections_closed.load(Ordering::SeqCst), 0);
         if client_leaves {
             drop(client);
         } else {
             let answer = HttpMessage::read(&mut BufReader::new(&client)).expect("an answer");
             assert_eq!(answer.status(), 502);
         }
-        world.until("the connection is closed", || world.seen.closed.load(Ordering::SeqCst) == 1);
+        world.until("the connection is closed", || world.seen.connections_closed.load(Ordering::SeqCst) == 1);
         assert_eq!(world.seen.attempts_of(&id).len(), 1);
     }
 }
@@ -316,7 +317,7 @@
         let (status, wait, attempts) = invoke("put");
         assert_eq!((status, attempts), if goes_on { (200, 1) } else { (429, 0) }, "{total:?}");
         assert_eq!(wait > 0.0, !goes_on);
-        let calls = world.counter.calls.lock().expect("not poisoned").clone();
+        let calls = world.counter.request_lines.lock().expect("not poisoned").clone();
         let first = calls.first().expect("a call");
         assert!(first.starts_with("POST /counters/") && first.contains("?by=1&expire_ms="), "{first}");
         // A flood empties the bucket, and is told when to come back.
@@ -332,9 +333,9 @@
     let cases = ["Content-Length: 2\r\n\r\n0x", "Content-Length: 90\r\n\r\n", "no header\r\n\r\n"];
     for case in cases {
         let world = World::new(2, 0, Some(1.0));
-        let bad = support::counter_with_response(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
-        world.reload(&config(world.addr, "{}", bad.addr, world.discovery.addr));
-        let calls = || bad.calls.lock().expect("not poisoned").len();
+        let bad = support::start_counter_with_response(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
+        world.reload(&gatekeeper_config(world.addr, "{}", bad.addr, world.discovery.addr));
+        let calls = || bad.request_lines.lock().expect("not poisoned").len();
         for n in 1..3 {
             let id = world.script(&[]);
             assert_eq!(
@@ -343,7 +344,7 @@
             );
             world.until("it calls", || calls() >= n);
             thread::sleep(Duration::from_millis(200));
-            assert_eq!((calls(), bad.closed.load(Ordering::SeqCst)), (n, n as u32), "{case:?}");
+            assert_eq!((calls(), bad.connections_closed.load(Ordering::SeqCst)), (n, n as u32), "{case:?}");
         }
     }
 }
@@ -371,7 +372,7 @@
         to.dedup();
         to
     };
-    world.until("it watches", || !world.discovery.calls.lock().expect("not poisoned").is_empty());
+    world.until("it watches", || !world.discovery.request_lines.lock().expect("not poisoned").is_empty());
     assert_eq!(went_to(), [0, 1]);
     let news = |revision, line: String| {
         let news = format!(r#"{{"revision":{revision},"complete":false,"members":[{line}],"more":1}}"#);
@@ -386,7 +387,7 @@
     assert_eq!(went_to(), [0]);
     world.discovery.send_to_watchers("");
     // No line for four seconds.
-    let asked = || world.discovery.calls.lock().expect("not poisoned").clone();
+    let asked = || world.discovery.request_lines.lock().expect("not poisoned").clone();
     world.until("it watches anew", || asked().len() == 2);
     assert!(
         asked()[0].contains("watch=1&from=7 ") && asked()[1].contains("watch=1&from=10 "),
@@ -406,8 +407,8 @@
         let answer = world.invoke(&request_text("put", "wide", &id, 3000)).expect("an answer");
         (answer.status(), world.seen.attempts_of(&id).first().map(|(n, _)| *n))
     };
-    let asked = |of: &support::Discovery| of.calls.lock().expect("not poisoned").clone();
-    let calls = |of: &support::Counter| of.calls.lock().expect("not poisoned").len();
+    let asked = |of: &support::Discovery| of.request_lines.lock().expect("not poisoned").clone();
+    let calls = |of: &support::Counter| of.request_lines.lock().expect("not poisoned").len();
     let news = |revision, n: usize, phase| {
         let line = worker_entry(n, world.workers[n], phase);
         format!(r#"{{"revision":{revision},"complete":false,"members":[{line}]}}"#)
@@ -416,9 +417,9 @@
     world.discovery.send_to_watchers(&news(8, 0, "DRAINING"));
     assert_eq!(invoke().0, 200);
     world.until("it counts", || calls(&world.counter) > 0);
-    let (new, total) = (discovery(), counter(Some(1e6)));
+    let (new, total) = (start_discovery(), start_counter(Some(1e6)));
     let known = r#"{"revision":1,"complete":true,"members":[]}"#;
-    world.reload(&config(world.addr, known, total.addr, new.addr));
+    world.reload(&gatekeeper_config(world.addr, known, total.addr, new.addr));
     world.until("it watches anew", || asked(&new).len() == 1);
     assert!(asked(&new)[0].contains("watch=1&from=8 "), "{:?}", asked(&new));
     // The old watch is late, the new one is not.
@@ -432,9 +433,11 @@
     // What the new counter says holds.
     thread::sleep(Duration::from_millis(100));
     assert_eq!(invoke(), (429, None));
-    for unusable in
-        ["", "{\"name\":", &config(world.addr, known, total.addr, new.addr).replace("8c1f", "none")]
-    {
+    for unusable in [
+        "",
+        "{\"name\":",
+        &gatekeeper_config(world.addr, known, total.addr, new.addr).replace("8c1f", "none"),
+    ] {
         world.reload(unusable);
         thread::sleep(Duration::from_millis(50));
         assert_eq!(invoke(), (429, None));
@@ -476,7 +479,7 @@
 fn bad_configurations() {
     let none: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let free = "127.0.0.1:0".parse().expect("an address");
-    let good = config(free, r#"{"revision":1,"complete":true,"members":[]}"#, none, none);
+    let good = gatekeeper_config(free, r#"{"revision":1,"complete":true,"members":[]}"#, none, none);
     let cases = [
         ("configuration: EOF", good[..100].to_string()),
         ("configuration: missing field", good.replace("\"listen\"", "\"lissen\"")),
--- a/crates/gatekeeper/tests/support/mod.rs
+++ b/crates/gatekeeper/tests/support/mod.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 pub use lynxstair_fakes::{
-    Counter, Discovery, HttpMessage, WorkerAction, WorkerLog, config, counter, counter_with_response,
-    discovery, exchange, request_text, worker_entry,
+    Counter, Discovery, HttpMessage, WorkerAction, WorkerLog, exchange, gatekeeper_config, request_text,
+    start_counter, start_counter_with_response, start_discovery, worker_entry,
 };
-use lynxstair_fakes::{free_port, worker};
+use lynxstair_fakes::{start_worker, unused_address};
 
 pub struct World {
     pub addr: SocketAddr,
@@ -38,13 +38,13 @@
     pub fn with_timeout(alive: usize, dead: usize, total: Option<f64>, timeout_ms: u32) -> World {
         let (seen, script) = (Arc::new(WorkerLog::default()), Arc::default());
         let mut workers: Vec<SocketAddr> =
-            (0..alive).map(|n| worker(n, Arc::clone(&seen), Arc::clone(&script))).collect();
+            (0..alive).map(|n| start_worker(n, Arc::clone(&seen), Arc::clone(&script))).collect();
         // The port of a listener that is gone refuses.
-        workers.extend((0..dead).map(|_| free_port()));
+        workers.extend((0..dead).map(|_| unused_address()));
         let members: Vec<String> =
             workers.iter().enumerate().map(|(n, addr)| worker_entry(n, *addr, "SERVING")).collect();
         let known = format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, members.join(","));
-        let (counter, discovery) = (counter(total), discovery());
+        let (counter, discovery) = (start_counter(total), start_discovery());
         let (addr, child, file) = start(&known, counter.addr, discovery.addr, timeout_ms);
         let ids = AtomicU32::new(1);
         let world = World { addr, child, seen, workers, counter, discovery, script, ids, file };
@@ -133,9 +133,11 @@
 ) -> (SocketAddr, Child, PathBuf) {
     let timeout = format!("\"deadline\":{timeout_ms}000000");
     for _ in 0..10 {
-        let listen = free_port();
-        let (mut command, file) =
-            program(&config(listen, known, counter, discovery).replace("\"deadline\":4000000000", &timeout));
+        let listen = unused_address();
+        let (mut command, file) = program(
+            &gatekeeper_config(listen, known, counter, discovery)
+                .replace("\"deadline\":4000000000", &timeout),
+        );
         let mut child = command.stderr(Stdio::null()).spawn().expect("starts");
         thread::sleep(Duration::from_millis(50));
         if child.try_wait().expect("a child").is_none() {
