--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -109,7 +109,7 @@
 
     fn write(&self, now: Time, record: Record) {
         let waiting = match &record {
-            Record::Began { incarnation } => Some(*incarnation),
+            Record::IncarnationStarted { incarnation } => Some(*incarnation),
             _ => None,
         };
         lock(&self.records).apply(record.clone());
@@ -136,7 +136,7 @@
                     }
                     self.update(now, |membership| membership.on_written(now, incarnation));
                 }
-                Err(e) => self.retry_later(now, Record::Began { incarnation }, e.to_string()),
+                Err(e) => self.retry_later(now, Record::IncarnationStarted { incarnation }, e.to_string()),
             }
         }
         let due = lock(&self.disk).retry.take_if(|(at, _)| *at <= now);
@@ -195,7 +195,7 @@
         known_members: records.known_members.clone(),
         notices: records.notices(),
         times: config.times,
-        disabled: config.trial.broken,
+        disabled: config.trial.disabled_membership_parts,
     }
 }
 
--- a/crates/gatekeeper/tests/sockets.rs
+++ b/crates/gatekeeper/tests/sockets.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use support::{
-    HttpMessage, TestEnv, WorkerAction, config, counter, discovery, exchange, program, request_text,
-    worker_entry,
+    HttpMessage, TestEnv, WorkerAction, exchange, gatekeeper_config, program, request_text, start_counter,
+    start_discovery, worker_entry,
 };
 
 /// Reply to the client and number of attempts, by the worker's action on each attempt.
@@ -49,7 +49,7 @@
         let answer = env.send(&request_text(operation, "wide", &id, 800)).expect("an answer");
         let case = format!("{operation} {actions:?}");
         assert!(started.elapsed() < Duration::from_millis(1_000), "{case}: {:?}", started.elapsed());
-        let seen = env.worker_log.attempts_of(&id);
+        let seen = env.log.attempts_of(&id);
         assert_eq!((answer.status(), seen.len()), (wanted, attempts), "{case}");
         if wanted == 200 {
             assert_eq!(answer.body, format!("answer to {id}").into_bytes(), "{case}");
@@ -73,7 +73,7 @@
     for _ in 0..8 {
         let id = env.script(&[]);
         let answer = env.send(&request_text("put", "wide", &id, 800)).expect("an answer");
-        assert_eq!((answer.status(), env.worker_log.attempts_of(&id).len()), (200, 1));
+        assert_eq!((answer.status(), env.log.attempts_of(&id).len()), (200, 1));
     }
 }
 
@@ -127,14 +127,14 @@
         let answer = env.send(&text).unwrap_or_default();
         assert_eq!(answer.status(), wanted, "{case}");
     }
-    assert_eq!(env.worker_log.attempts_of("00000000000000ff").len(), 0);
+    assert_eq!(env.log.attempts_of("00000000000000ff").len(), 0);
     // Unknown headers and unknown parts of a header are ignored.
     let id = env.script(&[]);
     let odd = request_text("get", "wide", &id, 800).replace("first=0", "first=0,more=x,,=");
     let odd = odd.replace("X-More", "Connection: keep-alive, X-Mine\r\nX-Mine: 1\r\nX-More");
     assert_eq!(env.send(&odd).expect("an answer").status(), 200);
     // Hop-by-hop headers are not forwarded.
-    let seen = &env.worker_log.attempts_of(&id)[0].1;
+    let seen = &env.log.attempts_of(&id)[0].1;
     assert_eq!((seen.header("x-mine"), seen.header("connection"), seen.header("x-more")), ("", "", "kept"));
 }
 
@@ -146,15 +146,15 @@
     let put = request_text("put", "wide", &id, 3000);
     let client = env.client();
     (&client).write_all(put.as_bytes()).expect("written");
-    env.wait_until("the attempt arrives", || env.worker_log.attempts_of(&id).len() == 1);
+    env.wait_until("the attempt arrives", || env.log.attempts_of(&id).len() == 1);
     assert_eq!(env.send(&put).expect("an answer").status(), 409);
     assert_eq!(HttpMessage::read(&mut BufReader::new(&client)).expect("an answer").status(), 200);
     (&client).write_all(put.as_bytes()).expect("written");
-    env.wait_until("the next attempt arrives", || env.worker_log.attempts_of(&id).len() == 2);
+    env.wait_until("the next attempt arrives", || env.log.attempts_of(&id).len() == 2);
     drop(client);
-    env.wait_until("the worker connection is closed", || env.worker_log.closed.load(Ordering::SeqCst) == 1);
+    env.wait_until("the connection is closed", || env.log.connections_closed.load(Ordering::SeqCst) == 1);
     assert_eq!(env.send(&put).expect("an answer").status(), 200);
-    assert_eq!(env.worker_log.attempts_of(&id).len(), 3);
+    assert_eq!(env.log.attempts_of(&id).len(), 3);
 }
 
 /// Clients that send nothing, an incomplete message or only invalid messages are closed in time. Clients
@@ -236,7 +236,7 @@
         };
         let client = env.client();
         assert_eq!(exchange(&client, &sent).expect("an answer").status(), 200, "{size}, {in_chunks}");
-        let seen = env.worker_log.attempts_of(&id);
+        let seen = env.log.attempts_of(&id);
         assert_eq!((seen.len(), seen[0].1.body == body.as_bytes()), (1, true), "{size}, {in_chunks}");
     }
     let (one, two) = (env.script(&[WorkerAction::SucceedAfterMs(50)]), env.script(&[]));
@@ -259,18 +259,18 @@
     let send_request = |actions: &[WorkerAction]| {
         let id = env.script(actions);
         let answer = exchange(&client, &request_text("put", "wide", &id, 3000)).expect("an answer");
-        assert_eq!((answer.status(), env.worker_log.attempts_of(&id).len()), (200, 1));
+        assert_eq!((answer.status(), env.log.attempts_of(&id).len()), (200, 1));
     };
     (0..20).for_each(|_| send_request(&[]));
-    assert_eq!(env.worker_log.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(env.log.connections.load(Ordering::SeqCst), 1);
     // A connection that the worker closed while it was idle is not used for the next attempt.
     send_request(&[WorkerAction::SucceedAndClose]);
     thread::sleep(Duration::from_millis(50));
     send_request(&[]);
-    assert_eq!(env.worker_log.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(env.log.connections.load(Ordering::SeqCst), 2);
     // The settings' idle time-out is 1.5 s.
     let started = Instant::now();
-    env.wait_until("the idle connection is closed", || env.worker_log.closed.load(Ordering::SeqCst) == 2);
+    env.wait_until("the connection is closed", || env.log.connections_closed.load(Ordering::SeqCst) == 2);
     let took = started.elapsed();
     assert!(took > Duration::from_millis(700) && took < Duration::from_millis(1_500), "{took:?}");
 }
@@ -283,16 +283,16 @@
         let id = env.script(&[WorkerAction::Hang]);
         let client = env.client();
         (&client).write_all(request_text("put", "wide", &id, 600).as_bytes()).expect("written");
-        env.wait_until("the attempt arrives", || env.worker_log.attempts_of(&id).len() == 1);
-        assert_eq!(env.worker_log.closed.load(Ordering::SeqCst), 0);
+        env.wait_until("the attempt arrives", || env.log.attempts_of(&id).len() == 1);
+        assert_eq!(env.log.connections_closed.load(Ordering::SeqCst), 0);
         if client_leaves {
             drop(client);
         } else {
             let answer = HttpMessage::read(&mut BufReader::new(&client)).expect("an answer");
             assert_eq!(answer.status(), 502);
         }
-        env.wait_until("the connection is closed", || env.worker_log.closed.load(Ordering::SeqCst) == 1);
-        assert_eq!(env.worker_log.attempts_of(&id).len(), 1);
+        env.wait_until("the connection is closed", || env.log.connections_closed.load(Ordering::SeqCst) == 1);
+        assert_eq!(env.log.attempts_of(&id).len(), 1);
     }
 }
 
@@ -313,7 +313,7 @@
             (
                 answer.status(),
                 answer.header("retry-after").parse::<f64>().unwrap_or(0.0),
-                env.worker_log.attempts_of(&id).len(),
+                env.log.attempts_of(&id).len(),
             )
         };
         assert_eq!(send_request("get"), (200, 0.0, 1));
@@ -321,7 +321,7 @@
         let (status, wait, attempts) = send_request("put");
         assert_eq!((status, attempts), if is_admitted { (200, 1) } else { (429, 0) }, "{total:?}");
         assert_eq!(wait > 0.0, !is_admitted);
-        let calls = env.counter.calls.lock().expect("not poisoned").clone();
+        let calls = env.counter.request_lines.lock().expect("not poisoned").clone();
         let first = calls.first().expect("a call");
         assert!(first.starts_with("POST /counters/") && first.contains("?by=1&expire_ms="), "{first}");
         // A burst empties the token bucket.
@@ -338,15 +338,15 @@
     let cases = ["Content-Length: 2\r\n\r\n0x", "Content-Length: 90\r\n\r\n", "no header\r\n\r\n"];
     for case in cases {
         let env = TestEnv::new(2, 0, Some(1.0));
-        let bad = support::counter_with_response(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
-        env.reload(&config(env.addr, "{}", bad.addr, env.discovery.addr));
-        let calls = || bad.calls.lock().expect("not poisoned").len();
+        let bad = support::start_counter_with_response(Some(format!("HTTP/1.1 200 OK\r\n{case}")));
+        env.reload(&gatekeeper_config(env.addr, "{}", bad.addr, env.discovery.addr));
+        let calls = || bad.request_lines.lock().expect("not poisoned").len();
         for n in 1..3 {
             let id = env.script(&[]);
             assert_eq!(env.send(&request_text("put", "wide", &id, 3000)).expect("an answer").status(), 200);
             env.wait_until("the counter is called", || calls() >= n);
             thread::sleep(Duration::from_millis(200));
-            assert_eq!((calls(), bad.closed.load(Ordering::SeqCst)), (n, n as u32), "{case:?}");
+            assert_eq!((calls(), bad.connections_closed.load(Ordering::SeqCst)), (n, n as u32), "{case:?}");
         }
     }
 }
@@ -369,13 +369,12 @@
                 }
             });
         }
-        let mut to: Vec<usize> =
-            ids.iter().flat_map(|id| env.worker_log.attempts_of(id)).map(|(n, _)| n).collect();
+        let mut to: Vec<usize> = ids.iter().flat_map(|id| env.log.attempts_of(id)).map(|(n, _)| n).collect();
         to.sort_unstable();
         to.dedup();
         to
     };
-    env.wait_until("discovery is watched", || !env.discovery.calls.lock().expect("not poisoned").is_empty());
+    env.wait_until("a watch opens", || !env.discovery.request_lines.lock().expect("not poisoned").is_empty());
     assert_eq!(used_workers(), [0, 1]);
     let send_update = |revision, line: String| {
         let update = format!(r#"{{"revision":{revision},"complete":false,"members":[{line}],"more":1}}"#);
@@ -390,8 +389,8 @@
     assert_eq!(used_workers(), [0]);
     env.discovery.send_to_watchers("");
     // The watch receives no further data, so that it times out.
-    let watch_requests = || env.discovery.calls.lock().expect("not poisoned").clone();
-    env.wait_until("discovery is watched again", || watch_requests().len() == 2);
+    let watch_requests = || env.discovery.request_lines.lock().expect("not poisoned").clone();
+    env.wait_until("a watch reopens", || watch_requests().len() == 2);
     assert!(
         watch_requests()[0].contains("watch=1&from=7 ") && watch_requests()[1].contains("watch=1&from=10 "),
         "{:?}",
@@ -408,22 +407,22 @@
     let send_request = || {
         let id = env.script(&[]);
         let answer = env.send(&request_text("put", "wide", &id, 3000)).expect("an answer");
-        (answer.status(), env.worker_log.attempts_of(&id).first().map(|(n, _)| *n))
+        (answer.status(), env.log.attempts_of(&id).first().map(|(n, _)| *n))
     };
-    let watch_requests = |of: &support::Discovery| of.calls.lock().expect("not poisoned").clone();
-    let calls = |of: &support::Counter| of.calls.lock().expect("not poisoned").len();
+    let watch_requests = |of: &support::Discovery| of.request_lines.lock().expect("not poisoned").clone();
+    let calls = |of: &support::Counter| of.request_lines.lock().expect("not poisoned").len();
     let list_update = |revision, n: usize, phase| {
         let line = worker_entry(n, env.workers[n], phase);
         format!(r#"{{"revision":{revision},"complete":false,"members":[{line}]}}"#)
     };
-    env.wait_until("discovery is watched", || !watch_requests(&env.discovery).is_empty());
+    env.wait_until("a watch opens", || !watch_requests(&env.discovery).is_empty());
     env.discovery.send_to_watchers(&list_update(8, 0, "DRAINING"));
     assert_eq!(send_request().0, 200);
     env.wait_until("the counter is called", || calls(&env.counter) > 0);
-    let (new, total) = (discovery(), counter(Some(1e6)));
+    let (new, total) = (start_discovery(), start_counter(Some(1e6)));
     let known = r#"{"revision":1,"complete":true,"members":[]}"#;
-    env.reload(&config(env.addr, known, total.addr, new.addr));
-    env.wait_until("discovery is watched again", || watch_requests(&new).len() == 1);
+    env.reload(&gatekeeper_config(env.addr, known, total.addr, new.addr));
+    env.wait_until("a watch reopens", || watch_requests(&new).len() == 1);
     assert!(watch_requests(&new)[0].contains("watch=1&from=8 "), "{:?}", watch_requests(&new));
     // An outdated update from the previous watch is ignored, an update from the new one is applied.
     env.discovery.send_to_watchers(&list_update(7, 0, "SERVING"));
@@ -436,7 +435,8 @@
     // The total of the new counter applies.
     thread::sleep(Duration::from_millis(100));
     assert_eq!(send_request(), (429, None));
-    for unusable in ["", "{\"name\":", &config(env.addr, known, total.addr, new.addr).replace("8c1f", "none")]
+    for unusable in
+        ["", "{\"name\":", &gatekeeper_config(env.addr, known, total.addr, new.addr).replace("8c1f", "none")]
     {
         env.reload(unusable);
         thread::sleep(Duration::from_millis(50));
@@ -457,7 +457,7 @@
         let slow = env.script(&[WorkerAction::SucceedAfterMs(latency_ms)]);
         let (waiting, idle) = (env.client(), env.client());
         (&waiting).write_all(request_text("put", "wide", &slow, 20_000).as_bytes()).expect("written");
-        env.wait_until("the attempt arrives", || env.worker_log.attempts_of(&slow).len() == 1);
+        env.wait_until("the attempt arrives", || env.log.attempts_of(&slow).len() == 1);
         env.signal("TERM");
         let started = Instant::now();
         thread::sleep(Duration::from_millis(100));
@@ -482,7 +482,7 @@
 fn invalid_configuration_is_reported_in_one_line() {
     let none: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let free = "127.0.0.1:0".parse().expect("an address");
-    let good = config(free, r#"{"revision":1,"complete":true,"members":[]}"#, none, none);
+    let good = gatekeeper_config(free, r#"{"revision":1,"complete":true,"members":[]}"#, none, none);
     let cases = [
         ("configuration: EOF", good[..100].to_string()),
         ("configuration: missing field", good.replace("\"listen\"", "\"lissen\"")),
--- a/crates/gatekeeper/tests/support/mod.rs
+++ b/crates/gatekeeper/tests/support/mod.rs
@@ -11,15 +11,15 @@
 use std::time::{Duration, Instant};
 
 pub use lynxstair_fakes::{
-    Counter, Discovery, HttpMessage, WorkerAction, WorkerLog, config, counter, counter_with_response,
-    discovery, exchange, request_text, worker_entry,
+    Counter, Discovery, HttpMessage, WorkerAction, WorkerLog, exchange, gatekeeper_config, request_text,
+    start_counter, start_counter_with_response, start_discovery, worker_entry,
 };
-use lynxstair_fakes::{free_port, worker};
+use lynxstair_fakes::{start_worker, unused_address};
 
 pub struct TestEnv {
     pub addr: SocketAddr,
     child: Child,
-    pub worker_log: Arc<WorkerLog>,
+    pub log: Arc<WorkerLog>,
     pub workers: Vec<SocketAddr>,
     pub counter: Counter,
     pub discovery: Discovery,
@@ -37,18 +37,18 @@
 
     /// Like `new`, with an integration time-out for all operations.
     pub fn with_timeout(live: usize, refusing: usize, total: Option<f64>, timeout_ms: u32) -> TestEnv {
-        let (worker_log, script) = (Arc::new(WorkerLog::default()), Arc::default());
+        let (log, script) = (Arc::new(WorkerLog::default()), Arc::default());
         let mut workers: Vec<SocketAddr> =
-            (0..live).map(|n| worker(n, Arc::clone(&worker_log), Arc::clone(&script))).collect();
+            (0..live).map(|n| start_worker(n, Arc::clone(&log), Arc::clone(&script))).collect();
         // Connections to a port without a listener are refused.
-        workers.extend((0..refusing).map(|_| free_port()));
+        workers.extend((0..refusing).map(|_| unused_address()));
         let members: Vec<String> =
             workers.iter().enumerate().map(|(n, addr)| worker_entry(n, *addr, "SERVING")).collect();
         let known = format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, members.join(","));
-        let (counter, discovery) = (counter(total), discovery());
+        let (counter, discovery) = (start_counter(total), start_discovery());
         let (addr, child, file) = start(&known, counter.addr, discovery.addr, timeout_ms);
         let ids = AtomicU32::new(1);
-        let env = TestEnv { addr, child, worker_log, workers, counter, discovery, script, ids, file };
+        let env = TestEnv { addr, child, log, workers, counter, discovery, script, ids, file };
         env.wait_until("the gatekeeper is up", || {
             TcpStream::connect(addr)
                 .is_ok_and(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
@@ -135,9 +135,11 @@
 ) -> (SocketAddr, Child, PathBuf) {
     let timeout = format!("\"deadline\":{timeout_ms}000000");
     for _ in 0..10 {
-        let listen = free_port();
-        let (mut command, file) =
-            program(&config(listen, known, counter, discovery).replace("\"deadline\":4000000000", &timeout));
+        let listen = unused_address();
+        let (mut command, file) = program(
+            &gatekeeper_config(listen, known, counter, discovery)
+                .replace("\"deadline\":4000000000", &timeout),
+        );
         let mut child = command.stderr(Stdio::null()).spawn().expect("starts");
         thread::sleep(Duration::from_millis(50));
         if child.try_wait().expect("a child").is_none() {
