--- a/crates/membership/src/membership/members.rs
+++ b/crates/membership/src/membership/members.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Applies that a member left or was shut out, also to `foca`.
+    /// Marks a member as left or shut out, and as down in `foca`.
     fn set_final_state(&mut self, now: Time, name: &Name, state: State, reason: ChangeReason) {
         let Some(member) = self.members.get(name) else { return };
         let (identity, status) = (member.identity.clone(), member.status);
--- a/crates/membership/src/notices.rs
+++ b/crates/membership/src/notices.rs
@@ -1,5 +1,5 @@
-//! Notices: gossip beside the membership state of `foca`. Members that left, members shut out by an
-//! operator or let in again, and link reports.
+//! Notices: gossip beside the membership state of `foca`. They report members that left, members that an
+//! operator shut out or let in again, and the state of links.
 //!
 //! Notices are piggybacked on the messages of `foca`. For each topic and member the newest notice is
 //! valid; older and known ones are not forwarded.
@@ -40,7 +40,7 @@
         ShutOutReason(text[..end].into())
     }
 
-    /// The text.
+    /// Text of the reason.
     pub fn as_str(&self) -> &str {
         &self.0
     }
