--- a/crates/leases/src/envelope.rs
+++ b/crates/leases/src/envelope.rs
@@ -1,13 +1,13 @@
-//! The datagram's envelope: version, fleet and checksum. What can't be decoded is dropped and counted, never
-//! answered.
+//! Envelope of a datagram: version, fleet and checksum. A datagram that can't be decoded is dropped,
+//! counted and not answered.
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 0 | `O`: no datagram of membership begins with it |
+//! | 0 | `O`; membership datagrams start with another byte |
 //! | 1 | version of this layout |
-//! | 2 to 9 | hash of the fleet's name, big-endian |
+//! | 2 to 9 | hash of the fleet name, big-endian |
 //! | 10 to 13 | CRC-32 of all other bytes, big-endian |
-//! | 14 on | the message, by postcard |
+//! | 14 on | the message, encoded with postcard |
 
 use std::ops::Range;
 
@@ -16,9 +16,9 @@
 use crate::identity::hash;
 use crate::message::Message;
 
-/// First byte of each datagram.
+/// First byte of each datagram; distinguishes it from membership datagrams.
 pub const FIRST_BYTE: u8 = b'O';
-/// Longest datagram, in bytes; all but snapshots are far shorter.
+/// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 16_384;
 
 const VERSION: u8 = 1;
@@ -26,30 +26,30 @@
 const CHECKSUM_AT: Range<usize> = 10..14;
 const HEADER_BYTES: usize = 14;
 
-/// Why a datagram was dropped.
+/// Reason for which a datagram was dropped.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum DecodeError {
-    /// Too short or too long.
-    #[error("its length is not that of a datagram")]
+    /// The datagram is too short or too long.
+    #[error("invalid length")]
     #[serde(rename = "length")]
     InvalidLength,
-    /// Another protocol or layout.
-    #[error("another protocol or version")]
+    /// The first byte or the version does not match.
+    #[error("unknown protocol or version")]
     #[serde(rename = "version")]
     UnsupportedVersion,
-    /// Another fleet.
-    #[error("another fleet")]
+    /// The datagram belongs to another fleet.
+    #[error("datagram of another fleet")]
     #[serde(rename = "fleet")]
     OtherFleet,
-    /// Damaged on the way.
-    #[error("its checksum differs")]
+    /// The datagram is damaged.
+    #[error("checksum mismatch")]
     #[serde(rename = "checksum")]
     BadChecksum,
-    /// No message.
-    #[error("no message")]
+    /// The content is not a valid message.
+    #[error("malformed message")]
     Malformed,
 }
 
@@ -60,12 +60,12 @@
 }
 
 impl Envelope {
-    /// The envelope of a fleet.
+    /// Creates the envelope of a fleet.
     pub fn new(fleet: &str) -> Self {
         Envelope { fleet_hash: hash(&[fleet.as_bytes()]) }
     }
 
-    /// The datagram; `None` where it would be too long to send.
+    /// Encodes a message. Returns `None` if the datagram would be longer than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(message).ok()?;
         let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -78,10 +78,10 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// The message in a datagram.
+    /// Decodes the message in a datagram.
     ///
     /// # Errors
-    /// The datagram is to be dropped.
+    /// If the datagram is not a valid message of this fleet.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() <= HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::InvalidLength);
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -1,4 +1,4 @@
-//! What voters and lease holders hand out: actions to carry out, and events to log.
+//! Output of voters and lease holders: actions that the caller carries out, and events for the log.
 
 use std::net::SocketAddrV4;
 
@@ -9,110 +9,113 @@
 use crate::phase::Phase;
 use crate::record::Record;
 
-/// What is to be done for a voter or a lease holder.
+/// Action that the caller of a voter or lease holder carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a datagram.
+    /// Sends a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddrV4,
-        /// Its bytes.
+        /// Encoded datagram.
         datagram: Vec<u8>,
     },
-    /// Write a record, in the order of the actions, then call `on_written` with its ticket.
+    /// Writes a record. Records are written in the order of the actions; [`Voter::on_written`] is called
+    /// with the ticket when the write has ended.
+    ///
+    /// [`Voter::on_written`]: crate::Voter::on_written
     Write {
         /// Identifies the write.
         ticket: u64,
-        /// The record.
+        /// Record to append.
         record: Record,
     },
-    /// Log an event.
+    /// Logs an event.
     Emit(Event),
 }
 
-/// What happened, for the log and the history.
+/// Event for the log and the history file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "event")]
 pub enum Event {
-    /// A voter's phase changed.
+    /// The phase of this voter changed.
     VoterPhase {
-        /// Before.
+        /// Previous phase.
         from: Phase,
-        /// Now.
+        /// New phase.
         to: Phase,
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// This voter began to lead, or ceased to.
+    /// This voter became the leader, or is not the leader any more.
     #[serde(rename = "leads")]
     Leadership {
-        /// Raft's term.
+        /// Raft term.
         term: u64,
-        /// Whether it leads now.
+        /// `true` if this voter is the leader now.
         #[serde(rename = "leads")]
         is_leader: bool,
     },
-    /// A duty was granted; each voter emits it when it applies the entry.
+    /// A duty was granted. Each voter emits this when it applies the entry.
     Granted {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// The owner's name.
+        /// Name of the owner.
         owner: String,
-        /// Which start of the owner's process.
+        /// Incarnation of the owner.
         #[serde(rename = "stand")]
         incarnation: u64,
-        /// The owner's epoch.
+        /// Epoch of the grant.
         epoch: Epoch,
     },
-    /// A duty has no owner any more; each voter emits it when it applies the entry.
+    /// A duty has no owner any more. Each voter emits this when it applies the entry.
     Released {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// Who owned it.
+        /// Name of the former owner.
         owner: String,
-        /// In this epoch.
+        /// Epoch of the former owner.
         epoch: Epoch,
     },
-    /// The voters changed.
+    /// The set of voters changed.
     Voters {
-        /// All of them.
+        /// Names of all voters.
         names: Vec<String>,
     },
-    /// This member began to own a duty.
+    /// This member became the owner of a duty.
     #[serde(rename = "owns")]
     OwnershipAcquired {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// In this epoch.
+        /// Epoch of the ownership.
         epoch: Epoch,
     },
-    /// This member ceased to own a duty.
+    /// This member is not the owner of a duty any more.
     #[serde(rename = "owns_no_more")]
     OwnershipLost {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// In this epoch.
+        /// Epoch of the ownership.
         epoch: Epoch,
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// A received message that is for the lease holder.
+/// Received message for the lease holder of this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderMessage {
-    /// A response to its request.
+    /// Response to a request of the lease holder.
     Response {
-        /// Of the request.
+        /// Number of the request.
         number: u64,
-        /// The response.
+        /// Content of the response.
         response: Response,
     },
-    /// A duty changed.
+    /// The lease holder should claim or renew a duty now.
     DutyChanged {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
     },
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,5 +1,5 @@
-//! The side of a member: it claims duties, has its leases confirmed, and asks the voters for operators. It need
-//! not be a voter itself; it asks whichever of them leads.
+//! Lease holder of a member: claims duties, renews their leases, and forwards queries of operators to the
+//! voters. The member need not be a voter. Requests go to the voter that is believed to be the leader.
 
 mod queries;
 
@@ -19,98 +19,100 @@
 use queries::Query;
 pub use queries::QueryStatus;
 
-/// The part of a lease that the owner counts on: its clock may run slower than the leader's.
+/// Fraction of the lease duration that the owner uses, since its clock may run slower than the leader's.
 const LEASE_SAFETY_FACTOR: f64 = 0.9;
-/// After so long without a response a request is given up.
+/// Time without a response after which a request is dropped.
 const REQUEST_LIFETIME: Span = Span::from_millis(5_000);
-/// Claims are spread around their interval by a factor within these bounds.
+/// Range of the random factor by which the interval between claims is multiplied.
 const CLAIM_JITTER: std::ops::Range<f64> = 0.75..1.25;
 
-/// What a member is with one duty.
+/// State of a member with respect to one duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "standing")]
 pub enum HolderState {
-    /// It claims the duty.
+    /// The member does not own the duty and claims it.
     #[serde(rename = "stands")]
     Claiming,
-    /// It owns the duty.
+    /// The member owns the duty.
     #[serde(rename = "owns")]
     Owner {
-        /// In this epoch.
+        /// Epoch of the ownership.
         epoch: Epoch,
     },
 }
 
-/// The owner of a duty as last heard from a voter.
-struct OwnerSeen {
+/// Owner of a duty as last reported by a voter.
+struct ReportedOwner {
     owner: Option<String>,
     epoch: Epoch,
-    at: Time,
+    received_at: Time,
 }
 
-/// A duty that this member claims or owns.
+/// Duty that this member claims or owns.
 struct Claim {
     state: HolderState,
-    /// Until when it may begin effects, by this process's own clock.
+    /// Expiration of the lease by the local clock. No effect may begin from then on.
     lease_until: Time,
+    /// Highest epoch of the duty known to this member.
     highest_epoch: Epoch,
-    /// What is stored with the duty, as of the last confirmation.
-    stored: Vec<u8>,
-    /// What this member last stored, as far as a majority acknowledged it.
-    acknowledged: Option<Vec<u8>>,
+    /// State stored with the duty, as of the last grant or renewal.
+    stored_state: Vec<u8>,
+    /// State that this member last stored and a quorum acknowledged.
+    acknowledged_state: Option<Vec<u8>>,
     next_request_at: Time,
-    owner_seen: Option<OwnerSeen>,
+    reported_owner: Option<ReportedOwner>,
 }
 
-/// A duty as one member sees it.
+/// View of a duty by one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyView {
-    /// The duty.
+    /// Name of the duty.
     pub duty: String,
-    /// What the member is with it.
+    /// State of this member with respect to the duty.
     #[serde(rename = "hold")]
     pub state: HolderState,
-    /// The owner as last heard; `None`: nobody.
+    /// Owner as last reported by a voter; `None` if none was reported.
     pub owner: Option<String>,
-    /// In this epoch.
+    /// Epoch of that report; 0 if there was none.
     pub epoch: Epoch,
-    /// How long ago that was; `None`: never.
+    /// Time since that report, in milliseconds; `None` if there was none.
     #[serde(rename = "heard_ms_ago")]
     pub last_received_ms_ago: Option<u64>,
 }
 
-/// A request without a response yet.
+/// Request that has no final response yet.
 struct PendingRequest {
     request: Request,
-    /// When it was sent first: the response was true at some time after that.
+    /// Time of the first attempt. The response reflects the table at some later time.
     first_sent_at: Time,
     sent_at: Time,
-    /// Index of the voter it was sent to.
+    /// Index of the voter to which it was last sent.
     voter: usize,
 }
 
-/// What a member is started with.
+/// Start-up parameters of a lease holder.
 #[derive(Clone, Debug)]
 pub struct HolderConfig {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Where voters are at first.
+    /// Initial addresses of the voters.
     pub voters: Vec<SocketAddrV4>,
-    /// The duties that it claims.
+    /// Duties to claim.
     pub duties: Vec<String>,
-    /// Fixes its random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Drawn at each start of the process.
+    /// Incarnation of the member; changes with each start of its process.
     pub incarnation: u64,
-    /// Intervals and timeouts.
+    /// Intervals and time-outs.
     pub times: Times,
-    /// For trials.
+    /// Safeguards that a trial disables.
     pub disabled: DisabledParts,
 }
 
-/// The duties of one member.
+/// Client of the voters that claims duties for one member. Performs no I/O: the caller passes in the time
+/// and received messages, and carries out the [`Action`]s.
 pub struct LeaseHolder {
     name: String,
     envelope: Envelope,
@@ -119,28 +121,28 @@
     disabled: DisabledParts,
     rng: Pcg64Mcg,
     voters: Vec<SocketAddrV4>,
-    /// Index of the voter that is asked first.
+    /// Index of the voter that is believed to be the leader.
     leader: usize,
     claims: BTreeMap<String, Claim>,
     pending: BTreeMap<u64, PendingRequest>,
-    /// By the operator's id.
+    /// Queries by the operator's id.
     queries: BTreeMap<u64, Query>,
     last_number: u64,
     actions: Vec<Action>,
 }
 
 impl LeaseHolder {
-    /// A member that owns nothing yet.
+    /// Creates a lease holder that owns no duty.
     pub fn new(now: Time, config: HolderConfig) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let claim = |rng: &mut Pcg64Mcg| Claim {
             state: HolderState::Claiming,
             lease_until: now,
             highest_epoch: Epoch(0),
-            stored: Vec::new(),
-            acknowledged: None,
+            stored_state: Vec::new(),
+            acknowledged_state: None,
             next_request_at: now + config.times.claim_interval.times(rng.random()),
-            owner_seen: None,
+            reported_owner: None,
         };
         let claims = config.duties.iter().map(|duty| (duty.clone(), claim(&mut rng))).collect();
         LeaseHolder {
@@ -149,8 +151,8 @@
             incarnation: config.incarnation,
             times: config.times,
             disabled: config.disabled,
-            // Random in its high bits: a late response to the process before must not match a request of this
-            // one.
+            // The high bits are random so that a late response to a former process does not match a request
+            // of this process.
             last_number: rng.next_u64() >> 16 << 8,
             rng,
             voters: config.voters,
@@ -162,12 +164,12 @@
         }
     }
 
-    /// Takes the actions to carry out.
+    /// Returns the actions to carry out, in order, and clears them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// When `tick` is due; `None`: not before something is received.
+    /// Returns the time at which [`tick`](Self::tick) is due, or `None` if there is nothing to wait for.
     pub fn next_deadline(&self) -> Option<Time> {
         let claims = self.claims.values().map(|claim| match claim.state {
             HolderState::Owner { .. } if !self.disabled.no_leases => {
@@ -179,8 +181,8 @@
         claims.chain(timeouts).min()
     }
 
-    /// The epoch in which an effect may begin now; `None` without a lease. To be asked before each effect: a
-    /// process that was paused finds here that its lease is over.
+    /// Returns the fencing epoch if this member holds a valid lease, `None` otherwise. Must be checked
+    /// before each effect of the duty, since the lease may have expired while the process was paused.
     pub fn leased_epoch(&self, now: Time, duty: &str) -> Option<Epoch> {
         let claim = self.claims.get(duty)?;
         match claim.state {
@@ -189,33 +191,34 @@
         }
     }
 
-    /// What is stored with a duty, as of the last confirmation.
+    /// Returns the state stored with a duty, as of the last grant or renewal.
     pub fn stored_state(&self, duty: &str) -> &[u8] {
-        self.claims.get(duty).map_or(&[], |claim| &claim.stored)
+        self.claims.get(duty).map_or(&[], |claim| &claim.stored_state)
     }
 
-    /// What this member last stored with a duty and a majority has acknowledged; `None`: nothing yet.
+    /// Returns the state that this member last stored and a quorum acknowledged, if any.
     pub fn acknowledged_state(&self, duty: &str) -> Option<&[u8]> {
-        self.claims.get(duty).and_then(|claim| claim.acknowledged.as_deref())
+        self.claims.get(duty).and_then(|claim| claim.acknowledged_state.as_deref())
     }
 
-    /// Each duty as this member sees it.
+    /// Returns this member's view of each duty.
     pub fn view(&self, now: Time) -> Vec<DutyView> {
         let view = |(duty, claim): (&String, &Claim)| {
-            let seen = claim.owner_seen.as_ref();
+            let report = claim.reported_owner.as_ref();
             DutyView {
                 duty: duty.clone(),
                 state: claim.state,
-                owner: seen.and_then(|seen| seen.owner.clone()),
-                epoch: seen.map_or(Epoch(0), |seen| seen.epoch),
-                last_received_ms_ago: seen.map(|seen| (now - seen.at).nanos() / 1_000_000),
+                owner: report.and_then(|report| report.owner.clone()),
+                epoch: report.map_or(Epoch(0), |report| report.epoch),
+                last_received_ms_ago: report.map(|report| (now - report.received_at).nanos() / 1_000_000),
             }
         };
         self.claims.iter().map(view).collect()
     }
 
-    /// Changes what this member is with a duty. Every change goes through here.
-    fn set_state(&mut self, duty: &str, to: HolderState, reason: &str) {
+    /// Changes the state of this member with respect to a duty and emits the event. Every change goes
+    /// through this function.
+    fn set_holder_state(&mut self, duty: &str, to: HolderState, reason: &str) {
         let Some(claim) = self.claims.get_mut(duty) else { return };
         let from = std::mem::replace(&mut claim.state, to);
         if from == to {
@@ -231,8 +234,9 @@
         }
     }
 
-    /// Sends a request to the voter that led last. Returns its number.
-    fn request(&mut self, now: Time, request: Request) -> u64 {
+    /// Sends a new request to the voter that is believed to be the leader. Returns the number of the
+    /// request.
+    fn send_request(&mut self, now: Time, request: Request) -> u64 {
         self.last_number += 1;
         let number = self.last_number;
         let pending = PendingRequest { request, first_sent_at: now, sent_at: now, voter: self.leader };
@@ -252,21 +256,21 @@
         }
     }
 
-    /// Time passed.
+    /// Handles everything that is due at `now`: expired leases, claims, renewals and retries.
     pub fn tick(&mut self, now: Time) {
         let duties: Vec<String> = self.claims.keys().cloned().collect();
         for duty in duties {
             self.tick_claim(now, &duty);
         }
         self.resend_overdue(now);
-        self.forget_old_queries(now);
+        self.expire_queries(now);
     }
 
     fn tick_claim(&mut self, now: Time, duty: &str) {
         let Some(claim) = self.claims.get(duty) else { return };
         let is_owner = matches!(claim.state, HolderState::Owner { .. });
         if is_owner && now >= claim.lease_until && !self.disabled.no_leases {
-            self.set_state(duty, HolderState::Claiming, "its lease has run out");
+            self.set_holder_state(duty, HolderState::Claiming, "its lease expired");
         }
         let Some(claim) = self.claims.get_mut(duty) else { return };
         if now < claim.next_request_at {
@@ -286,15 +290,16 @@
             }
         };
         claim.next_request_at = now + interval;
-        // The claim or renewal before is forgotten: its response would say less than this one's.
+        // Drop an earlier claim or renewal: the response to the new one supersedes it.
         self.pending.retain(|_, pending| match &pending.request {
             Request::Claim { duty: other, .. } | Request::Renew { duty: other, .. } => other != duty,
             _ => true,
         });
-        self.request(now, request);
+        self.send_request(now, request);
     }
 
-    /// Sends requests without a response to the next voter, which may lead; gives up old ones.
+    /// Resends requests whose time-out has passed to the next voter, and drops those older than
+    /// [`REQUEST_LIFETIME`].
     fn resend_overdue(&mut self, now: Time) {
         let is_overdue = |pending: &PendingRequest| now - pending.sent_at >= self.times.request_timeout;
         let overdue: Vec<u64> =
@@ -312,20 +317,20 @@
         }
     }
 
-    /// A response was received.
+    /// Handles a response of a voter. One that matches no pending request is ignored.
     pub fn on_response(&mut self, now: Time, number: u64, response: Response) {
         if !self.pending.contains_key(&number) {
             return;
         }
         match response {
             Response::NotLeader { leader, voters } => self.on_not_leader(number, leader, &voters),
-            Response::Unavailable { reason } => self.note_failure(number, &reason),
+            Response::Unavailable { reason } => self.record_failure(number, &reason),
             response => self.on_final_response(now, number, response),
         }
     }
 
-    /// Sends the request to the leader that the voter named. Two voters that name one another are not followed in
-    /// a circle: the request's timeout is not reset.
+    /// Redirects the request to the leader reported by the voter. The time-out of the request is not reset,
+    /// so that redirects between two voters do not postpone its expiration.
     fn on_not_leader(&mut self, number: u64, leader: Option<SocketAddrV4>, voters: &[VoterInfo]) {
         let Some(pending) = self.pending.get_mut(&number) else { return };
         let are_known = !voters.is_empty() && voters.iter().all(|voter| self.voters.contains(&voter.addr));
@@ -338,7 +343,7 @@
             self.leader = index;
             self.send_pending(number);
         }
-        self.note_failure(number, "no leader is known to the voter that was asked");
+        self.record_failure(number, "the voter that was asked is not the leader");
     }
 
     fn on_final_response(&mut self, now: Time, number: u64, response: Response) {
@@ -358,66 +363,71 @@
             ) => self.on_denied(now, &pending.request, duty, epoch, owner),
             (Request::Store { duty, state, .. }, Response::Done) => {
                 if let Some(claim) = self.claims.get_mut(duty) {
-                    claim.acknowledged = Some(state.clone());
+                    claim.acknowledged_state = Some(state.clone());
                 }
             }
             _ => {}
         }
     }
 
-    /// This member owns the duty. The lease counts from when the request was sent first, and by less than the
-    /// leader counts: it is over here before it is there.
-    fn on_granted(&mut self, now: Time, duty: &str, asked_at: Time, epoch: Epoch, state: Vec<u8>) {
-        let lease_until = asked_at + self.times.lease.times(LEASE_SAFETY_FACTOR);
+    /// Handles a grant or a renewal. The lease starts when the request was first sent and lasts less than
+    /// the leader's, so that it expires here first.
+    fn on_granted(&mut self, now: Time, duty: &str, first_sent_at: Time, epoch: Epoch, state: Vec<u8>) {
+        let lease_until = first_sent_at + self.times.lease.times(LEASE_SAFETY_FACTOR);
         let owner = Some(self.name.clone());
         let Some(claim) = self.claims.get_mut(duty) else { return };
         claim.lease_until = claim.lease_until.max(lease_until);
         claim.highest_epoch = claim.highest_epoch.max(epoch);
-        claim.stored = state;
-        claim.owner_seen = Some(OwnerSeen { owner, epoch, at: now });
+        claim.stored_state = state;
+        claim.reported_owner = Some(ReportedOwner { owner, epoch, received_at: now });
         if now < lease_until {
-            claim.next_request_at = claim.next_request_at.min(asked_at + self.times.renew_interval);
-            self.set_state(duty, HolderState::Owner { epoch }, "");
+            claim.next_request_at = claim.next_request_at.min(first_sent_at + self.times.renew_interval);
+            self.set_holder_state(duty, HolderState::Owner { epoch }, "");
         }
     }
 
-    /// Another member owns the duty, or nobody does. Only a response to a renewal in this epoch, or a higher
-    /// epoch, ends an ownership: a late response to an earlier request does not.
+    /// Handles a denied claim or renewal. It ends the ownership only if it answers a renewal in the current
+    /// epoch or has a higher epoch; a late response to an earlier request does not.
     fn on_denied(&mut self, now: Time, request: &Request, duty: &str, epoch: Epoch, owner: Option<String>) {
         let Some(claim) = self.claims.get_mut(duty) else { return };
         claim.highest_epoch = claim.highest_epoch.max(epoch);
-        claim.owner_seen = Some(OwnerSeen { owner, epoch, at: now });
+        claim.reported_owner = Some(ReportedOwner { owner, epoch, received_at: now });
         let HolderState::Owner { epoch: own_epoch } = claim.state else { return };
-        let is_renewal = matches!(request, Request::Renew { epoch: asked, .. } if *asked == own_epoch);
+        let is_renewal = matches!(request, Request::Renew { epoch: renewed, .. } if *renewed == own_epoch);
         if !is_renewal && epoch <= own_epoch {
             return;
         }
-        self.set_state(duty, HolderState::Claiming, "another owns it, or it was taken away");
+        self.set_holder_state(
+            duty,
+            HolderState::Claiming,
+            "the renewal was denied or another member owns it",
+        );
         if epoch == own_epoch {
-            // It is being handed over: once it is released, the other member has it.
-            self.request(now, Request::Release { duty: duty.to_string(), epoch });
+            // The duty is being handed over. The target can claim it once it is released.
+            self.send_request(now, Request::Release { duty: duty.to_string(), epoch });
         }
     }
 
-    /// A voter tells that a duty changed: it is claimed or renewed at the next tick.
+    /// Handles a notification that a duty changed: claims or renews it at the next tick.
     pub fn on_duty_changed(&mut self, now: Time, duty: &str) {
         if let Some(claim) = self.claims.get_mut(duty) {
             claim.next_request_at = now;
         }
     }
 
-    /// An effect was refused where it landed: a higher epoch was seen there.
+    /// Called when the receiver of an effect refused it because it had seen `highest_epoch`. Ends an
+    /// ownership in a lower epoch.
     pub fn on_fenced(&mut self, now: Time, duty: &str, highest_epoch: Epoch) {
         let Some(claim) = self.claims.get_mut(duty) else { return };
         claim.highest_epoch = claim.highest_epoch.max(highest_epoch);
         claim.next_request_at = now;
         if matches!(claim.state, HolderState::Owner { epoch } if epoch < highest_epoch) {
-            let reason = "an effect was refused: a later epoch was seen there";
-            self.set_state(duty, HolderState::Claiming, reason);
+            let reason = "an effect was refused: its receiver has seen a higher epoch";
+            self.set_holder_state(duty, HolderState::Claiming, reason);
         }
     }
 
-    /// Releases all duties and claims none any more: the member leaves.
+    /// Releases all duties and stops claiming them. Called when the member leaves the fleet.
     pub fn leave(&mut self, now: Time) {
         let owned_epoch = |claim: &Claim| match claim.state {
             HolderState::Owner { epoch } => Some(epoch),
@@ -429,14 +439,14 @@
             .filter_map(|(duty, claim)| owned_epoch(claim).map(|epoch| (duty.clone(), epoch)))
             .collect();
         for (duty, epoch) in owned {
-            self.set_state(&duty, HolderState::Claiming, "it goes");
-            self.request(now, Request::Release { duty, epoch });
+            self.set_holder_state(&duty, HolderState::Claiming, "the member is leaving");
+            self.send_request(now, Request::Release { duty, epoch });
         }
         self.claims.clear();
     }
 
-    /// Stores a state with a duty that this member owns. Returns false where it does not own it, or the state is
-    /// longer than [`MAX_STATE_BYTES`].
+    /// Sends state to be stored with a duty that this member owns. Returns `false` if it holds no valid
+    /// lease or the state is longer than [`MAX_STATE_BYTES`].
     pub fn store(&mut self, now: Time, duty: &str, state: &[u8]) -> bool {
         let Some(epoch) = self.leased_epoch(now, duty).filter(|_| state.len() <= MAX_STATE_BYTES) else {
             return false;
@@ -444,7 +454,7 @@
         let is_superseded =
             |request: &Request| matches!(request, Request::Store { duty: other, .. } if other == duty);
         self.pending.retain(|_, pending| !is_superseded(&pending.request));
-        self.request(now, Request::Store { duty: duty.to_string(), epoch, state: state.to_vec() });
+        self.send_request(now, Request::Store { duty: duty.to_string(), epoch, state: state.to_vec() });
         true
     }
 }
--- a/crates/leases/src/holder/queries.rs
+++ b/crates/leases/src/holder/queries.rs
@@ -1,29 +1,30 @@
-//! What operators ask by way of a member.
+//! Queries of operators, which a member forwards to the voters.
 
 use lynxstair::types::{Span, Time};
 
 use super::{LeaseHolder, REQUEST_LIFETIME};
 use crate::message::{AdminCommand, Request, Response};
 
-/// Most queries at a time, with their responses.
+/// Maximum number of queries that are kept, pending or answered.
 const MAX_QUERIES: usize = 64;
-/// For so many lifetimes of a request its response is kept.
-const KEPT_LIFETIMES: f64 = 4.0;
+/// Retention of a query and its response, as a multiple of the lifetime of a request.
+const RETENTION_LIFETIMES: f64 = 4.0;
 
-/// How far a query is.
+/// Status of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryStatus {
-    /// No response yet: ask again by the same id.
+    /// No response yet. The caller repeats the query with the same id.
     Pending,
-    /// The voters' response.
+    /// Response of the leader.
     Answered(Response),
-    /// Nobody answered for a majority; what was heard last, if anything.
+    /// No response is available, so it is unknown whether a command took effect. Contains the reason.
     Unknown(String),
 }
 
 /// An operator's query.
 pub(super) struct Query {
-    since: Time,
+    started_at: Time,
+    /// Number of the request that was sent for it.
     number: u64,
     last_failure: Option<String>,
     response: Option<Response>,
@@ -35,26 +36,26 @@
     }
 }
 
-fn kept_for() -> Span {
-    REQUEST_LIFETIME.times(KEPT_LIFETIMES)
+fn retention() -> Span {
+    REQUEST_LIFETIME.times(RETENTION_LIFETIMES)
 }
 
 impl LeaseHolder {
-    /// Asks the voters for an operator: to carry out a command, or without one to read the table. Asked again by
-    /// the same id it is the same query.
+    /// Sends an operator's command to the voters, or a read of the table if `command` is `None`. A repeated
+    /// call with the same id returns the status of the first query.
     pub fn query(&mut self, now: Time, id: u64, command: Option<&AdminCommand>) -> QueryStatus {
         if let Some(query) = self.queries.get(&id) {
             return self.query_status(query);
         }
         if self.queries.len() >= MAX_QUERIES || self.voters.is_empty() {
-            return QueryStatus::Unknown("this member can't ask now".to_string());
+            return QueryStatus::Unknown("no voter is known or too many queries are kept".to_string());
         }
         let request = match command {
             Some(command) => Request::Admin { id, command: command.clone() },
             None => Request::ReadTable,
         };
-        let number = self.request(now, request);
-        self.queries.insert(id, Query { since: now, number, last_failure: None, response: None });
+        let number = self.send_request(now, request);
+        self.queries.insert(id, Query { started_at: now, number, last_failure: None, response: None });
         QueryStatus::Pending
     }
 
@@ -69,19 +70,19 @@
         }
     }
 
-    /// The query that a request was sent for.
+    /// Returns the query for which a request was sent.
     pub(super) fn query_of(&mut self, number: u64) -> Option<&mut Query> {
         self.queries.values_mut().find(|query| query.number == number)
     }
 
-    /// Keeps why a query has no response yet, for where none comes.
-    pub(super) fn note_failure(&mut self, number: u64, reason: &str) {
+    /// Records why a query has no response yet, for [`QueryStatus::Unknown`].
+    pub(super) fn record_failure(&mut self, number: u64, reason: &str) {
         if let Some(query) = self.query_of(number) {
             query.last_failure = Some(reason.to_string());
         }
     }
 
-    pub(super) fn forget_old_queries(&mut self, now: Time) {
-        self.queries.retain(|_, query| now - query.since < kept_for());
+    pub(super) fn expire_queries(&mut self, now: Time) {
+        self.queries.retain(|_, query| now - query.started_at < retention());
     }
 }
--- a/crates/leases/src/identity.rs
+++ b/crates/leases/src/identity.rs
@@ -1,4 +1,4 @@
-//! Ids of voters and of clusters, and epochs.
+//! Ids of voters and clusters, and epochs.
 
 use std::net::SocketAddrV4;
 
@@ -6,43 +6,43 @@
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// Ends each part, so that two splits of the same bytes hash apart.
+/// Terminates each part, so that different splits of the same bytes have different hashes.
 const PART_END: u8 = 0xff;
 
-/// Id of a voter, drawn when its records begin: one that lost its records is another voter, which has promised
-/// nothing.
+/// Random id of a voter. A voter that loses its records takes a new id, so that it can't
+/// contradict a vote of the former id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct VoterId(pub u64);
 
 impl VoterId {
-    /// No id has been drawn.
+    /// Placeholder for a voter without an id.
     pub(crate) const NONE: VoterId = VoterId(0);
 }
 
-/// The fencing token of an ownership: each owner of a duty has a higher one than all owners before it.
+/// Fencing token of an ownership. Increases with each grant of a duty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
 
-/// A voter and where it is reached.
+/// Identity and address of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterInfo {
-    /// Its id.
+    /// Id of the voter.
     pub id: VoterId,
-    /// Name of its member.
+    /// Name of the member.
     pub name: String,
-    /// Its address.
+    /// Address of the member.
     pub addr: SocketAddrV4,
 }
 
-/// Id of the voters that bootstrapped a table together: all of them compute the same one, and no others do.
+/// Id of a cluster, a hash of the names and ids of the voters that bootstrapped it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClusterId(pub u64);
 
 impl ClusterId {
-    /// The id of a cluster that these voters bootstrap.
+    /// Computes the id of the cluster that these voters bootstrap. Their order does not matter.
     pub fn of(voters: &[VoterInfo]) -> Self {
         let mut all: Vec<_> = voters.iter().map(|v| (v.name.as_str(), v.id.0.to_be_bytes())).collect();
         all.sort();
@@ -51,7 +51,7 @@
     }
 }
 
-/// 64 bits of FNV-1a: tells fleets and clusters apart; no protection against forgery.
+/// 64-bit FNV-1a hash. Distinguishes fleets and clusters; not cryptographic.
 pub(crate) fn hash(parts: &[&[u8]]) -> u64 {
     let mut hash = FNV_OFFSET;
     for part in parts {
--- a/crates/leases/src/identity/tests.rs
+++ b/crates/leases/src/identity/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn other_voters_bootstrap_another_cluster() {
+fn cluster_id_depends_on_the_voters_and_not_on_their_order() {
     let voter = |name: &str, id| VoterInfo {
         id: VoterId(id),
         name: name.to_string(),
--- a/crates/leases/src/leader.rs
+++ b/crates/leases/src/leader.rs
@@ -1,5 +1,6 @@
-//! What a voter keeps while it leads: leases, and requests that wait for a majority. None of it is replicated;
-//! the next leader waits a whole lease instead.
+//! Volatile state of the leader: lease expirations and requests that wait for a quorum. None of it is
+//! replicated. A new leader does not know the remaining time of a lease and waits a full lease duration
+//! before it grants the duty to another member.
 
 mod requests;
 mod voter_change;
@@ -14,79 +15,85 @@
 use voter_change::Replacement;
 pub(crate) use voter_change::VoterChange;
 
-/// Most requests that wait for a majority, of each kind. A further one is dropped; its sender repeats it.
+/// Maximum number of pending reads, and of pending commands. Further requests are dropped and retried by the
+/// sender.
 const MAX_PENDING: usize = 1_024;
-/// So many claims by the owner itself without a renewal show that the responses do not reach it.
+/// Maximum number of claims by the current owner without a renewal that are answered. More of them show
+/// that the responses do not reach the owner.
 const MAX_UNRENEWED_CLAIMS: u32 = 3;
-/// For so long a member that responses do not reach gets no duty, doubled the second time.
+/// Time for which a member that does not receive responses is granted no duty; doubled from the second time
+/// on.
 const UNREACHABLE_PENALTY: Span = Span::from_millis(4_000);
 const MAX_PENALTY_LEVEL: u32 = 2;
-/// Most members whose addresses are known, to be told that a duty changed.
+/// Maximum number of addresses that are kept to notify members of changes to duties.
 const MAX_KNOWN_CALLERS: usize = 256;
 
-/// Who sent a request, and where the response goes.
+/// Sender of a request, to which the response goes.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     addr: SocketAddrV4,
     name: String,
+    /// Number of the request, repeated in the response.
     number: u64,
-    since: Time,
+    received_at: Time,
 }
 
-/// A member that responses did not reach.
+/// Time during which a member that did not receive responses is granted no duty.
 struct Penalty {
     until: Time,
     level: u32,
 }
 
-/// A read that a majority has confirmed; it is answered once `index` is applied.
+/// A read for which a quorum has confirmed the leadership. It is answered once `index` is applied.
 struct ConfirmedRead {
     index: u64,
     caller: Caller,
     request: Request,
 }
 
-/// The state of a leader.
+/// State that a voter keeps for one term as leader.
 pub(crate) struct LeaderState {
-    /// The term it leads in.
+    /// Raft term of the leadership.
     pub term: u64,
-    since: Time,
-    /// By duty: until when the owner may hold itself for confirmed, at the latest.
-    leases: BTreeMap<String, Time>,
-    /// By duty: when its last owner released it.
-    released: BTreeMap<String, Time>,
-    /// Reads that wait for a majority to confirm that this voter leads (Raft, section 8).
+    elected_at: Time,
+    /// Latest possible expiration of the owner's lease, by duty.
+    lease_expirations: BTreeMap<String, Time>,
+    /// Time of the last release, by duty.
+    released_at: BTreeMap<String, Time>,
+    /// Reads for which a quorum has not confirmed the leadership yet (Raft, section 8).
     pending_reads: BTreeMap<u64, (Caller, Request)>,
     confirmed_reads: Vec<ConfirmedRead>,
     pending_commands: BTreeMap<u64, Caller>,
-    /// Duties with a grant in the log that is not applied yet. It will be, or this voter leads no more.
+    /// Duties with a proposed grant that is not applied yet. It is applied, or this voter loses its
+    /// leadership.
     pending_grants: BTreeSet<String>,
     replacement: Option<Replacement>,
-    /// By name: since when a voter has been heard that has another identity and no table.
-    rejoining: BTreeMap<String, Time>,
-    /// By duty: claims by the owner itself since it last renewed.
+    /// Time of the first hello from a voter that has a new identity and no table, by name. Updated when a
+    /// change of voters is proposed for it.
+    rejoining_since: BTreeMap<String, Time>,
+    /// Claims by the current owner since its last renewal, by duty.
     unrenewed_claims: BTreeMap<String, u32>,
-    /// By member.
+    /// Penalties by member.
     penalties: BTreeMap<String, Penalty>,
-    /// By duty and member: where its requests come from.
+    /// Source address of the requests, by duty and member.
     known_callers: BTreeMap<(String, String), SocketAddrV4>,
     last_key: u64,
 }
 
 impl LeaderState {
-    /// A leader that has just been elected.
+    /// Creates the state of a newly elected leader.
     pub fn new(now: Time, term: u64) -> Self {
         LeaderState {
             term,
-            since: now,
-            leases: BTreeMap::new(),
-            released: BTreeMap::new(),
+            elected_at: now,
+            lease_expirations: BTreeMap::new(),
+            released_at: BTreeMap::new(),
             pending_reads: BTreeMap::new(),
             confirmed_reads: Vec::new(),
             pending_commands: BTreeMap::new(),
             pending_grants: BTreeSet::new(),
             replacement: None,
-            rejoining: BTreeMap::new(),
+            rejoining_since: BTreeMap::new(),
             unrenewed_claims: BTreeMap::new(),
             penalties: BTreeMap::new(),
             known_callers: BTreeMap::new(),
@@ -99,25 +106,27 @@
         self.last_key
     }
 
-    /// Whether this member may have the duty now. `lease_time`: how long a lease lasts.
+    /// Returns `true` if the duty may be granted to the member `name` now. `lease_time` is the lease
+    /// duration.
     fn may_grant(&self, now: Time, lease_time: Span, lease: Option<&Lease>, duty: &str, name: &str) -> bool {
         if self.penalties.get(name).is_some_and(|penalty| now < penalty.until) {
             return false;
         }
         let Some(lease) = lease else { return true };
         match &lease.owner {
-            // Another start of the owner's process: the one before is gone.
+            // Another incarnation of the owner: the previous process has ended.
             Some(owner) if owner.name == name => true,
             Some(_) => {
-                let expires_at = self.leases.get(duty).copied().unwrap_or(self.since + lease_time);
+                let expires_at =
+                    self.lease_expirations.get(duty).copied().unwrap_or(self.elected_at + lease_time);
                 now >= expires_at
             }
             None => {
-                // A member that the duty is reserved for has a lease's time to claim it, and the one that was
-                // deposed waits as long.
-                let released_at = self.released.get(duty).copied().unwrap_or(self.since);
+                // For a lease duration after the release, only the target of a hand-over may claim a
+                // reserved duty, and a deposed member may not claim it.
+                let released_at = self.released_at.get(duty).copied().unwrap_or(self.elected_at);
                 let is_preferred = lease.reserved_for.as_ref().is_none_or(|reserved| reserved == name);
-                let is_deposed = lease.deposed.as_deref() == Some(name);
+                let is_deposed = lease.deposed_member.as_deref() == Some(name);
                 is_preferred && !is_deposed || now >= released_at + lease_time
             }
         }
@@ -130,9 +139,10 @@
         }
     }
 
-    /// The owner claims its duty again. Returns whether to respond: not where it has done so too often, since
-    /// responses do not reach it; then it is passed over for some time, and its lease runs out.
-    fn note_claim_by_owner(&mut self, now: Time, duty: &str, name: &str) -> bool {
+    /// Counts a claim by the current owner. Returns `false` if the owner has claimed too often without a
+    /// renewal: the leader then does not respond, so that the lease expires, and grants the member no duty
+    /// for some time.
+    fn count_claim_by_owner(&mut self, now: Time, duty: &str, name: &str) -> bool {
         let claims = self.unrenewed_claims.entry(duty.to_string()).or_default();
         *claims += 1;
         if *claims <= MAX_UNRENEWED_CLAIMS {
--- a/crates/leases/src/leader/requests.rs
+++ b/crates/leases/src/leader/requests.rs
@@ -1,4 +1,5 @@
-//! Requests to the leader: claims and renewals, what owners store, operators' commands, and reads.
+//! Requests that the leader handles: claims, renewals and releases of duties, stores of state, commands of
+//! operators, and reads of the table.
 
 use std::net::SocketAddrV4;
 
@@ -12,26 +13,26 @@
 use crate::table::{Command, Lease, Outcome, Owner};
 use crate::voter::Voter;
 
-/// After so long a read that no majority confirmed is dropped.
+/// Time after which a read that no quorum has confirmed is dropped.
 const READ_TIMEOUT: Span = Span::from_millis(3_000);
-/// After so long nobody waits for a command any more.
+/// Time after which the caller of a pending command is removed and gets no response.
 const COMMAND_TIMEOUT: Span = Span::from_millis(10_000);
-/// So many members are told when a duty is released.
-const NOTIFIED_MEMBERS: usize = 3;
+/// Maximum number of members that are notified when a duty is released.
+const MAX_NOTIFIED_MEMBERS: usize = 3;
 
-/// Who owns the duty instead of the caller, if anybody does.
+/// Response to a caller that does not own the duty, with its owner and epoch.
 fn denied(lease: Option<&Lease>) -> Response {
     let owner = lease.and_then(|lease| lease.owner.as_ref()).map(|owner| owner.name.clone());
     Response::Denied { epoch: lease.map_or(Epoch(0), |lease| lease.epoch), owner }
 }
 
-/// The result of an operator's command.
+/// Response to an operator's command, rejected for the given reason or done.
 fn admin_response(rejection: Option<&str>) -> Response {
     rejection.map_or(Response::Done, |reason| Response::Refused { reason: reason.to_string() })
 }
 
 impl Voter {
-    /// Handles a request while this voter leads.
+    /// Handles a request of a member. Does nothing if this voter is not the leader.
     pub(crate) fn handle_request(
         &mut self,
         now: Time,
@@ -41,17 +42,17 @@
         request: &Request,
     ) {
         let (Some(node), Some(leader)) = (self.node.as_ref(), self.leader.as_mut()) else { return };
-        // Before an entry of its own term is applied, a leader does not know what earlier leaders have committed
-        // (Raft, section 8).
+        // Until a leader has applied an entry of its own term, it does not know which entries of earlier
+        // terms are committed (Raft, section 8).
         let applied_term = node.raft.raft.raft_log.term(node.applied).unwrap_or(0);
         if applied_term != leader.term {
-            let reason = "it has only begun to lead".to_string();
+            let reason = "the new leader has not applied an entry of its term yet".to_string();
             return self.respond(addr, number, Response::Unavailable { reason });
         }
         if let Request::Claim { duty, .. } | Request::Renew { duty, .. } = request {
             leader.remember_caller(duty, name, addr);
         }
-        let caller = Caller { addr, name: name.to_string(), number, since: now };
+        let caller = Caller { addr, name: name.to_string(), number, received_at: now };
         match request {
             Request::Claim { duty, incarnation, highest_epoch } => {
                 let to = Owner { name: name.to_string(), incarnation: *incarnation };
@@ -69,7 +70,7 @@
                 self.propose(now, caller, &Command::Store { duty, epoch, state });
             }
             Request::Admin { id, command } => self.handle_admin_command(now, caller, *id, command),
-            Request::ReadTable => self.confirm_leadership(now, caller, request),
+            Request::ReadTable => self.answer_after_quorum_read(now, caller, request),
         }
     }
 
@@ -85,8 +86,8 @@
         let (Some(node), Some(leader)) = (self.node.as_ref(), self.leader.as_mut()) else { return };
         let lease = node.table.duties.get(duty);
         if lease.is_some_and(|lease| lease.is_held_by(&to.name, to.incarnation)) {
-            if leader.note_claim_by_owner(now, duty, &to.name) {
-                self.confirm_leadership(now, caller, request);
+            if leader.count_claim_by_owner(now, duty, &to.name) {
+                self.answer_after_quorum_read(now, caller, request);
             }
             return;
         }
@@ -117,7 +118,7 @@
     ) {
         let (Some(node), Some(leader)) = (self.node.as_ref(), self.leader.as_mut()) else { return };
         let lease = node.table.duties.get(duty);
-        // An owner that is to hand the duty over is denied, and releases it at once.
+        // During a hand-over the renewal is denied, on which the owner releases the duty at once.
         let may_renew = |lease: &Lease| {
             lease.epoch == epoch
                 && lease.is_held_by(&caller.name, incarnation)
@@ -126,7 +127,7 @@
         if lease.is_some_and(may_renew) {
             leader.unrenewed_claims.remove(duty);
             leader.penalties.remove(&caller.name);
-            self.confirm_leadership(now, caller, request);
+            self.answer_after_quorum_read(now, caller, request);
         } else {
             let response = denied(lease);
             self.respond(caller.addr, caller.number, response);
@@ -150,11 +151,11 @@
         }
     }
 
-    /// Answers the request once a majority has confirmed that this voter leads: the response was true at some
-    /// time after the request was sent (Raft, section 8).
-    fn confirm_leadership(&mut self, now: Time, caller: Caller, request: &Request) {
+    /// Answers the request once a quorum has confirmed that this voter is still the leader, so that the
+    /// response reflects the table at some time after the request was sent (Raft, section 8).
+    fn answer_after_quorum_read(&mut self, now: Time, caller: Caller, request: &Request) {
         let Some(leader) = self.leader.as_mut() else { return };
-        leader.pending_reads.retain(|_, (caller, _)| now - caller.since < READ_TIMEOUT);
+        leader.pending_reads.retain(|_, (caller, _)| now - caller.received_at < READ_TIMEOUT);
         if leader.pending_reads.len() >= MAX_PENDING {
             return;
         }
@@ -163,10 +164,11 @@
         self.with_raft(now, |node| node.raft.read_index(key.to_be_bytes().to_vec()));
     }
 
-    /// Proposes a command. One that `raft` does not accept now is dropped; its sender repeats the request.
+    /// Proposes a command for replication. A command that `raft` rejects is dropped; the sender retries the
+    /// request.
     fn propose(&mut self, now: Time, caller: Caller, command: &Command) {
         let Some(leader) = self.leader.as_mut() else { return };
-        leader.pending_commands.retain(|_, caller| now - caller.since < COMMAND_TIMEOUT);
+        leader.pending_commands.retain(|_, caller| now - caller.received_at < COMMAND_TIMEOUT);
         if leader.pending_commands.len() >= MAX_PENDING {
             return;
         }
@@ -186,7 +188,7 @@
         }
     }
 
-    /// A majority confirmed reads. Answers those whose index is applied.
+    /// Takes reads that a quorum has confirmed, and answers those whose index is applied.
     pub(crate) fn on_reads_confirmed(&mut self, now: Time, node: &mut RaftNode, reads: Vec<ReadState>) {
         let Some(leader) = self.leader.as_mut() else { return };
         for read in reads {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// The response to a confirmed read; `None`: none, the sender asks again.
+    /// Returns the response to a confirmed read, or `None` if it is not answered. The sender then retries.
     fn answer_read(
         &mut self,
         now: Time,
@@ -220,14 +222,14 @@
             return Some(self.table_response(node));
         };
         let leader = self.leader.as_mut()?;
-        // The duty is on its way to another owner: no promise that it is still this one's.
+        // A grant of the duty is pending, so the lease of the current owner must not be extended.
         if leader.pending_grants.contains(duty) {
             return None;
         }
         match node.table.duties.get(duty) {
             Some(lease) if lease.is_held_by(&caller.name, *incarnation) => {
-                // The lease counts from now, which is later than from when the owner counts it.
-                leader.leases.insert(duty.clone(), now + self.times.lease);
+                // The owner counts its lease from when it sent the request, so it expires there first.
+                leader.lease_expirations.insert(duty.clone(), now + self.times.lease);
                 Some(Response::Granted { epoch: lease.epoch, state: lease.state.clone() })
             }
             lease => Some(denied(lease)),
@@ -242,7 +244,8 @@
         }
     }
 
-    /// A command is applied. Tells members that wait for the duty, then the sender.
+    /// Called when a command has been applied. Notifies members of a changed duty and responds to the
+    /// caller.
     pub(crate) fn on_command_applied(
         &mut self,
         now: Time,
@@ -257,11 +260,11 @@
         }
         match outcome {
             Outcome::Granted { duty, .. } => {
-                leader.leases.insert(duty.clone(), now + self.times.lease);
+                leader.lease_expirations.insert(duty.clone(), now + self.times.lease);
                 leader.unrenewed_claims.remove(duty);
             }
             Outcome::Released { duty, .. } => {
-                leader.released.insert(duty.clone(), now);
+                leader.released_at.insert(duty.clone(), now);
             }
             Outcome::Updated | Outcome::Rejected(_) => {}
         }
@@ -279,8 +282,8 @@
 }
 
 impl LeaderState {
-    /// Who is told that a duty changed: members that may claim a released one, and an owner that is to hand its
-    /// duty over.
+    /// Returns the members to notify of a changed duty: those that may claim a released duty, or the owner
+    /// that has to hand it over.
     fn members_to_notify(
         &self,
         node: &RaftNode,
@@ -294,7 +297,7 @@
                 of == duty && *name != from.name && reserved_for.is_none_or(|reserved| reserved == name)
             };
             let addrs = self.known_callers.iter().filter(|(key, _)| may_claim(key)).map(|(_, addr)| *addr);
-            notified.extend(addrs.take(NOTIFIED_MEMBERS).map(|addr| (addr, duty.clone())));
+            notified.extend(addrs.take(MAX_NOTIFIED_MEMBERS).map(|addr| (addr, duty.clone())));
         }
         if let Command::HandOver { duty, .. } = command {
             let owner = node.table.duties.get(duty).and_then(|lease| lease.owner.as_ref());
@@ -314,9 +317,9 @@
             Response::Granted { epoch: *epoch, state }
         }
         (Command::Grant { duty, .. }, _) => denied(node.table.duties.get(duty)),
-        // Rejected where the same request released it before.
+        // Rejected if the duty is already released, for example by the same request.
         (Command::Release { .. }, _) => Response::Done,
-        // Rejected where a command of this id took effect before: the table has that one's result.
+        // A repeated command is rejected; the table has the result of the first one.
         (Command::HandOver { id, .. } | Command::Depose { id, .. }, _) => {
             admin_response(node.table.admin_result(*id).flatten())
         }
--- a/crates/leases/src/leader/voter_change.rs
+++ b/crates/leases/src/leader/voter_change.rs
@@ -1,4 +1,5 @@
-//! Replacing a voter: on an operator's command, or where a voter lost its records and bears another identity.
+//! Replacement of a voter: by an operator's command, or when a voter returns with a new identity after it
+//! lost its records.
 
 use std::net::SocketAddrV4;
 
@@ -12,24 +13,24 @@
 use crate::message::{Message, Response};
 use crate::voter::Voter;
 
-/// After so long a voter that lost its records is taken in again, and a change that did not come through is
-/// proposed again.
+/// Time before a voter with a new identity replaces its former one, and before a change of voters that did
+/// not take effect is proposed again.
 const REJOIN_DELAY: Span = Span::from_millis(1_000);
-/// How often a member that is to become a voter is invited.
+/// Interval between invitations to a member that is to become a voter.
 const INVITE_INTERVAL: Span = Span::from_millis(250);
-/// After so long without the operator asking again, a replacement is given up.
+/// Time without a repetition of the operator's command after which a replacement is cancelled.
 const REPLACEMENT_TIMEOUT: Span = Span::from_millis(10_000);
 
-/// A change of voters, as it lies in the log.
+/// A change of voters, stored as context of the configuration change in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VoterChange {
-    /// Of the operator's command, or of the identity that joins.
+    /// Id of the operator's command, or a hash of the new voter's id.
     pub id: u64,
     pub old: VoterId,
     pub new: VoterInfo,
 }
 
-/// An operator's replacement that is under way.
+/// A replacement that an operator has requested and that is not finished.
 pub(super) struct Replacement {
     id: u64,
     old: VoterInfo,
@@ -41,7 +42,7 @@
 }
 
 impl Voter {
-    /// An operator replaces a voter by another member, which is invited until it says hello.
+    /// Starts the replacement of a voter by another member, which is invited until it sends a hello.
     pub(super) fn replace_voter(
         &mut self,
         now: Time,
@@ -60,7 +61,8 @@
             return self.refuse(&caller, format!("{new} is a voter already"));
         }
         if old_voter.id == self.info.id {
-            // This voter would go on leading after it is replaced: another one leads first, and is asked again.
+            // This voter is the leader and must not remove itself. It transfers the leadership; the retry
+            // of the request reaches the new leader.
             let successor = node
                 .table
                 .voters
@@ -74,7 +76,8 @@
         }
         match leader.replacement.as_mut() {
             Some(other) if other.id != id => {
-                let reason = format!("{} is being replaced: one at a time", other.old.name);
+                let reason =
+                    format!("{} is being replaced; only one voter can be replaced at a time", other.old.name);
                 return self.refuse(&caller, reason);
             }
             Some(same) => same.caller = Some(caller),
@@ -97,14 +100,14 @@
         self.respond(caller.addr, caller.number, Response::Refused { reason });
     }
 
-    /// A member with an identity and no table said hello: it is to become a voter, or was one and lost its
-    /// records.
+    /// Handles a hello from a member without a table. If it is the target of a replacement, or has the name
+    /// of a voter but a new identity, the change of voters is proposed.
     pub(crate) fn handle_voter_without_table(&mut self, now: Time, sender: VoterInfo) {
         let (Some(node), Some(leader)) = (self.node.as_ref(), self.leader.as_mut()) else { return };
-        let is_awaited = |replacement: &&mut Replacement| {
+        let is_target = |replacement: &&mut Replacement| {
             replacement.new == sender.name && replacement.old.id != sender.id
         };
-        if let Some(replacement) = leader.replacement.as_mut().filter(is_awaited) {
+        if let Some(replacement) = leader.replacement.as_mut().filter(is_target) {
             if replacement.proposed_at.is_none_or(|at| now - at >= REJOIN_DELAY) {
                 replacement.proposed_at = Some(now);
                 let change = VoterChange { id: replacement.id, old: replacement.old.id, new: sender };
@@ -116,19 +119,19 @@
         if old.id == sender.id {
             return;
         }
-        // Only once the former identity was silent for some time: two processes may bear one name for a moment.
+        // Two processes can have the same name for a moment, so wait until the former identity is inactive.
         let (old, is_active) = (old.id, node.is_recently_active(old.id));
-        let since = *leader.rejoining.entry(sender.name.clone()).or_insert(now);
+        let since = *leader.rejoining_since.entry(sender.name.clone()).or_insert(now);
         if is_active || now - since < REJOIN_DELAY {
             return;
         }
-        leader.rejoining.insert(sender.name.clone(), now);
+        leader.rejoining_since.insert(sender.name.clone(), now);
         let id = hash(&[b"taken in", &sender.id.0.to_be_bytes()]);
         self.propose_voter_change(now, &VoterChange { id, old, new: sender });
     }
 
-    /// Removes the old voter and adds the new one at once, by joint consensus (Raft, section 6): at no time is
-    /// there a majority that shares no voter with another one.
+    /// Proposes to remove the old voter and add the new one in one step, by joint consensus (Raft, section
+    /// 6), so that any two quorums overlap at all times.
     fn propose_voter_change(&mut self, now: Time, change: &VoterChange) {
         let mut conf_change = ConfChangeV2::default();
         let steps = [(ConfChangeType::RemoveNode, change.old.0), (ConfChangeType::AddNode, change.new.id.0)];
@@ -143,12 +146,12 @@
         let (id, addr) = (change.new.id.0, change.new.addr);
         self.with_raft(now, |node| {
             node.learn_address(id, addr);
-            // Refused while another change is under way; it is proposed again.
+            // Rejected while another change is in progress; it is proposed again later.
             let _ = node.raft.propose_conf_change(Vec::new(), conf_change);
         });
     }
 
-    /// A change of voters is applied.
+    /// Called when a change of voters has been applied. Responds to the operator that requested it.
     pub(crate) fn on_voter_replaced(&mut self, id: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         if let Some(replacement) = leader.replacement.take_if(|replacement| replacement.id == id)
@@ -158,11 +161,12 @@
         }
     }
 
-    /// Invites a member that is to become a voter, while an operator waits for it.
+    /// Repeats the invitation of a replacement, and cancels a replacement that no operator waits for any
+    /// more.
     pub(crate) fn tick_leader(&mut self, now: Time) {
         let Some(leader) = self.leader.as_mut() else { return };
         let is_waited_for = |replacement: &Replacement| {
-            replacement.caller.as_ref().is_some_and(|caller| now - caller.since < REPLACEMENT_TIMEOUT)
+            replacement.caller.as_ref().is_some_and(|caller| now - caller.received_at < REPLACEMENT_TIMEOUT)
         };
         leader.replacement.take_if(|replacement| !is_waited_for(replacement));
         let is_due = |replacement: &&mut Replacement| now - replacement.invited_at >= INVITE_INTERVAL;
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,29 +1,31 @@
-//! One owner at a time of each singleton duty: election, leases and fencing epochs. No I/O, clock or thread.
+//! Ownership of singleton duties by lease, with fencing epochs.
 //!
-//! A few voters replicate a small table by Raft (the `raft` library): duty, owner, epoch. [`Voter`] is one of
-//! them; [`LeaseHolder`] is the side of a member that claims duties and asks the voters. Both are told the time
-//! and what was received, and hand out [`Action`]s: what to send, to write and to log. `crates/cluster` runs them
-//! on sockets, `crates/emulator` on a virtual clock.
+//! A small group of voters replicates a table of duties, owners and epochs with the `raft` library.
+//! [`Voter`] is a member of this group. [`LeaseHolder`] is the client in each member, which claims duties
+//! and renews their leases. Both are state machines without I/O, clocks or threads: the caller passes in
+//! the time and received messages, and carries out the [`Action`]s that they return. `crates/cluster` runs
+//! them on sockets, `crates/emulator` on a virtual clock.
 //!
-//! Safety comes from epochs: each owner has a higher one than all before it, and whoever takes an effect refuses
-//! a lower one than it saw (a fencing token). Leases only spare wasted work: nothing is safe because of them
-//! alone. docs/design/ownership.md names each assumption.
+//! The epoch is a fencing token: it increases with each grant, and the receiver of an effect refuses epochs
+//! lower than the highest one that it has seen. Safety depends on epochs only; leases avoid useless work of
+//! former owners. docs/design/ownership.md lists the assumptions.
 //!
 //! | file | content |
 //! | --- | --- |
-//! | `message.rs`, `envelope.rs` | what is sent, and the datagram's layout |
+//! | `message.rs`, `envelope.rs` | messages and the layout of datagrams |
 //! | `identity.rs` | ids of voters and clusters, epochs |
-//! | `table.rs` | the replicated table, and the one function that changes it |
-//! | `record.rs` | what a voter has on disk |
-//! | `raft_log.rs` | the log as `raft` reads it |
-//! | `raft_node.rs` | `raft` with the applied table and a repeatable election timeout |
-//! | `voter.rs` | a voter's phases and disk |
-//! | `voter/joining.rs` | identity, bootstrap, and joining voters that have a table |
-//! | `voter/ready.rs` | what `raft` hands out: to persist, to send, to apply |
-//! | `leader.rs` | what a leader keeps in memory: leases and pending requests |
+//! | `table.rs` | the replicated table and its commands |
+//! | `record.rs` | records of a voter on disk |
+//! | `raft_log.rs` | in-memory log for `raft` |
+//! | `raft_node.rs` | `raft` node with the applied table and a deterministic election time-out |
+//! | `voter.rs` | phases and disk writes of a voter |
+//! | `voter/joining.rs` | start-up: identity, bootstrap, and joining a cluster |
+//! | `voter/ready.rs` | output of `raft`: records to persist, messages to send, entries to apply |
+//! | `leader.rs` | volatile state of the leader: leases and pending requests |
 //! | `leader/requests.rs` | claims, renewals and operators' commands |
-//! | `leader/voter_change.rs` | replacing a voter |
-//! | `holder.rs` | a member that claims duties |
+//! | `leader/voter_change.rs` | replacement of a voter |
+//! | `holder.rs` | lease holder of a member |
+//! | `phase.rs`, `event.rs` | phases of a voter, actions and events |
 #![forbid(unsafe_code)]
 
 mod envelope;
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -1,6 +1,7 @@
-//! Messages among voters, and between voters and the members that claim duties.
+//! Messages between voters, and between voters and lease holders.
 //!
-//! They are encoded by postcard: the order of variants and fields is the wire format, their names are not.
+//! They are encoded with postcard: the order of variants and fields is part of the wire format, names are
+//! not.
 
 use std::net::SocketAddrV4;
 
@@ -9,182 +10,182 @@
 use crate::identity::{ClusterId, Epoch, VoterInfo};
 use crate::table::Lease;
 
-/// Longest name of a member or duty, in bytes.
+/// Maximum length of the name of a member or duty, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
-/// Longest state stored with a duty, in bytes.
+/// Maximum length of the state stored with a duty, in bytes.
 pub const MAX_STATE_BYTES: usize = 512;
 
-/// What a member asks of a voter.
+/// Request of a member to the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// The sender wants to own a duty.
+    /// Claims a duty.
     Claim {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// Drawn at each start of the process.
+        /// Incarnation of the sender; changes with each start of its process.
         incarnation: u64,
-        /// The highest epoch known to the sender: no epoch is given twice, even where all voters lost their
-        /// records.
+        /// Highest epoch of the duty known to the sender, so that no epoch is granted twice even if all
+        /// voters lose their records.
         highest_epoch: Epoch,
     },
-    /// The sender owns the duty in this epoch and wants that confirmed.
+    /// Renews the lease of a duty that the sender owns.
     Renew {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// Drawn at each start of the process.
+        /// Incarnation of the sender; changes with each start of its process.
         incarnation: u64,
-        /// The sender's epoch.
+        /// Epoch in which the sender owns the duty.
         epoch: Epoch,
     },
-    /// The sender owns the duty in this epoch and gives it up.
+    /// Releases a duty that the sender owns.
     Release {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// The sender's epoch.
+        /// Epoch in which the sender owns the duty.
         epoch: Epoch,
     },
-    /// Stores a state with the duty.
+    /// Stores state with a duty that the sender owns.
     Store {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// The sender's epoch.
+        /// Epoch in which the sender owns the duty.
         epoch: Epoch,
-        /// At most [`MAX_STATE_BYTES`].
+        /// State, at most [`MAX_STATE_BYTES`].
         state: Vec<u8>,
     },
-    /// An operator's command; it takes effect once for each id.
+    /// Operator's command; takes effect once per id.
     Admin {
-        /// Chosen by the operator.
+        /// Idempotency key, chosen by the operator.
         id: u64,
-        /// The command.
+        /// Command to carry out.
         command: AdminCommand,
     },
-    /// The whole table and the voters, as confirmed by a majority.
+    /// Reads the leases of all duties and the voters, confirmed by a quorum.
     ReadTable,
 }
 
-/// An operator's command.
+/// Operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminCommand {
-    /// The owner gives the duty up to another member.
+    /// Hands a duty over from its owner to another member.
     HandOver {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
-        /// The member that is to have it.
+        /// Name of the member that becomes the owner.
         to: String,
     },
-    /// The duty is taken from its owner, whether that can be reached or not.
+    /// Takes a duty from its owner, even if the owner is unreachable.
     Depose {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
     },
-    /// Another member becomes a voter in the place of one.
+    /// Replaces a voter by another member.
     ReplaceVoter {
-        /// The voter that goes.
+        /// Name of the voter to remove.
         old: String,
-        /// The member that takes its place.
+        /// Name of the member that becomes a voter.
         new: String,
-        /// Where that member is.
+        /// Address of that member.
         addr: SocketAddrV4,
     },
 }
 
-/// A voter's response.
+/// Response of a voter to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The sender owns the duty, and did when it asked.
+    /// The requester owns the duty, at some time after it sent the request.
     Granted {
-        /// Its epoch.
+        /// Epoch of the ownership.
         epoch: Epoch,
-        /// What is stored with the duty.
+        /// State stored with the duty.
         state: Vec<u8>,
     },
-    /// The sender does not own the duty.
+    /// The requester does not own the duty.
     Denied {
-        /// Of the owner, or of the last one.
+        /// Epoch of the owner, or of the last one if there is none.
         epoch: Epoch,
-        /// The owner; `None`: nobody yet.
+        /// Name of the owner; `None` if the duty has none.
         owner: Option<String>,
     },
-    /// The request has taken effect, now or when it came first.
+    /// The request has taken effect, now or by an earlier copy of it.
     Done,
-    /// The request can't take effect.
+    /// The request is rejected.
     Refused {
-        /// Why, for people.
+        /// Human-readable reason.
         reason: String,
     },
-    /// The table as a majority had it after the request was sent.
+    /// The table, as confirmed by a quorum after the request was sent.
     Table {
-        /// By duty.
+        /// Duties and their leases.
         duties: Vec<(String, Lease)>,
         /// All voters.
         voters: Vec<VoterInfo>,
-        /// The voter that leads.
+        /// Name of the leader.
         leader: String,
     },
-    /// This voter does not lead.
+    /// This voter is not the leader.
     NotLeader {
-        /// Where the leader is, as far as this voter knows.
+        /// Address of the leader, if known.
         leader: Option<SocketAddrV4>,
         /// All voters.
         voters: Vec<VoterInfo>,
     },
-    /// This voter can't tell now.
+    /// This voter can't answer now.
     Unavailable {
-        /// Why, for people.
+        /// Human-readable reason.
         reason: String,
     },
 }
 
-/// Whether a voter has a replicated table.
+/// State of a voter's replicated table, as sent in a hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordStatus {
-    /// It has an identity and no table.
+    /// The voter has an identity and no table.
     Empty,
-    /// It bootstrapped this cluster's table or joined it.
+    /// The voter bootstrapped or joined this cluster.
     Member(ClusterId),
 }
 
-/// One datagram.
+/// Message in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between voters: a message of `raft`.
+    /// Raft message between voters.
     Raft {
-        /// The sender's cluster.
+        /// Cluster of the sender.
         cluster_id: ClusterId,
-        /// Encoded by `raft`.
+        /// `raft` message, encoded with protobuf.
         body: Vec<u8>,
     },
-    /// Between voters: who the sender is.
+    /// Identity of a voter, sent to other voters.
     Hello {
-        /// The sender.
+        /// Identity and address of the sender.
         sender: VoterInfo,
-        /// Whether it has a table.
+        /// State of the sender's table.
         status: RecordStatus,
-        /// The receiver is to answer with a hello of its own.
+        /// `true` if the receiver has to answer with its own hello.
         wants_reply: bool,
     },
-    /// To a member that is to become a voter.
+    /// Invitation of the leader to a member that is to become a voter.
     Invite,
-    /// From a member.
+    /// Request of a member to a voter.
     Request {
-        /// The member's name.
+        /// Name of the member.
         from: String,
-        /// Drawn by the sender; the response bears it.
+        /// Chosen by the sender; repeated in the response.
         number: u64,
-        /// The request.
+        /// Content of the request.
         request: Request,
     },
-    /// To a member: the duty changed, claim or renew it now.
+    /// Notifies a member that it should claim or renew a duty now.
     DutyChanged {
-        /// The duty.
+        /// Name of the duty.
         duty: String,
     },
-    /// To a member.
+    /// Response of a voter to a member.
     Response {
-        /// Of the request.
+        /// Number of the request.
         number: u64,
-        /// The response.
+        /// Content of the response.
         response: Response,
     },
 }
--- a/crates/leases/src/phase.rs
+++ b/crates/leases/src/phase.rs
@@ -1,36 +1,37 @@
-//! A voter's phases.
+//! Lifecycle of a voter.
 
 use serde::{Deserialize, Serialize};
 
-/// A voter's phase.
+/// Phase in the lifecycle of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Not a voter.
+    /// The member is not a voter.
     #[serde(rename = "idle")]
     NotVoter,
-    /// Its new identity is being written; nobody is told of it yet.
+    /// The record of a new identity is being written. The identity is not sent to others yet.
     #[serde(rename = "drawing")]
     NewIdentity,
-    /// It has an identity and no table: it bootstraps one with the others, or joins theirs.
+    /// The voter has an identity and no table. It bootstraps a table with the initial voters or joins
+    /// voters that have one.
     #[serde(rename = "blank")]
     NoTable,
-    /// It joined, and has received nothing of the table yet.
+    /// The voter has joined a cluster and has not received its table yet.
     CatchingUp,
-    /// It votes.
+    /// The voter has a table and takes part in Raft.
     Voting,
-    /// Its disk fails, or its records can't be trusted: it takes no part.
+    /// The voter does not take part, since a write or `raft` failed. It restarts from its records.
     #[serde(rename = "aside")]
     Suspended,
 }
 
 impl Phase {
-    /// Whether `raft` runs.
+    /// Returns `true` if `raft` runs in this phase.
     pub(crate) fn runs_raft(self) -> bool {
         matches!(self, Phase::CatchingUp | Phase::Voting)
     }
 
-    /// Whether this phase may come directly after `from`.
+    /// Returns `true` if the transition from `from` to this phase is allowed.
     pub(crate) fn may_follow(self, from: Phase) -> bool {
         match self {
             Phase::NotVoter => false,
--- a/crates/leases/src/raft_log.rs
+++ b/crates/leases/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The log as `raft` reads it: hard state, a snapshot, and the entries after it, all in memory.
+//! In-memory Raft log: hard state, a snapshot, and the entries after it. Implements [`Storage`] for `raft`.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -6,10 +6,10 @@
 use crate::identity::VoterInfo;
 use crate::table::LeaseTable;
 
-/// Term and index of the first snapshot, the same for all voters that bootstrap together.
+/// Term and index of the snapshot with which all voters of a cluster bootstrap.
 const BOOTSTRAP_INDEX: u64 = 1;
 
-/// The log.
+/// Raft log of a voter.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RaftLog {
     pub hard_state: HardState,
@@ -18,7 +18,7 @@
 }
 
 impl RaftLog {
-    /// The log of voters that bootstrap together: a snapshot of the empty table.
+    /// Creates the log of voters that bootstrap a cluster: a snapshot of the initial table.
     pub fn bootstrap(voters: &[VoterInfo]) -> Self {
         let mut log = RaftLog::default();
         let metadata = log.snapshot.mut_metadata();
@@ -36,12 +36,13 @@
         self.snapshot.get_metadata().index + 1
     }
 
-    /// Index of the last entry, or of the snapshot where there is none.
+    /// Returns the index of the last entry, or of the snapshot if there are no entries.
     pub fn last_entry_index(&self) -> u64 {
         self.first_entry_index() + self.entries.len() as u64 - 1
     }
 
-    /// Puts an entry in its place; what lay there and after it is dropped.
+    /// Inserts an entry at its index and drops all entries from there on. An entry that the snapshot
+    /// covers, or that would leave a gap, is ignored.
     pub fn append(&mut self, entry: Entry) {
         let first = self.first_entry_index();
         if entry.index < first || entry.index > self.last_entry_index() + 1 {
@@ -51,7 +52,8 @@
         self.entries.push(entry);
     }
 
-    /// Replaces what the snapshot covers. Entries after it stay where they are of the same log.
+    /// Replaces all entries that the snapshot covers. Entries after it are kept if the snapshot's term
+    /// matches the log, and dropped otherwise. A snapshot older than the current one is ignored.
     pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
         let first = self.first_entry_index();
@@ -79,7 +81,7 @@
         self.entries.get(offset as usize).map(|entry| entry.term)
     }
 
-    /// The table in the snapshot.
+    /// Decodes the table in the snapshot.
     pub fn table(&self) -> LeaseTable {
         postcard::from_bytes(&self.snapshot.data).unwrap_or_default()
     }
--- a/crates/leases/src/raft_node.rs
+++ b/crates/leases/src/raft_node.rs
@@ -1,4 +1,4 @@
-//! `raft` with the table it has applied, the addresses of voters, and a repeatable election timeout.
+//! A `raft` node with its applied table, the addresses of voters, and a deterministic election time-out.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -11,20 +11,20 @@
 use crate::table::LeaseTable;
 use crate::times::Times;
 
-/// Most voters whose addresses are known beyond those of the table.
+/// Maximum number of stored addresses; only that of a proposed new voter is added beyond it.
 const MAX_ADDRESSES: usize = 64;
 const MAX_MESSAGE_BYTES: u64 = 600;
 const MAX_INFLIGHT_MESSAGES: usize = 32;
 const MAX_UNCOMMITTED_BYTES: u64 = 64 << 10;
-/// Above every timeout that [`RaftNode::set_election_timeout`] draws.
+/// Upper bound for `raft`, above every time-out set by [`RaftNode::set_election_timeout`].
 const MAX_ELECTION_TICKS: usize = 1 << 20;
-/// The most that a slow disk adds to an election timeout, in ticks.
+/// Maximum extension of the election time-out for a slow disk, in ticks.
 const MAX_DISK_TICKS: u64 = 10_000;
 
-/// What an election timeout was drawn for: role, term, and how often this voter started an election.
+/// Role, term and number of started elections for which an election time-out was chosen.
 type TimeoutKey = (StateRole, u64, u32);
 
-/// `raft` while the voter takes part.
+/// `raft` and the state derived from its log, while the voter takes part.
 pub(crate) struct RaftNode {
     pub raft: RawNode<RaftLog>,
     pub table: LeaseTable,
@@ -32,16 +32,18 @@
     pub applied: u64,
     addrs: BTreeMap<u64, SocketAddrV4>,
     timeout_key: TimeoutKey,
-    /// In ticks.
+    /// Election time-out in ticks.
     election_timeout: usize,
     elections_started: u32,
+    /// Role at the last check by the voter.
     pub was_leader: bool,
-    /// The voters changed since the last snapshot: `raft` lets no voter join by an older one.
+    /// `true` if the voters changed since the last snapshot. A joining voter needs a snapshot that contains
+    /// it.
     pub voters_changed: bool,
 }
 
 impl RaftNode {
-    /// `None` where the log is inconsistent.
+    /// Creates a node from a log. Returns `None` if the log is inconsistent.
     pub fn new(id: VoterId, log: RaftLog, times: &Times) -> Option<Self> {
         let applied = log.snapshot.get_metadata().index;
         let table = log.table();
@@ -59,7 +61,7 @@
             max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             ..Config::default()
         };
-        // `raft` panics on some logs that it can't go on from.
+        // `raft` panics on some inconsistent logs.
         let created = catch_unwind(AssertUnwindSafe(|| RawNode::new(&config, log, &silent_logger())));
         let raft = created.ok()?.ok()?;
         let mut node = RaftNode {
@@ -85,13 +87,13 @@
         self.raft.raft.term
     }
 
-    /// The leader, as far as this voter knows.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<&VoterInfo> {
         self.table.voters.get(&VoterId(self.raft.raft.leader_id))
     }
 
-    /// One tick of Raft's clock. `was_stalled`: the process or its disk did not respond for some time, so that it
-    /// must hear whoever leads before it starts an election.
+    /// Advances Raft's clock by one tick. If the process or its disk was stalled, the election time-out
+    /// restarts, so that pending heartbeats are received before an election starts.
     pub fn tick(&mut self, was_stalled: bool) {
         if was_stalled && !self.is_leader() {
             self.raft.raft.election_elapsed = 0;
@@ -102,24 +104,24 @@
         }
     }
 
-    /// Replaces the election timeout that `raft` drew from a global source by one that depends on the seed, the
-    /// term and the count of elections only, so that runs are repeatable. A slow disk lengthens it: a voter that
-    /// needs two seconds to write its own vote must not give the election up before. `disk_ticks`: how long the
-    /// disk takes.
+    /// Replaces the random election time-out of `raft` by one that depends only on the seed, the voter's
+    /// id, the term, the number of started elections and `disk_ticks`, so that runs are repeatable.
+    /// `disk_ticks` extends the time-out for a slow disk, so that an election does not time out before the
+    /// voter's own vote is on disk.
     pub fn set_election_timeout(&mut self, seed: u64, id: VoterId, times: &Times, disk_ticks: u64) {
         let key = (self.raft.raft.state, self.raft.raft.term, self.elections_started);
         if self.timeout_key != key {
             self.timeout_key = key;
             let parts = [seed, id.0, key.1, u64::from(key.2)].map(u64::to_be_bytes);
-            let drawn = hash(&parts.each_ref().map(|part| part.as_slice())) >> 11;
-            let spread = drawn % times.election_ticks as u64;
+            let random = hash(&parts.each_ref().map(|part| part.as_slice())) >> 11;
+            let spread = random % times.election_ticks as u64;
             let disk = disk_ticks.min(MAX_DISK_TICKS);
             self.election_timeout = times.election_ticks + spread as usize + disk as usize;
         }
         self.raft.raft.set_randomized_election_timeout(self.election_timeout);
     }
 
-    /// Tells `raft` what is applied; of a snapshot only once that is on disk.
+    /// Reports the applied index to `raft`, once the log up to it is persisted and committed.
     pub fn advance_apply(&mut self) {
         let log = &self.raft.raft.raft_log;
         if log.applied < self.applied && self.applied <= log.persisted.min(log.committed) {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Learns the addresses of the table's voters.
+    /// Stores the addresses of all voters in the table.
     pub fn learn_addresses(&mut self) {
         for voter in self.table.voters.values() {
             if self.addrs.len() < MAX_ADDRESSES || self.addrs.contains_key(&voter.id.0) {
@@ -136,12 +138,12 @@
         }
     }
 
-    /// Learns where a voter is that the table does not have yet.
+    /// Stores the address of a voter that is not in the table yet.
     pub fn learn_address(&mut self, id: u64, addr: SocketAddrV4) {
         self.addrs.insert(id, addr);
     }
 
-    /// The same for the sender of a message, where there is room.
+    /// Stores the address of the sender of a message if it is not in the table and there is room.
     pub fn learn_sender(&mut self, id: u64, addr: SocketAddrV4) {
         if !self.table.voters.contains_key(&VoterId(id)) && self.addrs.len() < MAX_ADDRESSES {
             self.addrs.insert(id, addr);
@@ -149,11 +151,12 @@
     }
 
     pub fn address_of(&self, id: u64) -> Option<SocketAddrV4> {
-        let of_table = self.table.voters.get(&VoterId(id)).map(|voter| voter.addr);
-        of_table.or_else(|| self.addrs.get(&id).copied())
+        let table_addr = self.table.voters.get(&VoterId(id)).map(|voter| voter.addr);
+        table_addr.or_else(|| self.addrs.get(&id).copied())
     }
 
-    /// Whether the voter was heard lately; only a leader knows.
+    /// Returns `true` if the leader received a message from the voter recently. Meaningful on the leader
+    /// only.
     pub fn is_recently_active(&self, id: VoterId) -> bool {
         self.raft.raft.prs().get(id.0).is_some_and(|progress| progress.recent_active)
     }
--- a/crates/leases/src/record.rs
+++ b/crates/leases/src/record.rs
@@ -1,4 +1,4 @@
-//! What a voter has on disk: records, and the state they amount to.
+//! Records that a voter persists, and the state that replaying them yields.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -7,91 +7,91 @@
 use crate::identity::{ClusterId, VoterId, VoterInfo};
 use crate::raft_log::RaftLog;
 
-/// Why a voter's records can't be read.
+/// Error while reading a voter's records.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// A newer program wrote it.
-    #[error("a record of a kind this program does not know: {0}")]
+    /// The record can't be decoded, for example because a newer version wrote it.
+    #[error("unknown kind of record: {0}")]
     UnknownKind(#[from] postcard::Error),
-    /// It holds bytes that `raft` does not understand.
+    /// An entry, snapshot or hard state in the record can't be decoded.
     #[error(transparent)]
     Raft(#[from] protobuf::ProtobufError),
-    /// The number of the record that failed.
+    /// Position of the record that can't be read.
     #[error("record {number}: {source}")]
     At {
-        /// From 1 on.
+        /// Number of the record in the file, starting at 1.
         number: usize,
-        /// Why.
+        /// Cause of the error.
         source: Box<RecordError>,
     },
 }
 
-/// One record on disk. Encoded by postcard: the order of variants and fields is the format.
+/// A record on disk, encoded with postcard: the order of variants and fields is part of the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The voter's id. What was recorded before is another voter's.
+    /// New identity of the voter. Discards the state of all earlier records.
     Identity {
-        /// The id.
+        /// Id of the voter.
         id: VoterId,
     },
-    /// It bootstrapped the table together with these.
+    /// The voter bootstrapped the table together with other voters.
     Bootstrapped {
-        /// All voters, itself included.
+        /// All voters, including this one.
         voters: Vec<VoterInfo>,
     },
-    /// It joined voters that had a table.
+    /// The voter joined voters that already have a table.
     Joined {
-        /// Their cluster.
+        /// Cluster of those voters.
         cluster_id: ClusterId,
     },
-    /// `raft`'s hard state and entries, in its own encoding.
+    /// Hard state and entries of the Raft log, encoded with protobuf.
     Log {
-        /// The hard state where it changed.
+        /// New hard state, if it changed.
         hard_state: Option<Vec<u8>>,
         /// New entries.
         entries: Vec<Vec<u8>>,
     },
-    /// A snapshot of all entries up to an index.
+    /// Snapshot that replaces the log up to its index.
     Snapshot {
-        /// In `raft`'s encoding.
+        /// Raft snapshot, encoded with protobuf.
         bytes: Vec<u8>,
-        /// The hard state where it changed.
+        /// New hard state, if it changed.
         hard_state: Option<Vec<u8>>,
     },
-    /// Nothing: it shows whether the disk takes records again.
+    /// Record without content, written to check whether the disk accepts writes again.
     Probe,
 }
 
 impl Record {
-    /// The record as it is stored.
+    /// Encodes the record.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// The record in `bytes`.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// This program does not know its kind.
+    /// [`RecordError::UnknownKind`] if the bytes are not a record that this version knows.
     pub fn from_bytes(bytes: &[u8]) -> Result<Record, RecordError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 }
 
-/// What a voter's records amount to.
+/// State of a voter as recorded on disk.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
-    /// The voter's id; 0 where none was drawn.
+    /// Id of the voter; 0 if it has none yet.
     pub id: VoterId,
-    /// The cluster it belongs to; `None`: it has no table.
+    /// Cluster of the voter; `None` if it has no table.
     pub cluster_id: Option<ClusterId>,
     pub(crate) log: RaftLog,
 }
 
 impl PersistentState {
-    /// Decodes the records of a file, in their order.
+    /// Decodes and replays the records of a file in order.
     ///
     /// # Errors
-    /// One of them can't be understood.
+    /// [`RecordError::At`] for the first record that can't be read.
     pub fn decode(records: &[Vec<u8>]) -> Result<Self, RecordError> {
         let mut state = PersistentState::default();
         for (number, bytes) in (1..).zip(records) {
@@ -102,10 +102,10 @@
         Ok(state)
     }
 
-    /// Takes in one more record.
+    /// Applies a record to the state.
     ///
     /// # Errors
-    /// It holds bytes that `raft` does not understand.
+    /// [`RecordError::Raft`] if an entry, snapshot or hard state in it can't be decoded.
     pub fn apply(&mut self, record: &Record) -> Result<(), RecordError> {
         match record {
             Record::Identity { id } => *self = PersistentState { id: *id, ..PersistentState::default() },
@@ -136,7 +136,7 @@
         Ok(())
     }
 
-    /// The fewest records that amount to the same.
+    /// Returns a minimal list of records that yields this state.
     pub fn to_records(&self) -> Vec<Record> {
         let mut records = vec![Record::Identity { id: self.id }];
         let Some(cluster_id) = self.cluster_id else { return records };
--- a/crates/leases/src/record/tests.rs
+++ b/crates/leases/src/record/tests.rs
@@ -14,9 +14,9 @@
     VoterInfo { id: VoterId(n), name: format!("g{n}"), addr }
 }
 
-/// Rewritten records decode to the same state, also where a record that was on its way follows once more.
+/// Rewriting the file keeps the state, also if a record that was being written is appended again afterwards.
 #[test]
-fn rewritten_records_decode_to_the_same() {
+fn rewritten_records_decode_to_the_same_state() {
     let records = [
         Record::Identity { id: VoterId(2) },
         Record::Bootstrapped { voters: vec![voter(1), voter(2), voter(3)] },
@@ -36,7 +36,7 @@
     state.apply(&log_record(&[(3, 3)])).expect("good");
     assert_eq!(state.log.last_entry_index(), 3);
 
-    // A snapshot keeps what follows it, and drops what is of another log.
+    // A snapshot keeps the entries after it, and drops them if its term differs from that of the log.
     let mut snapshot = state.log.snapshot.clone();
     (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (2, 2);
     let mut log = state.log.clone();
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -1,5 +1,5 @@
-//! The table that the voters replicate: for each duty its owner, epoch and a small state; the voters; and the
-//! results of recent commands of operators. [`LeaseTable::apply`] makes every change.
+//! The replicated state machine: the owner, epoch and stored state of each duty, the voters, and the
+//! results of recent commands of operators. [`LeaseTable::apply`] applies each committed command.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,61 +9,63 @@
 use crate::message::{MAX_NAME_BYTES, MAX_STATE_BYTES};
 
 const MAX_DUTIES: usize = 8;
-/// Results of operators' commands that are remembered, so that none takes effect twice.
+/// Maximum number of remembered command results. A repeated command whose result is remembered has no
+/// effect.
 const MAX_ADMIN_RESULTS: usize = 64;
 
-/// Why a command changed nothing, as an operator is told.
+/// Reasons for which a command is rejected.
 const NO_SUCH_DUTY: &str = "no such duty";
-const STALE_EPOCH: &str = "another came first";
+const STALE_EPOCH: &str = "the epoch has changed";
 const NOT_OWNER: &str = "not its owner";
 const NO_OWNER: &str = "nobody owns it";
-const DONE_BEFORE: &str = "done before";
+const DONE_BEFORE: &str = "already applied";
 
-/// The owner of a duty: one start of one member's process.
+/// The owner of a duty: one incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Drawn at each start of its process.
+    /// Identifies the run of its process; changes with each start.
     pub incarnation: u64,
 }
 
-/// One duty.
+/// Ownership of a duty and the state stored with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Of the owner, or of the last one.
+    /// Epoch of the current owner, or of the last one if there is none.
     pub epoch: Epoch,
-    /// Who owns it.
+    /// Current owner; `None` if the duty has none.
     pub owner: Option<Owner>,
-    /// When it was granted, in nanoseconds since 1970 by the leader's clock; for people only.
+    /// Time of the last grant by the leader's clock, in nanoseconds since 1970. Only displayed.
     pub granted_at: u64,
-    /// The voter that led then.
+    /// Name of the voter that was leader at the last grant.
     pub granted_by: String,
-    /// What the owner stores with it.
+    /// Opaque state stored by the owner, at most [`MAX_STATE_BYTES`]. The next owner receives it.
     pub state: Vec<u8>,
-    /// The member it is being handed over to: the owner is told to release it.
+    /// Target of a hand-over in progress. The owner's renewals are denied.
     pub reserved_for: Option<String>,
-    /// The member it was taken from, which is not to have it at once.
-    pub deposed: Option<String>,
+    /// Member that an operator deposed. It can't claim the duty again until a lease duration has passed.
+    #[serde(rename = "deposed")]
+    pub deposed_member: Option<String>,
 }
 
 impl Lease {
-    /// Whether this start of that member's process owns it.
+    /// Returns `true` if this incarnation of the member owns the duty.
     pub(crate) fn is_held_by(&self, name: &str, incarnation: u64) -> bool {
         self.owner.as_ref().is_some_and(|owner| owner.name == name && owner.incarnation == incarnation)
     }
 }
 
-/// A replicated command. Each names the state it expects and changes nothing where that has passed: two leaders,
-/// or a repeated request, may have put the same command into the log twice.
+/// A replicated command. Each carries the state that it expects and is rejected if that state has changed,
+/// since a change of leader or a repeated request can put the same command into the log twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     Grant {
         duty: String,
         to: Owner,
-        /// The epoch that the duty had.
+        /// Epoch of the duty when the leader proposed the command.
         expected_epoch: Epoch,
-        /// The highest epoch known to the claimant.
+        /// Highest epoch of the duty known to the claimant.
         highest_epoch: Epoch,
         granted_at: u64,
         granted_by: String,
@@ -90,13 +92,13 @@
 }
 
 impl Command {
-    /// The command as it lies in the log.
+    /// Encodes the command as data of a log entry.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 }
 
-/// What a command did.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Granted {
@@ -110,30 +112,30 @@
         epoch: Epoch,
     },
     Updated,
-    /// Nothing; why, for an operator.
+    /// The command changed nothing, for this reason.
     Rejected(&'static str),
 }
 
-/// The table.
+/// State of all duties and the set of voters, the same on each voter at the same log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// By duty.
+    /// Leases by duty.
     pub duties: BTreeMap<String, Lease>,
-    /// By id.
+    /// Voters by id.
     pub voters: BTreeMap<VoterId, VoterInfo>,
-    /// Ids of operators' commands, oldest first, with the reason where one was rejected.
+    /// Ids of operators' commands, oldest first, with the reason if the command was rejected.
     admin_results: VecDeque<(u64, Option<String>)>,
 }
 
 impl LeaseTable {
-    /// The table of voters that bootstrap together.
+    /// Creates the initial table of voters that bootstrap a cluster.
     pub(crate) fn bootstrap(voters: &[VoterInfo]) -> Self {
         let voters = voters.iter().map(|voter| (voter.id, voter.clone())).collect();
         LeaseTable { voters, ..LeaseTable::default() }
     }
 
-    /// The result of an operator's command: `None` where it is not known; the inner option has the reason where
-    /// it was rejected.
+    /// Returns the result of an operator's command: `None` if it is not known, `Some(None)` if the command
+    /// took effect, and the reason if it was rejected.
     pub(crate) fn admin_result(&self, id: u64) -> Option<Option<&str>> {
         self.admin_results.iter().find(|(known, _)| *known == id).map(|(_, reason)| reason.as_deref())
     }
@@ -148,7 +150,8 @@
         }
     }
 
-    /// Applies a command. `without_epochs`: for trials, the epoch does not grow.
+    /// Applies a committed command. With `without_epochs`, which only trials set, a grant does not increase
+    /// the epoch.
     pub fn apply(&mut self, command: &Command, without_epochs: bool) -> Outcome {
         match command {
             Command::Grant { duty, to, expected_epoch, highest_epoch, granted_at, granted_by } => {
@@ -169,7 +172,7 @@
                     granted_by: granted_by.clone(),
                     state: std::mem::take(&mut lease.state),
                     reserved_for: None,
-                    deposed: None,
+                    deposed_member: None,
                 };
                 Outcome::Granted { duty: duty.clone(), to: to.clone(), epoch }
             }
@@ -203,19 +206,19 @@
         let Some(lease) = self.duties.get_mut(duty) else { return Outcome::Rejected(NO_SUCH_DUTY) };
         let is_owner = lease.owner.as_ref().is_some_and(|owner| owner.name == to);
         lease.reserved_for = (!is_owner).then(|| to.to_string());
-        lease.deposed = None;
+        lease.deposed_member = None;
         Outcome::Updated
     }
 
     fn depose(&mut self, duty: &str) -> Outcome {
         let Some(lease) = self.duties.get_mut(duty) else { return Outcome::Rejected(NO_SUCH_DUTY) };
         let Some(owner) = &lease.owner else { return Outcome::Rejected(NO_OWNER) };
-        lease.deposed = Some(owner.name.clone());
+        lease.deposed_member = Some(owner.name.clone());
         lease.reserved_for = None;
         remove_owner(duty, lease)
     }
 
-    /// Has an operator's command take effect where none of this id did before.
+    /// Applies an operator's command unless the result of a command with this id is already recorded.
     fn apply_once(&mut self, id: u64, command: impl FnOnce(&mut LeaseTable) -> Outcome) -> Outcome {
         if self.admin_result(id).is_some() {
             return Outcome::Rejected(DONE_BEFORE);
--- a/crates/leases/src/table/tests.rs
+++ b/crates/leases/src/table/tests.rs
@@ -17,9 +17,9 @@
     }
 }
 
-/// What each command makes of a duty, from the state that those before left.
+/// A command that expects an outdated state of the duty is rejected and changes nothing.
 #[test]
-fn each_command_checks_the_state_it_expects() {
+fn commands_with_outdated_expectations_are_rejected() {
     let duty = || DUTY.to_string();
     let granted = |name: &str, epoch| Outcome::Granted { duty: duty(), to: owner(name), epoch: Epoch(epoch) };
     let released =
@@ -31,7 +31,7 @@
     let steps = [
         (Command::Depose { id: 1, duty: duty() }, Outcome::Rejected("no such duty")),
         (grant("g1", 0, 0), granted("g1", 1)),
-        (grant("g2", 0, 0), Outcome::Rejected("another came first")),
+        (grant("g2", 0, 0), Outcome::Rejected("the epoch has changed")),
         (store(1, 512), Outcome::Updated),
         (store(1, 513), Outcome::Rejected("not its owner")),
         (grant("g2", 1, 9), granted("g2", 10)),
@@ -42,7 +42,7 @@
         (grant("g3", 10, 0), granted("g3", 11)),
         (hand_over(), Outcome::Updated),
         (release(11, "g3"), released("g3", 11)),
-        (hand_over(), Outcome::Rejected("done before")),
+        (hand_over(), Outcome::Rejected("already applied")),
         (grant("g1", 11, 0), granted("g1", 12)),
         (Command::Depose { id: 3, duty: duty() }, released("g1", 12)),
         (Command::Depose { id: 4, duty: duty() }, Outcome::Rejected("nobody owns it")),
@@ -52,7 +52,10 @@
         assert_eq!(table.apply(command, false), *expected, "step {step}: {command:?}");
     }
     let lease = &table.duties[DUTY];
-    assert_eq!((lease.epoch, lease.state.len(), lease.deposed.as_deref()), (Epoch(12), 512, Some("g1")));
+    assert_eq!(
+        (lease.epoch, lease.state.len(), lease.deposed_member.as_deref()),
+        (Epoch(12), 512, Some("g1"))
+    );
     assert_eq!((table.admin_result(3), table.admin_result(4)), (Some(None), Some(Some("nobody owns it"))));
     assert_eq!(table.admin_result(5), None);
 }
--- a/crates/leases/src/tests.rs
+++ b/crates/leases/src/tests.rs
@@ -1,5 +1,4 @@
-//! What lies on a voter's disk and goes over the network keeps its form: written by the build before the types
-//! were renamed, read and written by this one.
+//! Golden tests: the formats of records, snapshots and datagrams stay the same.
 
 use std::fs;
 use std::net::SocketAddrV4;
@@ -18,7 +17,7 @@
     fs::read(&path).expect(&path)
 }
 
-fn stored(name: &str) -> Record {
+fn decode_golden(name: &str) -> Record {
     let bytes = golden(&format!("{name}.bin"));
     let record = Record::from_bytes(&bytes).expect(name);
     assert_eq!(record.to_bytes(), bytes, "{name}");
@@ -67,17 +66,20 @@
         granted_by: "g1".to_string(),
         state: vec![1, 2, 3],
         reserved_for: Some("g3".to_string()),
-        deposed: None,
+        deposed_member: None,
     }
 }
 
 #[test]
-fn records_keep_their_form() {
-    assert_eq!(stored("identity"), Record::Identity { id: VoterId(2) });
-    assert_eq!(stored("bootstrapped"), Record::Bootstrapped { voters: vec![voter(1), voter(2), voter(3)] });
-    assert_eq!(stored("joined"), Record::Joined { cluster_id: ClusterId(5) });
-    assert_eq!(stored("probe"), Record::Probe);
-    let Record::Log { entries, hard_state: Some(_) } = stored("log") else { panic!("another record") };
+fn format_of_records_is_stable() {
+    assert_eq!(decode_golden("identity"), Record::Identity { id: VoterId(2) });
+    assert_eq!(
+        decode_golden("bootstrapped"),
+        Record::Bootstrapped { voters: vec![voter(1), voter(2), voter(3)] }
+    );
+    assert_eq!(decode_golden("joined"), Record::Joined { cluster_id: ClusterId(5) });
+    assert_eq!(decode_golden("probe"), Record::Probe);
+    let Record::Log { entries, hard_state: Some(_) } = decode_golden("log") else { panic!("another record") };
     let decode = |bytes: &Vec<u8>| Entry::parse_from_bytes(bytes).expect("an entry").data;
     let expected: Vec<Vec<u8>> = commands().iter().map(Command::encode).collect();
     assert_eq!(entries.iter().map(|bytes| decode(bytes).to_vec()).collect::<Vec<_>>(), expected);
@@ -86,8 +88,8 @@
 }
 
 #[test]
-fn snapshots_keep_their_form() {
-    let Record::Snapshot { bytes, hard_state: Some(_) } = stored("snapshot") else {
+fn format_of_snapshots_is_stable() {
+    let Record::Snapshot { bytes, hard_state: Some(_) } = decode_golden("snapshot") else {
         panic!("another record")
     };
     let snapshot = Snapshot::parse_from_bytes(&bytes).expect("a snapshot");
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn datagrams_keep_their_form() {
+fn format_of_datagrams_is_stable() {
     let hello = |status, wants_reply| Message::Hello { sender: voter(1), status, wants_reply };
     let mut messages = vec![
         Message::Raft { cluster_id: ClusterId(5), body: vec![1, 2] },
--- a/crates/leases/src/times.rs
+++ b/crates/leases/src/times.rs
@@ -1,27 +1,26 @@
-//! Intervals and timeouts, and the parts that trials disable.
+//! Intervals and time-outs, and the safeguards that trials disable.
 
 use lynxstair::types::Span;
 use serde::{Deserialize, Serialize};
 
-/// Intervals and timeouts. With the defaults a duty has an owner again within 2 s of a kill, 99 times of 100
-/// (docs/results.md has the measurement).
+/// Intervals and time-outs of voters and lease holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// One tick of the voters' Raft clock.
+    /// Duration of one tick of the Raft clock.
     pub tick: Span,
-    /// Ticks between two heartbeats of a leader.
+    /// Interval between heartbeats of the leader, in ticks.
     pub heartbeat_ticks: usize,
-    /// A voter that hears no leader for so many ticks, and up to twice as many, starts an election.
+    /// Minimum election time-out, in ticks. The actual time-out is random, up to twice as long.
     pub election_ticks: usize,
-    /// An owner that is not confirmed for so long begins no further effect.
+    /// Duration of a lease. A renewal starts it anew.
     pub lease: Span,
-    /// How often an owner asks to be confirmed.
+    /// Interval between renewals by an owner.
     pub renew_interval: Span,
-    /// How often a member that does not own a duty claims it.
+    /// Mean interval between claims by a member that does not own the duty.
     pub claim_interval: Span,
-    /// After so long without a response a request goes to another voter.
+    /// Time without a response after which a request is sent to another voter.
     pub request_timeout: Span,
-    /// A log of more entries is compacted into a snapshot.
+    /// Number of log entries above which the log is compacted into a snapshot.
     pub max_log_entries: u64,
 }
 
@@ -40,18 +39,19 @@
     }
 }
 
-/// Safeguards that trials disable, to show that their checks find what follows. Never set in service.
+/// Safeguards that trials disable to show that the checks detect the resulting faults. Never set in
+/// production.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct DisabledParts {
-    /// A voter whose data directory was emptied votes on under its old identity.
+    /// A voter that lost its records keeps its identity.
     pub votes_forgotten: bool,
-    /// Messages are sent before what they promise is on disk.
+    /// Messages are sent before the state on which they depend is on disk.
     pub no_waiting_for_disk: bool,
-    /// The next owner gets the epoch of the last one.
+    /// A grant does not increase the epoch.
     pub no_epochs: bool,
-    /// An owner goes on after its lease.
+    /// An owner continues after its lease has expired.
     pub no_leases: bool,
-    /// Effects of an earlier epoch are accepted where they land.
+    /// Receivers accept effects of an earlier epoch.
     pub no_refusal: bool,
 }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,7 +1,8 @@
-//! One voter, from an empty directory to taking part, and what follows from its disk.
+//! State machine of a voter.
 //!
-//! The protocol itself is `raft`'s. Here is what it leaves open: who a voter is, how a table begins, when a voter
-//! must not vote, that nothing is promised before it is on disk, and that runs are repeatable.
+//! The `raft` library implements the consensus protocol. This module adds the identity of the voter, the
+//! bootstrap of the table, the handling of lost records and disk failures, and messages that wait for the
+//! disk. All random choices depend on the seed, so that runs are repeatable.
 
 mod joining;
 mod ready;
@@ -26,74 +27,76 @@
 use crate::record::{PersistentState, Record};
 use crate::times::{DisabledParts, Times};
 
-/// After so long a disk that failed is tried again.
+/// Wait before a suspended voter probes its disk again.
 const DISK_RETRY_INTERVAL: Span = Span::from_millis(500);
-/// So many missed ticks show that the process was paused.
+/// Number of missed ticks from which the process is considered to have been paused.
 const STALLED_TICKS: u64 = 4;
-/// What is left of the measured disk latency after each faster write.
-const LATENCY_DECAY: f64 = 0.875;
-/// An election must last several writes of a slow disk.
+/// Factor by which the measured disk latency decreases with each faster write.
+const DISK_LATENCY_DECAY: f64 = 0.875;
+/// Number of disk writes by whose duration the election time-out is extended.
 const WRITES_PER_ELECTION: f64 = 3.0;
 
-/// What a voter is started with.
+/// Start-up parameters of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Where others reach it.
+    /// Address at which others reach the member.
     pub addr: SocketAddrV4,
-    /// The voters that the fleet file names.
+    /// Names and addresses of the voters in the fleet file.
     pub initial_voters: Vec<(String, SocketAddrV4)>,
-    /// What its records amount to.
+    /// State recorded on disk.
     pub state: PersistentState,
-    /// The end of the records was missing: what was lost may have been promised to others.
+    /// `true` if the end of the records was lost, which may have contained a vote or an acknowledged entry.
     pub has_lost_records: bool,
-    /// Fixes its random choices.
+    /// Seed of the random number generator and of election time-outs.
     pub seed: u64,
-    /// Intervals and timeouts.
+    /// Intervals and time-outs.
     pub times: Times,
-    /// For trials.
+    /// Safeguards that a trial disables.
     pub disabled: DisabledParts,
 }
 
-/// What an operator is shown of a voter.
+/// Status of a voter for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterView {
-    /// Its id.
+    /// Id of the voter; 0 if it has none.
     pub id: VoterId,
-    /// Its phase.
+    /// Current phase.
     pub phase: Phase,
-    /// Why it is in this phase.
+    /// Human-readable reason for the phase.
     #[serde(rename = "why")]
     pub reason: String,
-    /// For how long it has been.
+    /// Time in the current phase, in milliseconds.
     #[serde(rename = "for_ms")]
     pub time_in_phase_ms: u64,
-    /// Raft's term.
+    /// Raft term; 0 if `raft` does not run.
     pub term: u64,
-    /// The leader, as far as it knows.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Entries in its log.
+    /// Number of log entries after the snapshot.
     pub log_entries: u64,
-    /// Datagrams that it could not decode.
+    /// Number of datagrams that could not be decoded.
     #[serde(rename = "dropped")]
     pub dropped_datagrams: u64,
 }
 
-/// What `raft` waits for from the disk.
+/// Write to disk, or step of `raft` that waits for earlier writes.
 struct PendingWrite {
     ticket: u64,
-    /// `None`: nothing of its own is written, it waits for the writes before it.
+    /// Record to write; `None` if this only waits for the writes before it.
     record: Option<Record>,
+    /// Number of the `raft::Ready` that is persisted with this write.
     ready_number: Option<u64>,
-    /// Sent once the write and all before it are on disk.
+    /// Messages to send once this write and all before it are on disk.
     messages: Vec<RaftMessage>,
-    since: Time,
+    started_at: Time,
 }
 
-/// One voter, or one that may become one.
+/// A voter, or a member that may become one. Performs no I/O: the caller passes in the time and received
+/// datagrams, and carries out the [`Action`]s.
 pub struct Voter {
     pub(crate) info: VoterInfo,
     envelope: Envelope,
@@ -105,34 +108,34 @@
     phase: Phase,
     phase_reason: String,
     phase_since: Time,
-    /// As it is on disk.
+    /// State recorded on disk.
     state: PersistentState,
     pending_writes: VecDeque<PendingWrite>,
     last_ticket: u64,
-    /// The write that shows whether the disk takes records again.
+    /// Ticket of the pending [`Record::Probe`].
     probe_ticket: Option<u64>,
     probe_at: Option<Time>,
     pub(crate) node: Option<RaftNode>,
     pub(crate) leader: Option<LeaderState>,
-    /// Why its records can't be trusted: it votes on none of them, whatever happens meanwhile.
+    /// Reason for which the records must not be used. The voter takes a new identity instead.
     distrust_reason: Option<&'static str>,
-    /// Initial voters that said they have no table either.
+    /// Initial voters that have no table either, by name.
     peers_without_table: BTreeMap<String, VoterInfo>,
     next_tick: Time,
     next_hello: Time,
-    /// How long a write took lately.
+    /// Duration of recent writes.
     disk_latency: Span,
     dropped_datagrams: u64,
     actions: Vec<Action>,
 }
 
 impl Voter {
-    /// A voter that goes on from its records.
+    /// Creates a voter from its records.
     pub fn new(now: Time, config: VoterConfig) -> Self {
         let has_identity = config.state.id != VoterId::NONE;
         let distrusts_records = config.has_lost_records && has_identity && !config.disabled.votes_forgotten;
         let distrust_reason = distrusts_records
-            .then_some("the end of its records is missing: what was lost may have been promised");
+            .then_some("the end of its records is missing: a vote or an acknowledged entry may be lost");
         let mut voter = Voter {
             info: VoterInfo { id: config.state.id, name: config.name, addr: config.addr },
             envelope: Envelope::new(&config.fleet),
@@ -142,7 +145,7 @@
             seed: config.seed,
             rng: Pcg64Mcg::seed_from_u64(config.seed),
             phase: Phase::NotVoter,
-            phase_reason: "no voter".to_string(),
+            phase_reason: "not a voter".to_string(),
             phase_since: now,
             state: config.state,
             pending_writes: VecDeque::new(),
@@ -163,12 +166,12 @@
         voter
     }
 
-    /// Takes the actions to carry out.
+    /// Returns the actions to carry out, in order, and clears them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// When `tick` is due; `None`: not before something is received.
+    /// Returns the time at which [`tick`](Self::tick) is due, or `None` if there is nothing to wait for.
     pub fn next_deadline(&self) -> Option<Time> {
         match self.phase {
             Phase::NotVoter | Phase::NewIdentity => None,
@@ -178,12 +181,12 @@
         }
     }
 
-    /// Its phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// What an operator is shown.
+    /// Returns the status for operators.
     pub fn view(&self, now: Time) -> VoterView {
         let node = self.node.as_ref();
         VoterView {
@@ -198,12 +201,12 @@
         }
     }
 
-    /// Whether this voter leads.
+    /// Returns `true` if this voter is the leader.
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
 
-    /// Changes the phase where the change is allowed. Every change goes through here.
+    /// Changes the phase if the transition is allowed. Every change goes through this function.
     fn set_phase(&mut self, now: Time, to: Phase, reason: &str) {
         let from = self.phase;
         if from == to || !to.may_follow(from) {
@@ -236,7 +239,7 @@
         self.send(to, &Message::Response { number, response });
     }
 
-    /// Writes a record that no message and no step of `raft` waits for.
+    /// Writes a record on which no message and no step of `raft` depends.
     fn write(&mut self, now: Time, record: Record) {
         self.write_for_raft(now, record, None, Vec::new());
     }
@@ -256,12 +259,12 @@
             record: stored,
             ready_number,
             messages,
-            since: now,
+            started_at: now,
         });
         self.actions.push(Action::Write { ticket, record });
     }
 
-    /// A write ended. Called in the order of the writes.
+    /// Called when a write has ended, in the order of the writes. A failed write suspends the voter.
     pub fn on_written(&mut self, now: Time, ticket: u64, result: Result<(), &str>) {
         if self.probe_ticket == Some(ticket) {
             return self.on_probe_written(now, result.is_ok());
@@ -270,8 +273,8 @@
         if !self.pending_writes.iter().any(is_pending) {
             return;
         }
-        if let Err(why) = result {
-            self.set_phase(now, Phase::Suspended, &format!("not on disk: {why}"));
+        if let Err(error) = result {
+            self.set_phase(now, Phase::Suspended, &format!("a record could not be written: {error}"));
             self.probe_at = Some(now + DISK_RETRY_INTERVAL);
             return;
         }
@@ -279,8 +282,8 @@
         let mut ready_number = None;
         while let Some(write) = self.pending_writes.pop_front_if(|write| write.ticket <= ticket) {
             if let Some(record) = &write.record {
-                self.disk_latency = (now - write.since).max(self.disk_latency.times(LATENCY_DECAY));
-                // This program made the record itself, so it can be read.
+                self.disk_latency = (now - write.started_at).max(self.disk_latency.times(DISK_LATENCY_DECAY));
+                // The record was encoded by this process, so decoding it does not fail.
                 let _ = self.state.apply(record);
                 self.on_record_persisted(now, record);
             }
@@ -307,10 +310,10 @@
         }
     }
 
-    /// Time passed.
+    /// Handles everything that is due at `now`.
     pub fn tick(&mut self, now: Time) {
         match self.phase {
-            Phase::NoTable if now >= self.next_hello => self.say_hello(now),
+            Phase::NoTable if now >= self.next_hello => self.send_hellos(now),
             Phase::Suspended if self.probe_at.is_some_and(|at| at <= now) => self.probe_disk(),
             Phase::CatchingUp | Phase::Voting if now >= self.next_tick => self.tick_raft(now),
             _ => {}
@@ -327,18 +330,18 @@
     fn tick_raft(&mut self, now: Time) {
         let missed_ticks = (now - self.next_tick).nanos() / self.times.tick.nanos().max(1);
         self.next_tick = now + self.times.tick;
-        // A vote of this voter would wait for its disk, too: no election while the disk does not respond.
+        // Start no election while a write is late: the vote would have to wait for the same disk.
         let oldest_write = self.pending_writes.front();
-        let waits_for_disk = oldest_write.is_some_and(|write| now - write.since > self.times.tick);
+        let waits_for_disk = oldest_write.is_some_and(|write| now - write.started_at > self.times.tick);
         let was_stalled = missed_ticks >= STALLED_TICKS || waits_for_disk;
         self.with_raft(now, |node| node.tick(was_stalled));
         self.tick_leader(now);
     }
 
-    /// A datagram was received. Returns what is for this member's lease holder.
+    /// Handles a received datagram. Returns the message if it is for the lease holder of this member.
     ///
     /// # Errors
-    /// The datagram was dropped.
+    /// If the datagram can't be decoded; it is dropped and counted.
     pub fn receive(
         &mut self,
         now: Time,
@@ -378,8 +381,8 @@
         self.respond(from, number, response);
     }
 
-    /// Has `raft` do something and handles what it hands out. Where it panics, as it does on messages that no
-    /// correct voter sends, the voter is suspended and starts again from its records.
+    /// Runs a step of `raft` and handles its output. If `raft` panics, as it does on some invalid messages,
+    /// the voter is suspended and then restarts from its records.
     pub(crate) fn with_raft(&mut self, now: Time, step: impl FnOnce(&mut RaftNode)) {
         let Some(mut node) = self.node.take() else { return };
         let result = catch_unwind(AssertUnwindSafe(|| {
@@ -388,17 +391,13 @@
             self.handle_ready(now, &mut node);
         }));
         if result.is_err() {
-            self.set_phase(
-                now,
-                Phase::Suspended,
-                "it can't go on from what it heard; begins again from its records",
-            );
+            self.set_phase(now, Phase::Suspended, "raft panicked; the voter restarts from its records");
             self.probe_at = Some(now + DISK_RETRY_INTERVAL);
             return;
         }
         let has_table = node.applied > 0 && node.raft.raft.raft_log.persisted > 0;
         if self.phase == Phase::CatchingUp && has_table {
-            self.set_phase(now, Phase::Voting, "it has the record");
+            self.set_phase(now, Phase::Voting, "received the table");
         }
         self.node = Some(node);
         self.update_leadership(now);
@@ -410,7 +409,7 @@
         node.set_election_timeout(self.seed, self.info.id, &self.times, disk_ticks);
     }
 
-    /// Notices that it began to lead, or ceased to.
+    /// Creates or drops the leader state after `raft` may have changed its role.
     fn update_leadership(&mut self, now: Time) {
         let Some(node) = self.node.as_mut() else { return };
         let (is_leader, term) = (node.is_leader(), node.term());
--- a/crates/leases/src/voter/joining.rs
+++ b/crates/leases/src/voter/joining.rs
@@ -1,5 +1,5 @@
-//! How a voter gets an identity and a table: it starts from its records, bootstraps a table with the other
-//! initial voters, or joins voters that have one.
+//! Start-up of a voter: it restarts from its records, or takes an identity and then bootstraps a table with
+//! the other initial voters or joins voters that have one.
 
 use std::net::SocketAddrV4;
 
@@ -15,15 +15,15 @@
 use crate::raft_node::RaftNode;
 use crate::record::Record;
 
-/// How often a voter without a table says hello.
+/// Interval between hellos of a voter without a table.
 const HELLO_INTERVAL: Span = Span::from_millis(250);
 
-/// Ids are never 0, which stands for none.
+/// Turns random bits into an id. 0 stands for no id.
 fn nonzero_id(bits: u64) -> VoterId {
     VoterId(bits | 1)
 }
 
-/// For trials: the id that a voter has whatever it lost.
+/// Id that does not change if the records are lost; used by trials only.
 fn id_from_name(name: &str) -> VoterId {
     nonzero_id(hash(&[name.as_bytes()]))
 }
@@ -33,29 +33,29 @@
         self.initial_voters.iter().any(|(name, _)| *name == self.info.name)
     }
 
-    /// The other voters that the fleet file names.
+    /// Returns the other voters in the fleet file.
     fn initial_peers(&self) -> Vec<(String, SocketAddrV4)> {
         self.initial_voters.iter().filter(|(name, _)| *name != self.info.name).cloned().collect()
     }
 
-    /// Goes on from what is on disk.
+    /// Starts, or restarts after a suspension, from the records on disk.
     pub(super) fn start_from_records(&mut self, now: Time) {
         if let Some(reason) = self.distrust_reason {
-            self.draw_identity(now, reason);
+            self.take_new_identity(now, reason);
         } else if self.state.id == VoterId::NONE {
             if self.is_initial_voter() {
-                self.draw_identity(now, "its folder is empty");
+                self.take_new_identity(now, "its directory holds no records");
             }
         } else if self.state.cluster_id.is_some() {
-            self.start_raft(now, "its records are whole");
+            self.start_raft(now, "its records are complete");
         } else {
-            self.set_phase(now, Phase::NoTable, "it has no record yet");
+            self.set_phase(now, Phase::NoTable, "it has an identity and no table");
         }
     }
 
-    /// Becomes another voter: whatever the last identity promised, the new one has promised nothing. A voter that
-    /// lost a vote and kept its identity could vote twice in a term (Raft, section 5.2).
-    pub(super) fn draw_identity(&mut self, now: Time, reason: &str) {
+    /// Takes a new random id, which has not voted or acknowledged anything yet. A voter that lost the
+    /// record of a vote and kept its id could vote twice in a term (Raft, section 5.2).
+    pub(super) fn take_new_identity(&mut self, now: Time, reason: &str) {
         self.set_phase(now, Phase::NewIdentity, reason);
         let id = match self.disabled.votes_forgotten {
             true => id_from_name(&self.info.name),
@@ -71,21 +71,21 @@
         self.set_phase(now, phase, reason);
         self.info.id = self.state.id;
         let Some(node) = RaftNode::new(self.info.id, log, &self.times) else {
-            let reason = "its records make no sense together";
+            let reason = "its records are inconsistent";
             self.distrust_reason = Some(reason);
-            return self.draw_identity(now, reason);
+            return self.take_new_identity(now, reason);
         };
         self.node = Some(node);
         self.next_tick = now + self.times.tick;
         self.with_raft(now, |_| ());
     }
 
-    /// What a record changes once it is on disk, besides what `raft` waits for.
+    /// Continues the start-up once one of its records is on disk.
     pub(super) fn on_record_persisted(&mut self, now: Time, record: &Record) {
         match record {
             Record::Identity { id } => self.on_identity_persisted(now, *id),
-            Record::Bootstrapped { .. } => self.start_raft(now, "all who are named begin together"),
-            Record::Joined { .. } => self.start_raft(now, "taken in by those who vote"),
+            Record::Bootstrapped { .. } => self.start_raft(now, "all initial voters bootstrap the table"),
+            Record::Joined { .. } => self.start_raft(now, "joined voters that have a table"),
             Record::Log { .. } | Record::Snapshot { .. } | Record::Probe => {}
         }
     }
@@ -94,7 +94,7 @@
         self.info.id = id;
         self.distrust_reason = None;
         self.peers_without_table.clear();
-        self.set_phase(now, Phase::NoTable, "it has an identity and no record");
+        self.set_phase(now, Phase::NoTable, "its new identity is on disk; it has no table yet");
         self.next_hello = now;
         if self.disabled.votes_forgotten {
             let voter = |(name, addr): &(String, SocketAddrV4)| VoterInfo {
@@ -112,8 +112,8 @@
         Message::Hello { sender: self.info.clone(), status, wants_reply }
     }
 
-    /// Tells the other initial voters that this one has no table. Alone, it bootstraps one at once.
-    pub(super) fn say_hello(&mut self, now: Time) {
+    /// Sends a hello to the other initial voters. A single initial voter bootstraps the table at once.
+    pub(super) fn send_hellos(&mut self, now: Time) {
         self.next_hello = now + HELLO_INTERVAL;
         let hello = self.hello(true);
         let peers = self.initial_peers();
@@ -127,7 +127,7 @@
 
     pub(super) fn receive_invite(&mut self, now: Time, from: SocketAddrV4) {
         match self.phase {
-            Phase::NotVoter => self.draw_identity(now, "summoned to be a voter"),
+            Phase::NotVoter => self.take_new_identity(now, "invited to become a voter"),
             Phase::NoTable => {
                 let hello = self.hello(false);
                 self.send(from, &hello);
@@ -157,7 +157,7 @@
                 self.peers_without_table.insert(sender.name.clone(), sender);
                 self.try_bootstrap(now);
             }
-            // That voter has a table: this one joins it and bootstraps none.
+            // That voter has a table, so this one must join it and not bootstrap another.
             (Phase::NoTable, RecordStatus::Member(_)) => {
                 self.peers_without_table.remove(&sender.name);
             }
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Bootstraps a table once all initial voters said that they have none. Any two sets of identities that do so
-    /// are different clusters, and no cluster has a majority of another one's voters.
+    /// Bootstraps a table once all initial voters have reported that they have none. Different sets of
+    /// identities form different clusters, and no cluster contains a quorum of another one's voters.
     fn try_bootstrap(&mut self, now: Time) {
         if !self.is_initial_voter() || !self.pending_writes.is_empty() {
             return;
@@ -193,14 +193,14 @@
                 self.write(now, Record::Joined { cluster_id });
             }
             Phase::CatchingUp | Phase::Voting if self.state.cluster_id == Some(cluster_id) => {
-                if self.has_forgotten(&message) {
-                    let reason = "others hold more of its promises than its records do";
+                if self.has_lost_entries(&message) {
+                    let reason = "its records are older than its promises: acknowledged entries are missing";
                     self.distrust_reason = Some(reason);
-                    return self.draw_identity(now, reason);
+                    return self.take_new_identity(now, reason);
                 }
                 self.with_raft(now, |node| {
                     node.learn_sender(message.from, from);
-                    // `raft` drops a message that is of no use to it now.
+                    // An error means that `raft` ignored the message.
                     let _ = node.raft.step(message);
                 });
             }
@@ -208,9 +208,10 @@
         }
     }
 
-    /// Whether a leader counts on entries that this voter once acknowledged and no longer has: its disk was set
-    /// back to an earlier time.
-    fn has_forgotten(&self, message: &RaftMessage) -> bool {
+    /// Returns `true` if a heartbeat shows that this voter has lost entries that it acknowledged, for
+    /// example because its disk was restored from an older copy. A leader sends no commit index beyond what
+    /// the voter acknowledged.
+    fn has_lost_entries(&self, message: &RaftMessage) -> bool {
         let Some(node) = &self.node else { return false };
         !self.disabled.votes_forgotten
             && message.get_msg_type() == MessageType::MsgHeartbeat
--- a/crates/leases/src/voter/ready.rs
+++ b/crates/leases/src/voter/ready.rs
@@ -1,7 +1,7 @@
-//! What `raft` hands out: messages to send, records to persist, entries to apply.
+//! Output of `raft`: messages to send, records to persist and entries to apply.
 //!
-//! A message that promises something (a vote, an acknowledged entry) is sent once what it promises is on disk;
-//! `raft` counts this voter's own promise from then on, too.
+//! A message that depends on persisted state (a vote, an acknowledgement of an entry) is sent once that
+//! state is on disk. `raft` counts this voter's own vote or acknowledgement from then on, too.
 
 use lynxstair::types::Time;
 use protobuf::Message as _;
@@ -29,7 +29,7 @@
         let Some(cluster_id) = self.state.cluster_id else { return };
         for message in messages {
             if message.get_msg_type() == MessageType::MsgSnapshot {
-                // Whether it arrived shows in the response to the next message.
+                // The response to the next message shows whether the snapshot arrived.
                 node.raft.report_snapshot(message.to, SnapshotStatus::Finish);
             }
             if let (Some(to), Ok(body)) = (node.address_of(message.to), message.write_to_bytes()) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Handles everything that `raft` hands out.
+    /// Handles all output that `raft` has ready.
     pub(super) fn handle_ready(&mut self, now: Time, node: &mut RaftNode) {
         while node.raft.has_ready() {
             let mut ready = node.raft.ready();
@@ -47,14 +47,14 @@
             let messages = ready.take_messages();
             self.send_from_node(node, messages);
             let record = self.store_ready(now, node, &mut ready);
-            let mut promises = self.send_unpromising(node, ready.take_persisted_messages());
+            let mut deferred = self.send_immediate(node, ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
             node.raft.advance_append_async(ready);
             if self.disabled.no_waiting_for_disk {
-                self.send_from_node(node, std::mem::take(&mut promises));
+                self.send_from_node(node, std::mem::take(&mut deferred));
                 node.raft.on_persist_ready(number);
             }
-            self.persist(now, node, record, number, promises);
+            self.persist(now, node, record, number, deferred);
             for entry in committed {
                 self.apply_entry(now, node, &entry);
             }
@@ -66,8 +66,8 @@
         self.compact_log(now, node);
     }
 
-    /// Puts what is new into the log in memory. Returns the record to persist; a snapshot's is written first
-    /// where entries follow it.
+    /// Adds a new snapshot, entries and hard state to the log in memory. Returns the record to persist; if
+    /// there are both a snapshot and entries, the record of the snapshot is written here.
     fn store_ready(&mut self, now: Time, node: &mut RaftNode, ready: &mut Ready) -> Option<Record> {
         let encode = |hard_state: &HardState| hard_state.write_to_bytes().unwrap_or_default();
         let hard_state = ready.hs().map(encode);
@@ -94,41 +94,41 @@
         record
     }
 
-    /// Sends at once what promises nothing that is still on its way to the disk: that a leader is heard, in a
-    /// term that is on disk. Returns the rest.
-    fn send_unpromising(&mut self, node: &mut RaftNode, messages: Vec<RaftMessage>) -> Vec<RaftMessage> {
+    /// Sends the responses to heartbeats of a term that is on disk, which depend on no pending write.
+    /// Returns the other messages.
+    fn send_immediate(&mut self, node: &mut RaftNode, messages: Vec<RaftMessage>) -> Vec<RaftMessage> {
         let persisted_term = self.state.log.hard_state.term;
-        let is_unpromising = |message: &RaftMessage| {
+        let is_immediate = |message: &RaftMessage| {
             message.get_msg_type() == MessageType::MsgHeartbeatResponse && message.term == persisted_term
         };
-        let (at_once, promises) = messages.into_iter().partition(is_unpromising);
-        self.send_from_node(node, at_once);
-        promises
+        let (immediate, deferred) = messages.into_iter().partition(is_immediate);
+        self.send_from_node(node, immediate);
+        deferred
     }
 
-    /// Writes the record, and sends the promises once it and all writes before it are on disk.
+    /// Writes the record, and sends the deferred messages once it and all earlier writes are on disk.
     fn persist(
         &mut self,
         now: Time,
         node: &mut RaftNode,
         record: Option<Record>,
         number: u64,
-        promises: Vec<RaftMessage>,
+        deferred: Vec<RaftMessage>,
     ) {
         if let Some(record) = record {
-            return self.write_for_raft(now, record, Some(number), promises);
+            return self.write_for_raft(now, record, Some(number), deferred);
         }
         match self.pending_writes.back().map(|write| write.ticket) {
             Some(ticket) => self.pending_writes.push_back(PendingWrite {
                 ticket,
                 record: None,
                 ready_number: Some(number),
-                messages: promises,
-                since: now,
+                messages: deferred,
+                started_at: now,
             }),
             None => {
                 node.raft.on_persist_ready(number);
-                self.send_from_node(node, promises);
+                self.send_from_node(node, deferred);
             }
         }
     }
@@ -136,7 +136,7 @@
     fn apply_entry(&mut self, now: Time, node: &mut RaftNode, entry: &Entry) {
         node.applied = entry.index;
         match entry.get_entry_type() {
-            // A leader's first entry of its term is empty.
+            // A new leader appends an empty entry.
             EntryType::EntryNormal if entry.data.is_empty() => {}
             EntryType::EntryNormal => self.apply_command(now, node, entry),
             EntryType::EntryConfChange | EntryType::EntryConfChangeV2 => {
@@ -178,7 +178,7 @@
         self.on_voter_replaced(change.id);
     }
 
-    /// Compacts the log into a snapshot once it is long, or the voters have changed.
+    /// Compacts the log into a snapshot if it is too long or the voters have changed.
     fn compact_log(&mut self, now: Time, node: &mut RaftNode) {
         let entries = node.raft.store().entries.len() as u64;
         if !node.voters_changed && entries <= self.times.max_log_entries {
@@ -186,7 +186,7 @@
         }
         let Ok(term) = node.raft.raft.raft_log.term(node.applied) else { return };
         let conf_state = node.raft.raft.prs().conf().to_conf_state();
-        // In a joint configuration; the next entry ends it.
+        // Wait for the entry that ends the joint configuration.
         if !conf_state.voters_outgoing.is_empty() {
             return;
         }
