--- a/crates/export/src/batch.rs
+++ b/crates/export/src/batch.rs
@@ -1,6 +1,6 @@
-//! The batch: the usage records of one sealed segment, summed by tenant, operation and window.
+//! Batches of usage: the records of one sealed segment, summed by tenant, operation and window.
 //!
-//! The field names on the wire and at the sink are older than those of the code; `serde(rename)` keeps them.
+//! Names in JSON differ from those in the code and must not change; `serde(rename)` sets them.
 
 use std::collections::BTreeMap;
 
@@ -8,51 +8,52 @@
 
 use crate::usage::{USAGE_RECORD_BYTES, UsageRecord};
 
-/// Most sums in one batch.
+/// Maximum number of sums in one batch.
 pub const MAX_SUMS_PER_BATCH: usize = 4_096;
 
-/// The records of one gatekeeper in one data directory. An emptied directory draws another id and so begins
-/// another stream: its numbers start again without being taken for those of the stream before.
+/// Identifies the usage records of one gatekeeper in one usage directory. An emptied directory gets a new
+/// id and so starts a new stream, whose batch numbers do not clash with those of the former one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StreamId {
     /// Name of the gatekeeper.
     pub gatekeeper: String,
-    /// Id of its usage directory, drawn when that is created.
+    /// Random id of its usage directory, chosen when the directory is created.
     #[serde(rename = "folder")]
     pub directory_id: u64,
 }
 
-/// What one tenant used in one window by one operation.
+/// Usage of one operation by one tenant in one window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UsageSum {
-    /// The tenant's hash, as in the usage record.
+    /// Hash of the tenant, as in the usage record.
     #[serde(rename = "customer")]
     pub tenant: u64,
-    /// The operation's index.
+    /// Index of the operation.
     pub operation: u8,
-    /// Whole windows since 1970.
+    /// Number of the window: whole windows since 1970.
     pub window: u32,
-    /// Thousandths of a unit.
+    /// Usage in thousandths of a unit.
     #[serde(rename = "milli")]
     pub milli_units: u64,
 }
 
-/// A numbered part of a stream. Numbers grow by one from 1; the content under a number never changes.
+/// A numbered part of a stream. Numbers are consecutive from 1; the content of a number never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The stream it is part of.
+    /// Stream of the batch.
     pub stream: StreamId,
-    /// Its number in the stream.
+    /// Number in the stream, starting at 1.
     pub number: u64,
-    /// By tenant, operation and window, in ascending order.
+    /// Sums, ordered by tenant, operation and window.
     pub sums: Vec<UsageSum>,
-    /// Records that could not be read: their units are missing from `sums`.
+    /// Number of records that could not be read. Their units are missing from `sums`.
     #[serde(rename = "unread")]
     pub unreadable_records: u64,
 }
 
 impl Batch {
-    /// The batch of one segment's bytes. A partial record at the end is left out: its request was never answered.
+    /// Creates the batch of a segment from its bytes. A partial record at the end is ignored, since its
+    /// request was never answered.
     pub fn from_segment(stream: StreamId, number: u64, segment: &[u8]) -> Batch {
         let mut totals: BTreeMap<(u64, u8, u32), u64> = BTreeMap::new();
         let mut unreadable_records = 0;
@@ -73,12 +74,12 @@
         Batch { stream, number, sums: sums.collect(), unreadable_records }
     }
 
-    /// All units of the batch, in thousandths.
+    /// Returns the total usage of the batch, in thousandths of a unit.
     pub fn milli_units(&self) -> u64 {
         self.sums.iter().map(|sum| sum.milli_units).sum()
     }
 
-    /// CRC-32 of the content: tells two contents under one number apart.
+    /// Returns the CRC-32 of the content, to detect different contents under the same number.
     pub fn checksum(&self) -> u32 {
         let mut hasher = crc32fast::Hasher::new();
         for sum in &self.sums {
--- a/crates/export/src/lib.rs
+++ b/crates/export/src/lib.rs
@@ -1,18 +1,18 @@
-//! Exactly-once export of usage from the gatekeepers to a sink. No I/O, clock or thread: `crates/cluster` has
-//! the files and sockets, `crates/fakes` a sink.
+//! Exactly-once export of usage from the gatekeepers to a sink. Performs no I/O: `crates/cluster` has the
+//! files and sockets, `crates/fakes` a sink.
 //!
-//! Each gatekeeper appends a [`UsageRecord`] to disk before it hands a succeeded response to its client, seals
-//! what it wrote into numbered [`Batch`]es, and deletes a batch only once the sink has it. The owner of the duty
-//! `export` carries batches to the sink. A batch is the same whoever carries it and however often: its key is
-//! the [`StreamId`] and the number, so the sink stores each once and in order, and refuses a caller whose epoch
-//! is lower than one it saw ([`SinkState`]).
+//! Each gatekeeper appends a [`UsageRecord`] to disk before it returns a successful response to its client,
+//! seals its records into numbered [`Batch`]es, and deletes a batch only after the sink has stored it. The
+//! owner of the duty `export` sends the batches to the sink. The [`StreamId`] and the batch number are an
+//! idempotency key: the sink stores each batch once and in order. It refuses an epoch lower than the
+//! highest one that it has seen, so that a former owner can't write ([`SinkState`]).
 //!
 //! | file | content |
 //! | --- | --- |
-//! | `usage.rs` | the usage record and its bytes |
+//! | `usage.rs` | usage records and their layout |
 //! | `batch.rs` | batches and streams |
-//! | `sink.rs` | what a sink decides and replies |
-//! | `progress.rs` | what the owner of the duty knows in one epoch |
+//! | `sink.rs` | decisions and replies of a sink |
+//! | `progress.rs` | progress of the owner of the duty within one epoch |
 #![forbid(unsafe_code)]
 
 mod batch;
--- a/crates/export/src/progress.rs
+++ b/crates/export/src/progress.rs
@@ -1,59 +1,60 @@
-//! What the owner of the duty `export` knows within one epoch: how far the sink is with each stream, and which
-//! streams it can't export whole.
+//! Progress of the owner of the duty `export` within one epoch: the position of the sink in each stream,
+//! and the streams that can't be exported completely.
 
 use std::collections::BTreeMap;
 
 use crate::batch::{Batch, StreamId};
 use crate::sink::{BatchReply, StreamPosition, StreamStatus};
 
-/// A stream whose gatekeeper did not answer for so many rounds is reported incomplete.
+/// Number of rounds without an answer of the gatekeeper after which a stream is reported incomplete.
 pub(crate) const MAX_MISSED_ROUNDS: u32 = 12;
 
-/// What a stream's gatekeeper last said.
+/// Last answer of the gatekeeper of a stream.
 #[derive(Clone, Copy, Debug)]
-struct Observed {
-    /// Thousandths of a unit not exported yet; `None`: it never answered this owner.
+struct GatekeeperAnswer {
+    /// Usage not exported yet, in thousandths of a unit; `None` if it never answered this owner.
     pending_milli_units: Option<u64>,
-    /// Rounds since it answered; 1 at the end of the round in which it did.
+    /// Rounds since the answer; 1 at the end of the round in which it was received.
     rounds_ago: u32,
 }
 
-/// A hole between the sink and a gatekeeper: the batches between the two numbers are at neither.
+/// Missing batches: those from `expected` up to but not including `offered` are neither at the sink nor at
+/// the gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchGap {
-    /// The batch the sink takes next.
+    /// Number of the next batch that the sink accepts.
     pub expected: u64,
-    /// The first one that the gatekeeper still has.
+    /// Number of the first batch that the gatekeeper still has.
     pub offered: u64,
 }
 
-/// The progress of the export.
+/// Progress of the export.
 #[derive(Clone, Debug, Default)]
 pub struct ExportProgress {
     epoch: u64,
-    /// As the sink has them; `None`: it has not been asked in this epoch.
+    /// Positions of the sink, by stream; `None` if they have to be requested.
     sink_positions: Option<BTreeMap<StreamId, StreamPosition>>,
     gaps: BTreeMap<StreamId, BatchGap>,
-    observed: BTreeMap<StreamId, Observed>,
-    /// By stream, whether the sink was last told that it is complete.
+    answers: BTreeMap<StreamId, GatekeeperAnswer>,
+    /// Last status stored by the sink, by stream: `true` if complete.
     reported_complete: BTreeMap<StreamId, bool>,
 }
 
 impl ExportProgress {
-    /// The owner acts in `epoch` from now on. What an earlier epoch knew is forgotten: another owner may have
-    /// written since.
+    /// Starts an epoch. Discards the progress of an earlier epoch, since another owner may have written to
+    /// the sink in the meantime.
     pub fn begin_epoch(&mut self, epoch: u64) {
         if self.epoch != epoch {
             *self = ExportProgress { epoch, ..ExportProgress::default() };
         }
     }
 
-    /// Whether the sink has said how far it is.
+    /// Returns `true` if the positions of the sink are known.
     pub fn has_sink_positions(&self) -> bool {
         self.sink_positions.is_some()
     }
 
-    /// The sink said how far it is, and which streams it holds for incomplete.
+    /// Sets the positions and the incomplete streams that the sink reported.
     pub fn set_sink_positions(
         &mut self,
         positions: BTreeMap<StreamId, StreamPosition>,
@@ -63,45 +64,46 @@
         self.reported_complete.extend(incomplete.into_iter().map(|stream| (stream, false)));
     }
 
-    /// The last batch of a stream that the sink has, 0 for none: the gatekeeper may delete all up to it. `None`:
-    /// the sink has not been asked.
+    /// Returns the number of the last batch of a stream that the sink has stored, 0 if it has none, or
+    /// `None` if the positions of the sink are not known. The gatekeeper may delete all batches up to it.
     pub fn stored_up_to(&self, stream: &StreamId) -> Option<u64> {
         let positions = self.sink_positions.as_ref()?;
         Some(positions.get(stream).map_or(0, |position| position.number))
     }
 
-    /// The gap in a stream, where there is one.
+    /// Returns the gap in a stream, if there is one.
     pub fn gap(&self, stream: &StreamId) -> Option<BatchGap> {
         self.gaps.get(stream).copied()
     }
 
-    /// A gatekeeper answered: this is its stream, and so much of it is not exported yet.
+    /// Records the answer of a gatekeeper: its stream and the usage that is not exported yet.
     pub fn observe(&mut self, stream: &StreamId, pending_milli_units: u64) {
-        let observed = Observed { pending_milli_units: Some(pending_milli_units), rounds_ago: 0 };
-        self.observed.insert(stream.clone(), observed);
+        let answer = GatekeeperAnswer { pending_milli_units: Some(pending_milli_units), rounds_ago: 0 };
+        self.answers.insert(stream.clone(), answer);
     }
 
-    /// Every gatekeeper was asked once. Returns what the sink is to be told: streams that went unanswered for
-    /// long, those whose gatekeeper has begun another directory, and those that are complete again.
+    /// Called after each gatekeeper was asked once. Returns the statuses to send to the sink: streams whose
+    /// gatekeeper has not answered for too long or has started a new directory, and streams that are
+    /// complete again.
     pub fn finish_round(&mut self) -> Vec<StreamStatus> {
         let Some(positions) = &self.sink_positions else { return Vec::new() };
-        for observed in self.observed.values_mut() {
-            observed.rounds_ago += 1;
+        for answer in self.answers.values_mut() {
+            answer.rounds_ago += 1;
         }
         for stream in positions.keys() {
-            let never = Observed { pending_milli_units: None, rounds_ago: 1 };
-            self.observed.entry(stream.clone()).or_insert(never);
+            let no_answer = GatekeeperAnswer { pending_milli_units: None, rounds_ago: 1 };
+            self.answers.entry(stream.clone()).or_insert(no_answer);
         }
-        self.observed.iter().filter_map(|(stream, observed)| self.changed_status(stream, *observed)).collect()
+        self.answers.iter().filter_map(|(stream, answer)| self.changed_status(stream, *answer)).collect()
     }
 
-    /// The status of a stream where it is another than the sink was told.
-    fn changed_status(&self, stream: &StreamId, observed: Observed) -> Option<StreamStatus> {
+    /// Returns the status of a stream if it differs from the one stored by the sink.
+    fn changed_status(&self, stream: &StreamId, answer: GatekeeperAnswer) -> Option<StreamStatus> {
         let was_complete = self.reported_complete.get(stream).copied().unwrap_or(true);
-        let is_replaced = observed.rounds_ago > 1 && self.has_newer_directory(stream);
-        let is_overdue = observed.rounds_ago > MAX_MISSED_ROUNDS;
-        // A stream that this owner never heard of stays as the owner before it reported it.
-        let is_known = observed.pending_milli_units.is_some() || was_complete;
+        let is_replaced = answer.rounds_ago > 1 && self.has_newer_directory(stream);
+        let is_overdue = answer.rounds_ago > MAX_MISSED_ROUNDS;
+        // A stream without any answer in this epoch keeps the status that an earlier owner reported.
+        let is_known = answer.pending_milli_units.is_some() || was_complete;
         let complete = is_known && !is_overdue && !is_replaced;
         let reason = match (complete, is_replaced) {
             (true, _) => "heard again",
@@ -112,26 +114,27 @@
             stream: stream.clone(),
             complete,
             reason: reason.to_string(),
-            last_pending_milli_units: observed.pending_milli_units,
+            last_pending_milli_units: answer.pending_milli_units,
         })
     }
 
-    /// Whether the gatekeeper of `stream` answered in this round with another directory.
+    /// Returns `true` if the gatekeeper of `stream` answered in this round with another directory.
     fn has_newer_directory(&self, stream: &StreamId) -> bool {
-        self.observed.iter().any(|(other, observed)| {
+        self.answers.iter().any(|(other, answer)| {
             other.gatekeeper == stream.gatekeeper
                 && other.directory_id != stream.directory_id
-                && observed.rounds_ago == 1
+                && answer.rounds_ago == 1
         })
     }
 
-    /// The sink has stored a status.
+    /// Called when the sink has stored a status.
     pub fn status_stored(&mut self, status: &StreamStatus) {
         self.reported_complete.insert(status.stream.clone(), status.complete);
     }
 
-    /// Whether this batch is the one to be sent now. One that leaves a gap is not: the gap is kept and reported,
-    /// as the gatekeeper deleted what lies between only because the sink once had it.
+    /// Returns `true` if this batch is the next one to send. A batch that would leave a gap is not sent;
+    /// the gap is recorded. It means that the sink lost batches, since a gatekeeper deletes only batches
+    /// that the sink had stored.
     pub fn is_next(&mut self, batch: &Batch) -> bool {
         let Some(stored) = self.stored_up_to(&batch.stream) else { return false };
         let expected = stored + 1;
@@ -144,8 +147,8 @@
         batch.number == expected
     }
 
-    /// The sink replied to a batch. Returns whether the export goes on; if not, the sink must be asked again how
-    /// far it is, or the caller owns the duty no longer.
+    /// Handles the reply of the sink to a batch. Returns `false` if it was not accepted: the positions of
+    /// the sink must be requested again, or the caller does not own the duty any more.
     pub fn apply_reply(&mut self, batch: &Batch, reply: &BatchReply) -> bool {
         if !matches!(reply, BatchReply::Accepted { .. }) {
             self.sink_positions = None;
--- a/crates/export/src/sink.rs
+++ b/crates/export/src/sink.rs
@@ -1,7 +1,7 @@
-//! What a sink decides: which epochs it has seen, and which batch of each stream is next.
+//! State of a sink: the highest epoch that it has seen and its position in each stream.
 //!
-//! [`SinkState`] does no I/O. The sink asks for a decision, stores what it is about to acknowledge, and only then
-//! records it here.
+//! [`SinkState`] performs no I/O. The sink checks a batch, persists it, and then updates the state before it
+//! acknowledges the batch.
 
 use std::collections::BTreeMap;
 
@@ -9,85 +9,87 @@
 
 use crate::batch::{Batch, StreamId};
 
-/// The last batch of a stream that a sink has.
+/// Position of a sink in a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamPosition {
-    /// Number of that batch; 0: none yet.
+    /// Number of the last stored batch; 0 if there is none.
     pub number: u64,
     /// [`Batch::checksum`] of that batch.
     pub checksum: u32,
-    /// All units of the stream so far, in thousandths.
+    /// Total usage of all stored batches, in thousandths of a unit.
     #[serde(rename = "milli")]
     pub milli_units: u64,
 }
 
-/// Whether a sink has all of a stream, as the exporter tells it. The sink names the incomplete ones, so that what
-/// is missing is not missing silently.
+/// Completeness of a stream, reported by the exporter. The sink keeps the incomplete streams, so that
+/// missing usage is visible.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamStatus {
-    /// The stream.
+    /// Stream to which the status applies.
     pub stream: StreamId,
-    /// False: something of the stream may be missing.
+    /// `false` if usage may be missing.
     #[serde(rename = "known")]
     pub complete: bool,
-    /// Why, for people.
+    /// Human-readable reason.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Thousandths of a unit that were not exported yet when the gatekeeper last answered; `None`: it never
-    /// answered this owner.
+    /// Usage not exported yet when the gatekeeper last answered, in thousandths of a unit; `None` if it
+    /// never answered this owner.
     #[serde(rename = "last_known_milli")]
     pub last_pending_milli_units: Option<u64>,
 }
 
-/// A sink's reply to a batch.
+/// Reply of a sink to a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "says")]
 pub enum BatchReply {
-    /// The batch is stored, once.
+    /// The batch is stored.
     #[serde(rename = "taken")]
     Accepted {
-        /// It was stored by an earlier call.
+        /// `true` if an earlier call stored it.
         #[serde(rename = "again")]
         already_stored: bool,
     },
-    /// A higher epoch was seen: the caller owns the duty no longer.
+    /// The sink has seen a higher epoch, so the caller does not own the duty any more.
     #[serde(rename = "refused")]
     Fenced {
-        /// The highest epoch the sink saw.
+        /// Highest epoch that the sink has seen.
         #[serde(rename = "seen")]
         highest_epoch: u64,
     },
-    /// The batches from `expected` on were not brought, or the sink was restored from an earlier copy.
+    /// The batch number is too high: batches from `expected` on are missing, for example because the sink
+    /// was restored from a backup.
     Gap {
-        /// The number it takes next.
+        /// Number of the next batch that the sink accepts.
         #[serde(rename = "wanted")]
         expected: u64,
     },
-    /// Another content is stored under this number.
+    /// A batch with other content is stored under this number.
     #[serde(rename = "differs")]
     Conflict,
 }
 
-/// The state of a sink.
+/// State of a sink.
 #[derive(Clone, Debug, Default)]
 pub struct SinkState {
-    /// The highest epoch that any caller presented.
+    /// Highest epoch that any caller presented.
     pub highest_epoch: u64,
-    /// By stream, the last batch stored.
+    /// Positions by stream.
     pub positions: BTreeMap<StreamId, StreamPosition>,
-    /// Streams of which something may be missing.
+    /// Status of the streams of which usage may be missing.
     pub incomplete: BTreeMap<StreamId, StreamStatus>,
 }
 
 impl SinkState {
-    /// A caller presents its epoch; returns false where a higher one was seen.
+    /// Records the epoch of a caller. Returns `false` if a higher epoch was seen before.
     pub fn observe_epoch(&mut self, epoch: u64) -> bool {
         let is_current = epoch >= self.highest_epoch;
         self.highest_epoch = self.highest_epoch.max(epoch);
         is_current
     }
 
-    /// The reply to a batch. Changes nothing: an accepted one is to be stored, then given to [`Self::store`].
+    /// Returns the reply to a batch, without changing the state. The sink must persist an accepted batch
+    /// that is not stored yet, then call [`Self::store`].
     pub fn check(&self, epoch: u64, batch: &Batch) -> BatchReply {
         if epoch < self.highest_epoch {
             return BatchReply::Fenced { highest_epoch: self.highest_epoch };
@@ -104,7 +106,7 @@
         }
     }
 
-    /// An accepted batch is on disk.
+    /// Records an accepted batch that has been persisted.
     pub fn store(&mut self, epoch: u64, batch: &Batch) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         let position = self.positions.entry(batch.stream.clone()).or_default();
@@ -113,7 +115,7 @@
         position.milli_units += batch.milli_units();
     }
 
-    /// The status of a stream is on disk.
+    /// Records the status of a stream that has been persisted.
     pub fn store_status(&mut self, epoch: u64, status: &StreamStatus) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if status.complete {
--- a/crates/export/src/tests.rs
+++ b/crates/export/src/tests.rs
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn a_segment_is_summed_and_damage_is_counted() {
+fn segment_is_summed_and_damaged_records_are_counted() {
     let mut bytes = segment(&[1_000, 2_000]);
     bytes.extend(UsageRecord { tenant: 6, operation: 0, window: 9, milli_units: 500 }.to_bytes());
     let whole = Batch::from_segment(stream(), 1, &bytes);
     assert_eq!((whole.sums.len(), whole.milli_units(), whole.unreadable_records), (2, 3_500, 0));
-    // A kill cuts the last record short; a changed byte is counted.
+    // A partial record at the end is ignored; a damaged record is counted.
     assert_eq!(Batch::from_segment(stream(), 1, &bytes[..bytes.len() - 1]).milli_units(), 3_000);
     bytes[20] ^= 1;
     let damaged = Batch::from_segment(stream(), 1, &bytes);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_sink_stores_each_batch_once_and_in_order() {
+fn sink_stores_each_batch_once_and_in_order() {
     let batch = |number, milli: u32| Batch::from_segment(stream(), number, &segment(&[milli]));
     let accepted = |already_stored| BatchReply::Accepted { already_stored };
     let steps = [
@@ -52,8 +52,8 @@
     assert!(!sink.observe_epoch(4) && sink.observe_epoch(6) && !sink.observe_epoch(5));
 }
 
-/// A stream that goes unanswered for long is reported once, and once more when it is answered again; one whose
-/// gatekeeper has another directory at once.
+/// A stream whose gatekeeper does not answer is reported incomplete once after several rounds, and complete
+/// once when it answers again. If the gatekeeper has a new directory, the old stream is reported at once.
 #[test]
 fn incomplete_streams_are_reported_once() {
     let other = StreamId { gatekeeper: "g1".to_string(), directory_id: 8 };
@@ -78,7 +78,7 @@
     assert_eq!(reported(&mut progress), [(7, false, Some(700))]);
     progress.observe(&other, 0);
     assert_eq!(reported(&mut progress), []);
-    // The next owner never heard of it, and the sink holds it for incomplete already.
+    // In the next epoch the gatekeeper has not answered, and the sink already has the stream as incomplete.
     progress.begin_epoch(2);
     progress.set_sink_positions([(stream(), StreamPosition::default())].into(), vec![stream()]);
     progress.observe(&other, 0);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_owner_sends_nothing_before_it_asked_the_sink() {
+fn owner_sends_nothing_before_the_sink_positions_are_known() {
     let batch = |number| Batch::from_segment(stream(), number, &segment(&[10]));
     let mut progress = ExportProgress::default();
     progress.begin_epoch(3);
@@ -95,11 +95,11 @@
     assert!(progress.is_next(&batch(1)));
     assert!(progress.apply_reply(&batch(1), &BatchReply::Accepted { already_stored: false }));
     assert!(!progress.is_next(&batch(1)) && progress.is_next(&batch(2)));
-    // A gap is kept until what is missing comes.
+    // The gap remains until the missing batch is offered.
     assert!(!progress.is_next(&batch(4)));
     assert_eq!(progress.gap(&stream()), Some(BatchGap { expected: 2, offered: 4 }));
     assert!(progress.is_next(&batch(2)) && progress.gap(&stream()).is_none());
-    // Its epoch is over, or the sink was restored from an earlier copy: it asks anew.
+    // A reply other than accepted, and a new epoch, discard the positions of the sink.
     let fenced = BatchReply::Fenced { highest_epoch: 9 };
     assert!(!progress.apply_reply(&batch(2), &fenced) && !progress.has_sink_positions());
     progress.set_sink_positions(BTreeMap::new(), Vec::new());
--- a/crates/export/src/usage.rs
+++ b/crates/export/src/usage.rs
@@ -1,21 +1,22 @@
-//! The usage record: the units of one succeeded request, in the fixed-size form that a gatekeeper appends to disk.
+//! Usage records: the units of one successful request, in the fixed-size layout that a gatekeeper appends
+//! to disk.
 //!
 //! | bytes | content, integers big-endian |
 //! | --- | --- |
-//! | 0 | version of this layout |
+//! | 0 | layout version |
 //! | 1 | operation |
 //! | 2 and 3 | zero |
-//! | 4 to 11 | tenant |
+//! | 4 to 11 | hash of the tenant |
 //! | 12 to 15 | window |
-//! | 16 to 19 | thousandths of a unit |
+//! | 16 to 19 | usage in thousandths of a unit |
 //! | 20 to 27 | zero |
 //! | 28 to 31 | CRC-32 of all bytes before |
 
 use std::ops::Range;
 
-/// Length of a record on disk, in bytes.
+/// Length of a record on disk.
 pub const USAGE_RECORD_BYTES: usize = 32;
-/// Length of a window, in seconds since 1970.
+/// Length of a window. Windows are counted from 1970.
 pub const WINDOW_SECONDS: u64 = 60;
 
 const LAYOUT_VERSION: u8 = 1;
@@ -26,21 +27,21 @@
 const MILLI_UNITS_AT: Range<usize> = 16..20;
 const CHECKSUM_AT: Range<usize> = 28..USAGE_RECORD_BYTES;
 
-/// The units of one succeeded request.
+/// Usage of one successful request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageRecord {
-    /// The tenant's hash.
+    /// Hash of the tenant.
     pub tenant: u64,
-    /// The operation's index.
+    /// Index of the operation.
     pub operation: u8,
-    /// Whole windows since 1970 at the time of the final response.
+    /// Window of the final response: whole windows since 1970.
     pub window: u32,
-    /// Thousandths of a unit.
+    /// Usage in thousandths of a unit.
     pub milli_units: u32,
 }
 
 impl UsageRecord {
-    /// The record as it is stored.
+    /// Encodes the record.
     pub fn to_bytes(&self) -> [u8; USAGE_RECORD_BYTES] {
         let mut bytes = [0; USAGE_RECORD_BYTES];
         bytes[VERSION_AT] = LAYOUT_VERSION;
@@ -53,7 +54,7 @@
         bytes
     }
 
-    /// The record in `bytes`; `None` where length, version or checksum do not match.
+    /// Decodes a record. Returns `None` if the length, version or checksum does not match.
     pub fn from_bytes(bytes: &[u8]) -> Option<UsageRecord> {
         let bytes: &[u8; USAGE_RECORD_BYTES] = bytes.try_into().ok()?;
         let checksum = crc32fast::hash(&bytes[..CHECKSUM_AT.start]).to_be_bytes();
--- a/crates/export/tests/golden.rs
+++ b/crates/export/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What lies on disks and goes to the sink keeps its names: written and read as by the builds before.
+//! Golden tests: the formats of usage records and of messages to the sink are stable.
 
 use std::fmt::Debug;
 use std::fs;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn messages_to_the_sink_keep_their_names() {
+fn format_of_sink_messages_is_stable() {
     let stream = StreamId { gatekeeper: "g1".to_string(), directory_id: 7 };
     let sums = vec![UsageSum { tenant: 5, operation: 1, window: 29_000_000, milli_units: 2_500 }];
     check("batch.json", &Batch { stream: stream.clone(), number: 3, sums, unreadable_records: 1 });
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn records_of_use_keep_their_form() {
+fn format_of_usage_records_is_stable() {
     let record = UsageRecord { tenant: 0xb4d6_5521, operation: 2, window: 29_000_000, milli_units: 1_500 };
     let bytes: [u8; USAGE_RECORD_BYTES] = record.to_bytes();
     let path = golden("use.bin");
--- a/crates/record-log/src/error.rs
+++ b/crates/record-log/src/error.rs
@@ -1,67 +1,67 @@
-//! Why a log can't be opened or written.
+//! Errors of opening, reading and writing a log.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::format::{MAX_RECORD, VERSION};
+use crate::format::{MAX_RECORD_BYTES, VERSION};
 
-/// Why a log can't be opened or written.
+/// Error of opening or writing a log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Another process has the folder open, and may be about to end.
+    /// Another process has the directory open. A retry succeeds once that process has ended.
     #[error("{}: another process has this folder open", .0.display())]
     InUse(PathBuf),
-    /// The folder holds the records of somebody else.
-    #[error("{}: the records are those of {found}, not of {wanted}; name another folder", path.display())]
+    /// The directory holds the records of another owner.
+    #[error("{}: the records are those of {found}, not of {wanted}; choose another folder", path.display())]
     OtherOwner {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Whose records it holds.
+        /// Owner recorded in the file.
         found: String,
-        /// Whose were asked for.
+        /// Owner passed to `RecordLog::open`.
         wanted: String,
     },
-    /// The file is not as it was written. Trying again does not help.
+    /// The file is corrupted. A retry does not help.
     #[error(
-        "{}: damaged at byte {offset}, in record {number}: {reason}; put the file aside or bring it back from a copy",
+        "{}: damaged at byte {offset}, in record {number}: {reason}; move the file away or restore a backup",
         path.display()
     )]
     Damaged {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where, in bytes.
+        /// Offset of the damage, in bytes.
         offset: u64,
-        /// In which record; 0 in the head of the file.
+        /// Number of the damaged record; 0 for the header of the file.
         number: u64,
-        /// What is wrong.
+        /// Kind of damage.
         reason: &'static str,
     },
-    /// A newer program wrote the file.
-    #[error("{}: written by a newer program (layout {found}, this one knows {VERSION})", path.display())]
+    /// A newer version of the program wrote the file.
+    #[error("{}: written by a newer version (layout {found}, supported up to {VERSION})", path.display())]
     UnsupportedVersion {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The version of its layout.
+        /// Layout version of the file.
         found: u8,
     },
-    /// The disk is full. Trying again helps once there is room.
+    /// The disk is full. A retry succeeds once there is room.
     #[error("{}: the disk is full", .0.display())]
     DiskFull(PathBuf),
-    /// A record is too long, in bytes.
-    #[error("a record of {0} bytes is longer than {MAX_RECORD}")]
+    /// A record of this many bytes is too long.
+    #[error("a record of {0} bytes is longer than the maximum of {MAX_RECORD_BYTES} bytes")]
     RecordTooLong(usize),
-    /// The system refuses to read or write. Trying again may help.
+    /// The operating system reported an error. A retry may succeed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file or folder.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl Error {
-    /// For `map_err`: the error of an operation on a file.
+    /// Returns a function for `map_err` that converts the error of an operation on `path`.
     pub(crate) fn io(path: &Path) -> impl FnOnce(io::Error) -> Error + use<> {
         let path = path.to_path_buf();
         move |source| match source.kind() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether a later try may succeed once there is room on the disk.
+    /// Returns `true` if the disk is full.
     pub fn is_disk_full(&self) -> bool {
         matches!(self, Error::DiskFull(_))
     }
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -1,11 +1,13 @@
-//! Durable records: appended, each with a checksum and the hash of all before it, and synced before it counts.
+//! Append-only log of durable records with checksums and a hash chain.
 //!
-//! Contract: what `append` or the [`Writer`] reports as written survives a kill and a loss of power. What can be wrong with a
-//! file is told apart: an end that was torn by a kill is cut off and reported as a [`Repair`]; a changed byte, another owner's
-//! folder, a folder in use and a full disk are each an [`Error`] of their own, and nothing is changed. What the bytes mean is
-//! not known here. Nothing here runs on a coroutine's thread: [`Writer`] has a thread of its own.
+//! A record that `append` or the [`Writer`] reports as written survives a crash and a loss of power. When a
+//! log is opened, an incomplete record at the end is cut off and reported as a [`Repair`]. A corrupted
+//! file, the directory of another owner, a directory in use and a full disk are reported as different
+//! [`Error`]s, and the records are not changed. The content of records is opaque.
 //!
-//! Names of files and their layout lie on disks and stay; `tests/golden.rs` holds them.
+//! All functions of [`RecordLog`] block on the disk; [`Writer`] calls them on its own thread.
+//!
+//! File names and their layout are stored on disk and must not change; `tests/golden.rs` checks them.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -1,4 +1,4 @@
-//! The log: opening, appending, rewriting.
+//! Opening, appending to and rewriting a log.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -8,65 +8,66 @@
 use nix::fcntl::{Flock, FlockArg};
 
 use crate::error::Error;
-use crate::format::{self, ChainHash, Contents, MAX_RECORD};
+use crate::format::{self, ChainHash, Contents, MAX_RECORD_BYTES};
 
-const FILE: &str = "ledger";
-/// The file while it is being rewritten.
-const NEXT_FILE: &str = "ledger.next";
-const LOCK_FILE: &str = "lock";
-/// How many characters of the owner's name count.
-const MAX_OWNER: usize = 60;
+const FILE_NAME: &str = "ledger";
+/// Temporary file into which a rewrite goes before it replaces the log.
+const REWRITE_FILE_NAME: &str = "ledger.next";
+const LOCK_FILE_NAME: &str = "lock";
+/// Length to which the owner's name is truncated, in characters.
+const MAX_OWNER_CHARS: usize = 60;
 
-/// What was mended on opening.
+/// Repair that was made when the log was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Repair {
-    /// The last record was incomplete when the process ended, and is cut off. It was never reported as written.
+    /// The last record was incomplete and was cut off. It had never been reported as written.
     TornEnd {
-        /// Its number.
+        /// Number of the record.
         number: u64,
-        /// How many bytes were cut off.
+        /// Number of bytes that were cut off.
         bytes: u64,
     },
-    /// The process ended while the file was being rewritten: the old one stands.
+    /// A rewrite was interrupted. Its temporary file was removed; the old log is unchanged.
     Leftover,
 }
 
-/// Stands for a disk that fails, in fault injection: called before each write.
+/// Fault injection: called before each write, which fails if this returns an error.
 pub type WriteFault = Arc<dyn Fn() -> io::Result<()> + Send + Sync>;
 
-/// An open log. One process at a time has a folder open.
+/// An open log. Only one process at a time can have a directory open.
 pub struct RecordLog {
-    folder: PathBuf,
+    directory: PathBuf,
     path: PathBuf,
     owner: String,
     file: File,
-    /// Up to here it is complete, in bytes.
+    /// Length of the header and all records, in bytes.
     end: u64,
+    /// Number of the last record.
     number: u64,
     hash: ChainHash,
     fault: Option<WriteFault>,
     _lock: Flock<File>,
 }
 
-/// A log and what was found in it.
+/// Result of opening a log.
 pub struct OpenedLog {
-    /// The log.
+    /// The open log.
     pub log: RecordLog,
-    /// Its records, in their order.
+    /// All records, in order.
     pub records: Vec<Vec<u8>>,
-    /// What was mended.
+    /// Repairs that were made.
     pub repairs: Vec<Repair>,
 }
 
-fn sync_folder(folder: &Path) -> Result<(), Error> {
-    File::open(folder).and_then(|f| f.sync_all()).map_err(Error::io(folder))
+fn sync_directory(directory: &Path) -> Result<(), Error> {
+    File::open(directory).and_then(|directory| directory.sync_all()).map_err(Error::io(directory))
 }
 
-fn lock(folder: &Path) -> Result<Flock<File>, Error> {
-    let path = folder.join(LOCK_FILE);
+fn lock(directory: &Path) -> Result<Flock<File>, Error> {
+    let path = directory.join(LOCK_FILE_NAME);
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
     let file = file.map_err(Error::io(&path))?;
-    Flock::lock(file, FlockArg::LockExclusiveNonblock).map_err(|_| Error::InUse(folder.to_path_buf()))
+    Flock::lock(file, FlockArg::LockExclusiveNonblock).map_err(|_| Error::InUse(directory.to_path_buf()))
 }
 
 fn check_fault(fault: Option<&WriteFault>) -> io::Result<()> {
@@ -74,64 +75,65 @@
 }
 
 impl RecordLog {
-    /// Opens the log of that owner in a folder, both created where they are not there yet. Of the owner's name 60 characters
-    /// count.
+    /// Opens the log of an owner in a directory. Creates the directory and the log if they do not exist.
+    /// Only the first 60 characters of the owner's name are used.
     ///
     /// # Errors
-    /// Each thing that can be wrong is one of its own; nothing is changed then.
-    pub fn open(folder: &Path, owner: &str, fault: Option<WriteFault>) -> Result<OpenedLog, Error> {
-        let owner: String = owner.chars().take(MAX_OWNER).collect();
-        fs::create_dir_all(folder).map_err(Error::io(folder))?;
-        let lock = lock(folder)?;
-        let path = folder.join(FILE);
+    /// If the directory is in use, belongs to another owner, or the log can't be read or written. The
+    /// records on disk are not changed then.
+    pub fn open(directory: &Path, owner: &str, fault: Option<WriteFault>) -> Result<OpenedLog, Error> {
+        let owner: String = owner.chars().take(MAX_OWNER_CHARS).collect();
+        fs::create_dir_all(directory).map_err(Error::io(directory))?;
+        let lock = lock(directory)?;
+        let path = directory.join(FILE_NAME);
         let mut repairs = Vec::new();
-        if fs::remove_file(folder.join(NEXT_FILE)).is_ok() {
+        if fs::remove_file(directory.join(REWRITE_FILE_NAME)).is_ok() {
             repairs.push(Repair::Leftover);
         }
         if !path.exists() {
             check_fault(fault.as_ref()).map_err(Error::io(&path))?;
-            replace(folder, &format::encode_head(&owner, &ChainHash::default()))?;
+            replace(directory, &format::encode_header(&owner, &ChainHash::default()))?;
         }
         let mut file = OpenOptions::new().read(true).write(true).open(&path).map_err(Error::io(&path))?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).map_err(Error::io(&path))?;
-        let Contents { records, end, number, hash, torn } = format::read(&path, &bytes, &owner)?;
-        if let Some(torn) = torn {
+        let Contents { records, end, number, hash, torn_end } = format::read(&path, &bytes, &owner)?;
+        if let Some(torn_end) = torn_end {
             file.set_len(end).and_then(|()| file.sync_all()).map_err(Error::io(&path))?;
-            repairs.push(torn);
+            repairs.push(torn_end);
         }
-        let folder = folder.to_path_buf();
-        let log = RecordLog { folder, path, owner, file, end, number, hash, fault, _lock: lock };
+        let directory = directory.to_path_buf();
+        let log = RecordLog { directory, path, owner, file, end, number, hash, fault, _lock: lock };
         Ok(OpenedLog { log, records, repairs })
     }
 
-    /// How long the file is, in bytes.
+    /// Returns the length of the file, in bytes.
     pub fn len(&self) -> u64 {
         self.end
     }
 
-    /// Whether it holds no record.
+    /// Returns `true` if the log holds no records.
     pub fn is_empty(&self) -> bool {
         self.number == 0
     }
 
-    /// The hash of all records.
+    /// Returns the hash of all records.
     pub fn chain_hash(&self) -> ChainHash {
         self.hash
     }
 
-    /// Appends a record; its number. When this returns the record is on disk, whatever happens next.
+    /// Appends a record and syncs it to disk. Returns the number of the record.
     ///
     /// # Errors
-    /// Where it can't be written; what was there before still is, and a later try may succeed.
+    /// If the record is too long or can't be written. Earlier records are kept, and a retry may succeed.
     pub fn append(&mut self, content: &[u8]) -> Result<u64, Error> {
-        if content.len() > MAX_RECORD {
+        if content.len() > MAX_RECORD_BYTES {
             return Err(Error::RecordTooLong(content.len()));
         }
         let mut hash = self.hash;
         let bytes = format::encode_record(&mut hash, self.number + 1, content);
         if let Err(e) = self.write(&bytes) {
-            // What was partly written must not be taken for a record, nor be in the way of the next.
+            // Remove a partly written record, so that the next one follows the last complete one.
             let _ = self.file.set_len(self.end);
             return Err(Error::io(&self.path)(e));
         }
@@ -148,18 +150,19 @@
         self.file.sync_data()
     }
 
-    /// Rewrites the file with these records only. The chain goes on: the new head holds the hash of all before.
+    /// Replaces all records by these. The hash chain continues: the new header holds the hash of all
+    /// earlier records.
     ///
     /// # Errors
-    /// Where it can't be written; the old file stands then.
+    /// If the new file can't be written; the old file is kept if it was not replaced yet.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), Error> {
         check_fault(self.fault.as_ref()).map_err(Error::io(&self.path))?;
         let mut hash = self.hash;
-        let mut bytes = format::encode_head(&self.owner, &hash);
+        let mut bytes = format::encode_header(&self.owner, &hash);
         for (number, content) in (1..).zip(records) {
             bytes.extend(format::encode_record(&mut hash, number, content));
         }
-        replace(&self.folder, &bytes)?;
+        replace(&self.directory, &bytes)?;
         let file = OpenOptions::new().read(true).write(true).open(&self.path);
         self.file = file.map_err(Error::io(&self.path))?;
         (self.end, self.number, self.hash) = (bytes.len() as u64, records.len() as u64, hash);
@@ -167,15 +170,15 @@
     }
 }
 
-/// Puts a complete file in the place of the old one, or leaves the old one.
-fn replace(folder: &Path, bytes: &[u8]) -> Result<(), Error> {
-    let (next, path) = (folder.join(NEXT_FILE), folder.join(FILE));
+/// Replaces the log atomically by a file with these bytes.
+fn replace(directory: &Path, bytes: &[u8]) -> Result<(), Error> {
+    let (temporary, path) = (directory.join(REWRITE_FILE_NAME), directory.join(FILE_NAME));
     let write = || {
-        let mut file = File::create(&next)?;
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&next, &path)
+        fs::rename(&temporary, &path)
     };
     write().map_err(Error::io(&path))?;
-    sync_folder(folder)
+    sync_directory(directory)
 }
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that waits for the disk, so that nobody else does.
+//! Background thread that writes records, so that callers do not block on the disk.
 
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::{self, JoinHandle};
@@ -6,45 +6,48 @@
 use crate::error::Error;
 use crate::record_log::RecordLog;
 
-/// How many records may wait to be written.
-const MAX_WAITING: usize = 256;
-/// A file longer than this is rewritten, in bytes.
-const REWRITE_LEN: u64 = 1 << 20;
+/// Maximum number of records in the queue.
+const MAX_QUEUED_RECORDS: usize = 256;
+/// File length above which the file is rewritten.
+const REWRITE_THRESHOLD_BYTES: u64 = 1 << 20;
 
-/// Is told what became of a record, by what the caller knows it by; on the writer's thread.
+/// Callback for the result of an append, with the context passed to [`Writer::append`]. Runs on the
+/// writer's thread.
 pub type OnWritten<T> = Box<dyn Fn(T, Result<(), Error>) + Send>;
 
-/// What a file that grew long is to hold instead.
+/// Returns the records to keep when a long file is rewritten. Runs on the writer's thread.
 pub type RetainedRecords = Box<dyn Fn() -> Vec<Vec<u8>> + Send>;
 
 enum Task<T> {
     Append { context: T, content: Vec<u8> },
-    End,
+    Finish,
 }
 
-/// Writes records in the order they were given, on a thread of its own.
+/// Appends records in order on its own thread.
 pub struct Writer<T> {
     tasks: SyncSender<Task<T>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl<T: Send + 'static> Writer<T> {
-    /// Takes the log over. `retained` says what a file that grew over 1 MiB is to hold instead.
+    /// Starts the thread that writes to `log`. A file longer than 1 MiB is rewritten with the records that
+    /// `retained` returns.
     ///
     /// # Errors
-    /// Where no thread can be had.
+    /// If the thread can't be started.
     pub fn start(
         log: RecordLog,
         on_written: OnWritten<T>,
         retained: RetainedRecords,
     ) -> std::io::Result<Self> {
-        let (tasks, queue) = sync_channel(MAX_WAITING);
+        let (tasks, queue) = sync_channel(MAX_QUEUED_RECORDS);
         let thread = thread::Builder::new().name("ledger".to_string());
         let thread = thread.spawn(move || run(log, &queue, &on_written, &retained))?;
         Ok(Writer { tasks, thread: Some(thread) })
     }
 
-    /// Has a record appended. False, and nothing is reported of it, where too many wait already.
+    /// Queues a record. Returns `false`, without a later callback, if the queue is full or the thread has
+    /// ended.
     pub fn append(&self, context: T, content: Vec<u8>) -> bool {
         match self.tasks.try_send(Task::Append { context, content }) {
             Ok(()) => true,
@@ -52,9 +55,9 @@
         }
     }
 
-    /// Writes what waits, and ends.
+    /// Writes all queued records and ends the thread.
     pub fn finish(mut self) {
-        let _ = self.tasks.send(Task::End);
+        let _ = self.tasks.send(Task::Finish);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -69,8 +72,8 @@
 ) {
     while let Ok(Task::Append { context, content }) = queue.recv() {
         let result = log.append(&content).map(drop);
-        if result.is_ok() && log.len() > REWRITE_LEN {
-            // The record is in the file already; where the disk has no room the long file goes on.
+        if result.is_ok() && log.len() > REWRITE_THRESHOLD_BYTES {
+            // The record is already on disk; if the rewrite fails, the long file stays in use.
             let _ = log.rewrite(&retained());
         }
         on_written(context, result);
--- a/crates/record-log/tests/record_log.rs
+++ b/crates/record-log/tests/record_log.rs
@@ -1,4 +1,4 @@
-//! What a kill, a bad disk and a wrong folder leave, and what is made of it.
+//! Tests of crashes, corrupted files, failing disks and wrong directories.
 
 use std::fs;
 use std::io;
@@ -10,68 +10,68 @@
 use lynxstair_record_log::{Error, OpenedLog, RecordLog, Repair, Writer};
 use tempfile::TempDir;
 
-/// In memory where there is such a place: hundreds of files are opened, and a disk takes 50 ms to say that it
-/// wrote.
-fn folder() -> TempDir {
-    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
+/// Creates a directory, in memory if possible, since the tests sync hundreds of files.
+fn directory() -> TempDir {
+    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a directory")
 }
 
-fn open(folder: &Path) -> Result<OpenedLog, Error> {
-    RecordLog::open(folder, "fleet/g1", None)
+fn open(directory: &Path) -> Result<OpenedLog, Error> {
+    RecordLog::open(directory, "fleet/g1", None)
 }
 
-fn three(folder: &Path) -> Vec<u8> {
-    let mut ledger = open(folder).expect("opens").log;
-    for recorded in ["one", "two", "three"] {
-        ledger.append(recorded.as_bytes()).expect("written");
+fn write_three_records(directory: &Path) -> Vec<u8> {
+    let mut log = open(directory).expect("opens").log;
+    for record in ["one", "two", "three"] {
+        log.append(record.as_bytes()).expect("written");
     }
-    drop(ledger);
-    fs::read(folder.join("ledger")).expect("there")
+    drop(log);
+    fs::read(directory.join("ledger")).expect("there")
 }
 
 fn records(opened: &OpenedLog) -> Vec<&str> {
     opened.records.iter().map(|r| std::str::from_utf8(r).expect("text")).collect()
 }
 
-/// Ended at any byte: all records that were whole are there, the torn one is cut off, and writing goes on.
+/// A file truncated after any byte of its records keeps the complete ones; the incomplete one is cut off and
+/// appends continue.
 #[test]
-fn ended_at_any_point() {
-    let dir = folder();
-    let whole = three(dir.path());
-    let first = whole.len() - (3 * 48 + 3 + 3 + 5);
-    for end in first..=whole.len() {
-        fs::write(dir.path().join("ledger"), &whole[..end]).expect("written");
-        let opened = open(dir.path()).unwrap_or_else(|e| panic!("{end}: {e}"));
-        let left = records(&opened);
-        assert_eq!(left, ["one", "two", "three"][..left.len()], "{end}");
-        let ends = [first, first + 51, first + 102, whole.len()];
-        let torn = !ends.contains(&end);
-        assert_eq!(opened.repairs.len(), usize::from(torn), "{end}: {:?}", opened.repairs);
-        let mut ledger = opened.log;
-        ledger.append(b"four").expect("written");
-        drop(ledger);
-        let again = open(dir.path()).expect("opens");
-        assert_eq!(records(&again).last(), Some(&"four"), "{end}");
-        assert!(again.repairs.is_empty(), "{end}");
+fn truncated_file_keeps_complete_records() {
+    let directory = directory();
+    let complete = write_three_records(directory.path());
+    let first = complete.len() - (3 * 48 + 3 + 3 + 5);
+    for end in first..=complete.len() {
+        fs::write(directory.path().join("ledger"), &complete[..end]).expect("written");
+        let opened = open(directory.path()).unwrap_or_else(|e| panic!("{end}: {e}"));
+        let remaining = records(&opened);
+        assert_eq!(remaining, ["one", "two", "three"][..remaining.len()], "{end}");
+        let ends = [first, first + 51, first + 102, complete.len()];
+        let is_torn = !ends.contains(&end);
+        assert_eq!(opened.repairs.len(), usize::from(is_torn), "{end}: {:?}", opened.repairs);
+        let mut log = opened.log;
+        log.append(b"four").expect("written");
+        drop(log);
+        let reopened = open(directory.path()).expect("opens");
+        assert_eq!(records(&reopened).last(), Some(&"four"), "{end}");
+        assert!(reopened.repairs.is_empty(), "{end}");
     }
-    // Zeros in the place of the end, as a power cut may leave them.
-    let mut zeros = whole.clone();
+    // Zeros after the last record, as a loss of power may leave them.
+    let mut zeros = complete.clone();
     zeros.extend([0; 100]);
-    fs::write(dir.path().join("ledger"), &zeros).expect("written");
-    let opened = open(dir.path()).expect("opens");
+    fs::write(directory.path().join("ledger"), &zeros).expect("written");
+    let opened = open(directory.path()).expect("opens");
     assert_eq!(opened.repairs, [Repair::TornEnd { number: 4, bytes: 100 }]);
 }
 
-/// Each byte that changed is found, wherever it is, and nothing is cut off for it.
+/// A changed byte anywhere in the file is detected, and the file is not modified.
 #[test]
-fn a_changed_byte() {
-    let dir = folder();
-    let whole = three(dir.path());
-    for at in 0..whole.len() {
-        let mut flipped = whole.clone();
+fn changed_byte_is_detected() {
+    let directory = directory();
+    let complete = write_three_records(directory.path());
+    for at in 0..complete.len() {
+        let mut flipped = complete.clone();
         flipped[at] ^= 0x04;
-        fs::write(dir.path().join("ledger"), &flipped).expect("written");
-        let opened = open(dir.path()).map(|o| records(&o).len());
+        fs::write(directory.path().join("ledger"), &flipped).expect("written");
+        let opened = open(directory.path()).map(|o| records(&o).len());
         assert!(
             matches!(
                 opened,
@@ -79,72 +79,77 @@
             ),
             "{at}: {opened:?}"
         );
-        assert_eq!(fs::read(dir.path().join("ledger")).expect("there"), flipped, "{at}: left as it was");
+        assert_eq!(
+            fs::read(directory.path().join("ledger")).expect("there"),
+            flipped,
+            "{at}: the file was modified"
+        );
     }
 }
 
-/// Records taken out or in another order break the chain.
+/// Missing and reordered records are detected.
 #[test]
-fn records_moved() {
-    let dir = folder();
-    let whole = three(dir.path());
-    let first = whole.len() - (3 * 48 + 3 + 3 + 5);
+fn missing_and_reordered_records_are_detected() {
+    let directory = directory();
+    let complete = write_three_records(directory.path());
+    let first = complete.len() - (3 * 48 + 3 + 3 + 5);
     let (one, two) = (first..first + 51, first + 51..first + 102);
-    let swapped = [&whole[..first], &whole[two.clone()], &whole[one.clone()], &whole[two.end..]].concat();
-    let missing = [&whole[..first], &whole[two.start..]].concat();
+    let swapped =
+        [&complete[..first], &complete[two.clone()], &complete[one.clone()], &complete[two.end..]].concat();
+    let missing = [&complete[..first], &complete[two.start..]].concat();
     for bytes in [swapped, missing] {
-        fs::write(dir.path().join("ledger"), bytes).expect("written");
-        assert!(matches!(open(dir.path()).map(|_| ()), Err(Error::Damaged { .. })));
+        fs::write(directory.path().join("ledger"), bytes).expect("written");
+        assert!(matches!(open(directory.path()).map(|_| ()), Err(Error::Damaged { .. })));
     }
 }
 
 #[test]
-fn anothers_folder_and_a_folder_in_use() {
-    let dir = folder();
-    three(dir.path());
-    let other = RecordLog::open(dir.path(), "fleet/g2", None).map(|_| ()).expect_err("another's");
+fn directory_of_another_owner_or_in_use_is_rejected() {
+    let directory = directory();
+    write_three_records(directory.path());
+    let other = RecordLog::open(directory.path(), "fleet/g2", None).map(|_| ()).expect_err("another owner");
     assert!(other.to_string().contains("those of fleet/g1, not of fleet/g2"), "{other}");
-    let held = open(dir.path()).expect("opens");
-    assert!(matches!(open(dir.path()).map(|_| ()), Err(Error::InUse(_))));
-    drop(held);
-    open(dir.path()).expect("free again");
+    let in_use = open(directory.path()).expect("opens");
+    assert!(matches!(open(directory.path()).map(|_| ()), Err(Error::InUse(_))));
+    drop(in_use);
+    open(directory.path()).expect("free again");
 }
 
-/// A full disk is told as that; what was there stays, and writing goes on once there is room.
+/// A full disk is reported as such, earlier records are kept, and appends continue once there is room.
 #[test]
-fn a_full_disk() {
-    let dir = folder();
+fn full_disk_keeps_earlier_records() {
+    let directory = directory();
     let full = Arc::new(AtomicBool::new(false));
-    let asked = full.clone();
-    let failing = move || match asked.load(Ordering::SeqCst) {
+    let is_full = full.clone();
+    let failing = move || match is_full.load(Ordering::SeqCst) {
         true => Err(io::ErrorKind::StorageFull.into()),
         false => Ok(()),
     };
-    let mut ledger = RecordLog::open(dir.path(), "o", Some(Arc::new(failing))).expect("opens").log;
-    ledger.append(b"one").expect("written");
+    let mut log = RecordLog::open(directory.path(), "o", Some(Arc::new(failing))).expect("opens").log;
+    log.append(b"one").expect("written");
     full.store(true, Ordering::SeqCst);
-    assert!(ledger.append(b"two").expect_err("full").is_disk_full());
-    assert!(ledger.rewrite(&[]).expect_err("full").is_disk_full());
+    assert!(log.append(b"two").expect_err("full").is_disk_full());
+    assert!(log.rewrite(&[]).expect_err("full").is_disk_full());
     full.store(false, Ordering::SeqCst);
-    ledger.append(b"three").expect("written");
-    drop(ledger);
-    let opened = RecordLog::open(dir.path(), "o", None).expect("opens");
+    log.append(b"three").expect("written");
+    drop(log);
+    let opened = RecordLog::open(directory.path(), "o", None).expect("opens");
     assert_eq!(records(&opened), ["one", "three"]);
 }
 
-/// Written anew: only what is kept, the chain goes on, and a process ended in between loses nothing.
+/// A rewrite keeps the given records and continues the hash chain; an interrupted rewrite loses nothing.
 #[test]
-fn written_anew() {
-    let dir = folder();
-    three(dir.path());
-    let mut ledger = open(dir.path()).expect("opens").log;
-    let before = ledger.chain_hash();
-    ledger.rewrite(&[b"kept".to_vec()]).expect("written");
-    assert_ne!(ledger.chain_hash(), before);
-    ledger.append(b"more").expect("written");
-    drop(ledger);
-    fs::write(dir.path().join("ledger.next"), b"half of it").expect("written");
-    let opened = open(dir.path()).expect("opens");
+fn interrupted_rewrite_loses_nothing() {
+    let directory = directory();
+    write_three_records(directory.path());
+    let mut log = open(directory.path()).expect("opens").log;
+    let before = log.chain_hash();
+    log.rewrite(&[b"kept".to_vec()]).expect("written");
+    assert_ne!(log.chain_hash(), before);
+    log.append(b"more").expect("written");
+    drop(log);
+    fs::write(directory.path().join("ledger.next"), b"half of it").expect("written");
+    let opened = open(directory.path()).expect("opens");
     assert_eq!(
         (records(&opened), opened.repairs.as_slice()),
         (vec!["kept", "more"], &[Repair::Leftover][..])
@@ -152,21 +157,21 @@
 }
 
 #[test]
-fn the_writer_tells_of_each_and_keeps_the_file_short() {
-    let dir = folder();
-    let ledger = open(dir.path()).expect("opens").log;
-    let (said, heard) = channel();
-    let written = Box::new(move |ticket: u32, what: Result<(), Error>| {
-        said.send((ticket, what.is_ok())).expect("heard");
+fn writer_reports_each_record_and_limits_the_file_length() {
+    let directory = directory();
+    let log = open(directory.path()).expect("opens").log;
+    let (sender, results) = channel();
+    let written = Box::new(move |ticket: u32, result: Result<(), Error>| {
+        sender.send((ticket, result.is_ok())).expect("received");
     });
-    let writer = Writer::start(ledger, written, Box::new(|| vec![b"kept".to_vec()])).expect("a thread");
+    let writer = Writer::start(log, written, Box::new(|| vec![b"kept".to_vec()])).expect("a thread");
     for ticket in 0..40 {
         while !writer.append(ticket, vec![7; 100_000]) {
             std::thread::yield_now();
         }
     }
     writer.finish();
-    assert_eq!(heard.iter().collect::<Vec<_>>(), (0..40).map(|t| (t, true)).collect::<Vec<_>>());
-    assert!(fs::metadata(dir.path().join("ledger")).expect("there").len() < 1_300_000);
-    assert_eq!(open(dir.path()).expect("opens").records[0], b"kept");
+    assert_eq!(results.iter().collect::<Vec<_>>(), (0..40).map(|t| (t, true)).collect::<Vec<_>>());
+    assert!(fs::metadata(directory.path().join("ledger")).expect("there").len() < 1_300_000);
+    assert_eq!(open(directory.path()).expect("opens").records[0], b"kept");
 }
