--- a/crates/control-state/src/config_replica.rs
+++ b/crates/control-state/src/config_replica.rs
@@ -54,7 +54,7 @@
         let older = self.version.as_ref().map(|v| (&self.table, &*v.configuration));
         // If the last table was invalid here, the current version was parsed from an earlier table.
         let older = older.filter(|(table, parsed)| table.generation == parsed.generation);
-        let parsed = (table.generation > 0).then(|| Configuration::from_table_after(&table, older));
+        let parsed = (table.generation > 0).then(|| Configuration::from_table_reusing(&table, older));
         // Evacuations apply even if this build rejects the configuration.
         let configuration = match parsed {
             Some(Ok(configuration)) => Some(Arc::new(configuration)),
--- a/crates/control-state/tests/quota_allocator.rs
+++ b/crates/control-state/tests/quota_allocator.rs
@@ -24,7 +24,8 @@
 /// tenant.
 #[test]
 fn late_usage_reports_count_in_the_past() {
-    let tenants = vec![Tenant { name: "t".into(), priority: None, rate: 8.0, burst: 8.0, homes: vec![] }];
+    let tenants =
+        vec![Tenant { name: "t".into(), priority: None, rate: 8.0, burst: 8.0, home_regions: vec![] }];
     // Returns the blocks of all proxies in 30 s with a partition from 10 s to 20 s.
     let blocked_tenants = |usage_after_partition: &dyn Fn() -> Vec<TenantUsage>| -> Vec<QuotaShare> {
         let mut allocator = QuotaAllocator::new(TOLERANCE);
--- a/crates/fault-injection/src/run/processes.rs
+++ b/crates/fault-injection/src/run/processes.rs
@@ -21,8 +21,8 @@
             (self.trial.seed.wrapping_mul(1_000_003).wrapping_add(n as u64)) & 0x7fff_ffff,
             std::process::id(),
             broken.no_suspicion,
-            broken.no_lateness,
-            broken.no_incarnation,
+            broken.no_local_health,
+            broken.no_stored_incarnation,
             broken.no_relays,
         );
         let mut fleet = fleet;
@@ -47,12 +47,12 @@
             );
         }
         fs::write(self.folder.join(format!("{name}.toml")), fleet)?;
-        let nobody = free_port();
+        let nobody = unused_address();
         let (known, counter, discovery) = match &self.load {
             Some(load) => (load.worker_list(), load.counter.addr, load.discovery.addr),
             None => (r#"{"revision":1,"complete":true,"members":[]}"#.to_string(), nobody, nobody),
         };
-        let config = config_named(name, self.place.serving(n).into(), &known, counter, discovery);
+        let config = named_gatekeeper_config(name, self.place.serving(n).into(), &known, counter, discovery);
         fs::write(self.folder.join(format!("{name}.json")), config)
     }
 
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -70,7 +70,7 @@
         let now = alarms.now();
         if now >= deadline || cancel.stop_reason().is_some() || !(request.may_forward)(now) {
             self.discard(&connection);
-            return result_unsent(AttemptEvent::Withheld);
+            return result_unsent(AttemptEvent::SendNotPermitted);
         }
         let mut attempt = Attempt::new(is_new);
         let time_left_ms = (deadline - now).nanos() / 1_000_000;
@@ -113,7 +113,7 @@
                 stream = read_all(connection).unwrap_or(stream);
             }
             if attempt.state() < AttemptState::Sent {
-                attempt.on_event(AttemptEvent::Taken { all: connection.unsent() == 0 });
+                attempt.on_event(AttemptEvent::Written { is_complete: connection.unsent() == 0 });
             }
             loop {
                 // A separate statement, so that the buffer is unlocked before the reply is handled.
