--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result, anyhow};
 use clap::Subcommand;
-use lynxstair_emulator::core::{Scenario, Verdict, play};
+use lynxstair_emulator::core::{Scenario, SimulationResult, simulate};
 use lynxstair_emulator::experiment::{Care, Weather, deaths, false_deaths, heard_by_one, traffic};
 use lynxstair_emulator::owners::{Takes, datagrams_at_rest, without_owner};
 use plotters::prelude::*;
@@ -83,24 +83,24 @@
     println!("| --- | --- | --- | --- | --- | --- |");
     let mut told = Vec::new();
     for scenario in stories {
-        let all: Vec<(u64, Verdict)> =
-            (from..from + each).into_par_iter().map(|seed| (seed, play(scenario, seed, None))).collect();
-        let sum = |of: fn(&Verdict) -> f64| all.iter().map(|(_, v)| of(v)).sum::<f64>();
-        let broken: Vec<_> = all.iter().filter(|(_, v)| !v.broken.is_empty()).collect();
+        let all: Vec<(u64, SimulationResult)> =
+            (from..from + each).into_par_iter().map(|seed| (seed, simulate(scenario, seed, None))).collect();
+        let sum = |of: fn(&SimulationResult) -> f64| all.iter().map(|(_, v)| of(v)).sum::<f64>();
+        let broken: Vec<_> = all.iter().filter(|(_, v)| !v.violations.is_empty()).collect();
         println!(
             "| {} | {each} | {} | {:.0} | {:.0} | {:.1} |",
             scenario.name(),
             broken.len(),
-            sum(|v| v.acked as f64),
-            sum(|v| v.calls as f64),
-            sum(|v| v.long.secs() / 3_600.0)
+            sum(|v| v.acknowledged as f64),
+            sum(|v| v.call_count as f64),
+            sum(|v| v.duration.secs() / 3_600.0)
         );
         for (seed, verdict) in broken.into_iter().take(TOLD) {
             told.push(format!(
                 "\n{} {seed}: {:#?}\n{}",
                 scenario.name(),
-                verdict.broken,
-                verdict.told.join("\n")
+                verdict.violations,
+                verdict.event_log.join("\n")
             ));
         }
     }
--- a/crates/emulator/src/core.rs
+++ b/crates/emulator/src/core.rs
@@ -4,28 +4,28 @@
 //!
 //! One seed gives one scenario, the same each time. docs/design/model.md says what the world has and what it lacks.
 
+mod checker;
 mod controller;
-mod deliberate;
+mod deliberate_fault;
 mod disk;
 mod edge;
 mod faults;
-pub mod histories;
-mod judges;
-mod lines;
-mod operators;
-mod workers;
+pub mod linearizability;
+mod links;
+mod operator;
+mod worker;
 mod world;
 
 use lynxstair::types::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub use deliberate::Deliberate;
+pub use checker::{Broken, Check};
+pub use deliberate_fault::DeliberateFault;
 pub use faults::Scenario;
-pub use judges::{Broken, Judge};
 
-use judges::CONTACT;
-use operators::Wants;
+use checker::CONTACT;
+use operator::Wants;
 use world::{EDGES, World, ms};
 
 pub(crate) const ZONES: [&str; 2] = ["z1", "z2"];
@@ -36,26 +36,26 @@
 
 /// How a scenario went.
 #[derive(Clone, Debug)]
-pub struct Verdict {
-    pub broken: Vec<Broken>,
+pub struct SimulationResult {
+    pub violations: Vec<Broken>,
     /// Changes that were acknowledged, orders and reads that were sent.
-    pub acked: usize,
-    pub calls: usize,
+    pub acknowledged: usize,
+    pub call_count: usize,
     /// What happened in the world, and how long that took there.
-    pub events: u64,
-    pub long: Span,
+    pub event_count: u64,
+    pub duration: Span,
     /// What befell whom, and how each controller stands at the end: for whoever looks for a cause.
-    pub told: Vec<String>,
+    pub event_log: Vec<String>,
 }
 
-impl Verdict {
-    pub fn is_broken_by(&self, judge: Judge) -> bool {
-        self.broken.iter().any(|b| b.judge == judge)
+impl SimulationResult {
+    pub fn violates(&self, check: Check) -> bool {
+        self.violations.iter().any(|v| v.judge == check)
     }
 }
 
 /// Plays one scenario.
-pub fn play(scenario: Scenario, seed: u64, fault: Option<Deliberate>) -> Verdict {
+pub fn simulate(scenario: Scenario, seed: u64, fault: Option<DeliberateFault>) -> SimulationResult {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x636f_7265);
     let (controllers, tolerated) = scenario.size(&mut chance);
     let (faults, calm) = scenario.plan(&mut chance);
@@ -68,21 +68,21 @@
     world.run(ms(calm) + CONTACT);
     let last = forward(&mut world);
     world.run(AFTER);
-    let read = world.judges.store.iter().rev().find_map(|c| match c.told {
-        histories::Told::Holds(version) if c.sent_at >= last => Some(version),
+    let read = world.judges.store.iter().rev().find_map(|c| match c.output {
+        linearizability::CallOutput::Holds(version) if c.sent_at >= last => Some(version),
         _ => None,
     });
     let now = world.now;
     world.judges.end(now, read);
     world.log_controllers();
     let acked = world.judges.acked.len();
-    Verdict {
-        broken: world.judges.broken,
-        acked,
-        calls: world.judges.store.len(),
-        events: world.events,
-        long: now - world.began_at,
-        told: world.told,
+    SimulationResult {
+        violations: world.judges.broken,
+        acknowledged: acked,
+        call_count: world.judges.store.len(),
+        event_count: world.events,
+        duration: now - world.began_at,
+        event_log: world.told,
     }
 }
 
@@ -98,7 +98,7 @@
     let open = world.operators.iter().filter(|o| !matches!(o.wants, Wants::Rest)).count();
     let now = world.now;
     if open > 0 {
-        world.judges.breaks(now, Judge::WayForward, || format!("{open} orders have no clear answer"));
+        world.judges.breaks(now, Check::WayForward, || format!("{open} orders have no clear answer"));
     }
     world.closing_read(operator);
     world.run(ms(1_500));
@@ -108,19 +108,19 @@
     world.run(ms(1_500));
     let now = world.now;
     if world.judges.acked.len() == acked_before || !world.read_since(began) {
-        world.judges.breaks(now, Judge::WayForward, || "no change, or no read, is answered".to_string());
+        world.judges.breaks(now, Check::WayForward, || "no change, or no read, is answered".to_string());
     }
     for edge in 0..EDGES {
         let (fresh, shown) = world.edge_stands(edge);
         let newest = world.judges.acked.iter().map(|(_, v)| *v).max();
         if !fresh || shown != newest {
             let what = || format!("edge {edge} shows {shown:?}, fresh {fresh}; {newest:?} is newest");
-            world.judges.breaks(now, Judge::WayForward, what);
+            world.judges.breaks(now, Check::WayForward, what);
         }
     }
     let unheard = world.unheard_workers();
     if unheard > 0 {
-        world.judges.breaks(now, Judge::WayForward, || format!("{unheard} workers are not heard"));
+        world.judges.breaks(now, Check::WayForward, || format!("{unheard} workers are not heard"));
     }
     world.closing_read(operator);
     now
--- a/crates/emulator/src/core/judges.rs
+++ b/crates/emulator/src/core/checker.rs
@@ -1,11 +1,11 @@
-//! Judges that know only what callers saw: answers to orders, reads and heartbeats, and what requests through an edge
+//! Checker that know only what callers saw: answers to orders, reads and heartbeats, and what requests through an edge
 //! showed to be in force there. They know nothing of leaders, terms or disks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxstair::types::{Span, Time};
 
-use super::histories::{Asked, Call, Told, Version, linearizable};
+use super::linearizability::{Call, CallInput, CallOutput, Version, check_linearizability};
 
 /// As the operators' bounds of a small site.
 pub(crate) const CONTACT: Span = Span::from_millis(5_000);
@@ -20,7 +20,7 @@
 const GIVEN_UP: Span = Span::from_millis(1_100);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Judge {
+pub enum Check {
     /// Orders and reads of the configuration can be told from those of one store at one place.
     Linearizable,
     /// What was acknowledged is in the configuration that is read back at the end, or was built upon.
@@ -48,7 +48,7 @@
 /// What one judge says.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
-    pub judge: Judge,
+    pub judge: Check,
     /// Since the scenario began.
     pub at: Span,
     pub what: String,
@@ -63,7 +63,7 @@
     pub acked_at: Option<Time>,
 }
 
-pub(crate) struct Judges {
+pub(crate) struct Checker {
     began_at: Time,
     pub store: Vec<Call>,
     pub zones: Vec<ZoneCall>,
@@ -78,9 +78,9 @@
     pub broken: Vec<Broken>,
 }
 
-impl Judges {
-    pub fn new(began_at: Time) -> Judges {
-        Judges {
+impl Checker {
+    pub fn new(began_at: Time) -> Checker {
+        Checker {
             began_at,
             store: Vec::new(),
             zones: Vec::new(),
@@ -94,29 +94,31 @@
     }
 
     /// Each judge speaks once.
-    pub fn breaks(&mut self, now: Time, judge: Judge, what: impl FnOnce() -> String) {
+    pub fn breaks(&mut self, now: Time, judge: Check, what: impl FnOnce() -> String) {
         if !self.broken.iter().any(|b| b.judge == judge) {
             self.broken.push(Broken { judge, at: now - self.began_at, what: what() });
         }
     }
 
-    pub fn sends(&mut self, now: Time, asked: Asked) -> usize {
-        if let Asked::Change { mark, .. } = asked {
+    pub fn sends(&mut self, now: Time, input: CallInput) -> usize {
+        if let CallInput::Change { mark, .. } = input {
             self.sent.insert(mark);
         }
-        self.store.push(Call { sent_at: now, told_at: now, asked, told: Told::Nothing });
+        self.store.push(Call { sent_at: now, answered_at: now, input, output: CallOutput::Nothing });
         self.store.len() - 1
     }
 
-    pub fn told(&mut self, now: Time, call: usize, told: Told) {
+    pub fn told(&mut self, now: Time, call: usize, output: CallOutput) {
         let call = &mut self.store[call];
-        (call.told_at, call.told) = (now, told);
-        match (call.asked, told) {
-            (Asked::Change { number, mark, .. }, Told::Taken) => self.acked.push((now, (number, mark))),
-            (Asked::Change { mark, .. }, Told::Refused) => {
+        (call.answered_at, call.output) = (now, output);
+        match (call.input, output) {
+            (CallInput::Change { number, mark, .. }, CallOutput::Taken) => {
+                self.acked.push((now, (number, mark)))
+            }
+            (CallInput::Change { mark, .. }, CallOutput::Refused) => {
                 self.refused.insert(mark);
             }
-            (_, Told::Holds(Some(version))) => self.shows(now, "a read", version),
+            (_, CallOutput::Holds(Some(version))) => self.shows(now, "a read", version),
             _ => {}
         }
     }
@@ -125,10 +127,10 @@
         let first = *self.shown.entry(number).or_insert(mark);
         if first != mark {
             let what = || format!("{where_} shows {mark} under {number}, where {first} was shown");
-            self.breaks(now, Judge::InForce, what);
+            self.breaks(now, Check::InForce, what);
         }
         if !self.sent.contains(&mark) {
-            self.breaks(now, Judge::InForce, || format!("{where_} shows {mark}, which nobody sent"));
+            self.breaks(now, Check::InForce, || format!("{where_} shows {mark}, which nobody sent"));
         }
     }
 
@@ -148,7 +150,7 @@
         let last = self.edges.entry(edge).or_default();
         let before = std::mem::replace(last, number);
         if number < before {
-            self.breaks(now, Judge::Backwards, || format!("edge {} goes from {before} to {number}", edge.0));
+            self.breaks(now, Check::Backwards, || format!("edge {} goes from {before} to {number}", edge.0));
         }
         let newest = |before: Time| {
             let old = self.acked.iter().filter(|(at, _)| *at <= before);
@@ -157,11 +159,11 @@
         let (revoked, settled) = (newest(now.saturating_sub(REVOKE)), newest(now.saturating_sub(CONVERGE)));
         if serves && number < revoked {
             let what = || format!("edge {} serves by {number}, {revoked} was acknowledged long ago", edge.0);
-            self.breaks(now, Judge::Revoked, what);
+            self.breaks(now, Check::Revoked, what);
         }
         if in_touch && number < settled {
             let what = || format!("edge {} acts on {number}, {settled} was acknowledged", edge.0);
-            self.breaks(now, Judge::Converges, what);
+            self.breaks(now, Check::Converges, what);
         }
     }
 
@@ -183,20 +185,20 @@
         if let (Some(newest), Some(read)) = (newest, read)
             && read.is_none_or(|r| r.0 < newest.0)
         {
-            self.breaks(now, Judge::Lasting, || {
+            self.breaks(now, Check::Lasting, || {
                 format!("{newest:?} was acknowledged, {read:?} is read back")
             });
         }
         let refused = self.shown.iter().find(|(_, mark)| self.refused.contains(mark));
         if let Some((number, mark)) = refused.map(|(n, m)| (*n, *m)) {
-            self.breaks(now, Judge::InForce, || {
+            self.breaks(now, Check::InForce, || {
                 format!("{mark} is in force under {number}, and was refused")
             });
         }
-        if let Err(call) = linearizable(&self.store) {
+        if let Err(call) = check_linearizability(&self.store) {
             let at = call.sent_at - self.began_at;
-            self.breaks(now, Judge::Linearizable, || {
-                format!("{:?}, sent at {:.3} s, was told {:?}", call.asked, at.secs(), call.told)
+            self.breaks(now, Check::Linearizable, || {
+                format!("{:?}, sent at {:.3} s, was told {:?}", call.input, at.secs(), call.output)
             });
         }
     }
--- a/crates/emulator/src/core/controller.rs
+++ b/crates/emulator/src/core/controller.rs
@@ -16,8 +16,8 @@
 use lynxstair_protocol::consensus::Message;
 use lynxstair_protocol::messages::{Bytes, Instance, ToProxy};
 
-use super::deliberate::Deliberate;
-use super::histories::Version;
+use super::deliberate_fault::DeliberateFault;
+use super::linearizability::Version;
 
 /// As in `crates/controller`: how long a call may wait for the majority.
 const PATIENCE: Span = Span::from_millis(850);
@@ -81,7 +81,7 @@
     /// The edges that follow here.
     followers: BTreeMap<usize, Subscription>,
     zones: Vec<(String, String)>,
-    fault: Option<Deliberate>,
+    fault: Option<DeliberateFault>,
     out: Vec<Out>,
 }
 
@@ -91,7 +91,7 @@
         boot: ConsensusConfig,
         instances: &[Instance],
         heartbeat: Span,
-        fault: Option<Deliberate>,
+        fault: Option<DeliberateFault>,
     ) -> Controller {
         let mut register = InstanceRegistry::default();
         register.restore(now, instances, heartbeat);
@@ -100,7 +100,7 @@
         let mut consensus = Consensus::new(now, boot);
         #[cfg(feature = "deliberate-faults")]
         {
-            consensus.fault = fault.and_then(Deliberate::in_room);
+            consensus.fault = fault.and_then(DeliberateFault::in_room);
         }
         let mut controller = Controller {
             me,
@@ -250,7 +250,7 @@
                 ));
             }
         }
-        let is_promised = answer.is_acknowledged || self.fault == Some(Deliberate::CutOffBeats);
+        let is_promised = answer.is_acknowledged || self.fault == Some(DeliberateFault::CutOffBeats);
         self.out.push(Out::Answer(call, Answer::Status(if is_promised { 200 } else { 503 })));
     }
 
@@ -281,7 +281,8 @@
             let leader = self.consensus.leader().filter(|_| self.consensus.has_quorum_contact(now));
             return Some(leader.map_or(Answer::Status(503), Answer::Elsewhere));
         }
-        if leads && !self.consensus.has_quorum_contact(now) && self.fault != Some(Deliberate::LeaseRead) {
+        if leads && !self.consensus.has_quorum_contact(now) && self.fault != Some(DeliberateFault::LeaseRead)
+        {
             return Some(Answer::Status(503));
         }
         if !leads || self.consensus.has_uncommitted() {
@@ -298,7 +299,7 @@
         match self.store.apply(change, &self.zones) {
             CommandOutcome::Accepted(store) => {
                 let number = self.consensus.propose(now, store.encode())?;
-                if self.fault == Some(Deliberate::EarlyAnswer) {
+                if self.fault == Some(DeliberateFault::EarlyAnswer) {
                     return Some(Answer::Status(200));
                 }
                 order.step = Step::Proposed(number);
@@ -320,7 +321,7 @@
     }
 
     fn may_by_lease(&self, now: Time) -> bool {
-        self.fault == Some(Deliberate::LeaseRead)
+        self.fault == Some(DeliberateFault::LeaseRead)
             && self.consensus.confirmed_at().is_some_and(|at| now - at < LEASE)
     }
 
--- a/crates/emulator/src/core/disk.rs
+++ b/crates/emulator/src/core/disk.rs
@@ -39,7 +39,7 @@
         self.kept.clone()
     }
 
-    /// Asked to write; whether the thread has to be woken for it.
+    /// CallInput to write; whether the thread has to be woken for it.
     pub fn save(&mut self, number: u64, record: PersistentState) -> bool {
         self.queued = Some((number, record));
         self.writing.is_none()
--- a/crates/emulator/src/core/edge.rs
+++ b/crates/emulator/src/core/edge.rs
@@ -9,7 +9,7 @@
 use lynxstair_protocol::messages::{InstanceState, ToProxy};
 use lynxstair_routing::config_lease::ConfigLease;
 
-use super::histories::Version;
+use super::linearizability::Version;
 
 /// As in `crates/proxy`.
 const FRESH: Span = Span::from_millis(3_000);
--- a/crates/emulator/src/core/faults.rs
+++ b/crates/emulator/src/core/faults.rs
@@ -74,7 +74,7 @@
         target: Target,
         long: u64,
     },
-    /// Told to end; back after so long with its disk, or for good.
+    /// CallOutput to end; back after so long with its disk, or for good.
     Term {
         target: Target,
         back: Option<u64>,
--- a/crates/emulator/src/core/histories.rs
+++ b/crates/emulator/src/core/linearizability.rs
@@ -14,7 +14,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum CallInput {
     /// A configuration of this number on top of `base`; `mark` tells the bytes of one from those of another.
     Change {
         base: u64,
@@ -26,7 +26,7 @@
 
 /// What it was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum CallOutput {
     /// 200 to a change.
     Taken,
     /// 4xx to a change.
@@ -42,9 +42,9 @@
 pub struct Call {
     pub sent_at: Time,
     /// Meaningless where it was told nothing.
-    pub told_at: Time,
-    pub asked: Asked,
-    pub told: Told,
+    pub answered_at: Time,
+    pub input: CallInput,
+    pub output: CallOutput,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -54,8 +54,8 @@
 }
 
 impl Held {
-    fn takes(&self, asked: &Asked) -> Option<Held> {
-        let Asked::Change { base, number, mark } = *asked else { return None };
+    fn takes(&self, input: &CallInput) -> Option<Held> {
+        let CallInput::Change { base, number, mark } = *input else { return None };
         let current = self.version.map_or(0, |(n, _)| n);
         if self.taken.contains(&mark) || base != current || number <= current {
             return None;
@@ -68,11 +68,11 @@
 
     /// Whether a call that changes nothing may be answered so.
     fn fits(&self, call: &Call) -> bool {
-        match (call.asked, call.told) {
-            (Asked::Read, Told::Holds(version)) => version == self.version,
-            (Asked::Change { mark, .. }, Told::Taken) => self.taken.contains(&mark),
-            (Asked::Change { mark, .. }, Told::Refused) => {
-                !self.taken.contains(&mark) && self.takes(&call.asked).is_none()
+        match (call.input, call.output) {
+            (CallInput::Read, CallOutput::Holds(version)) => version == self.version,
+            (CallInput::Change { mark, .. }, CallOutput::Taken) => self.taken.contains(&mark),
+            (CallInput::Change { mark, .. }, CallOutput::Refused) => {
+                !self.taken.contains(&mark) && self.takes(&call.input).is_none()
             }
             _ => false,
         }
@@ -89,13 +89,16 @@
 }
 
 /// Ok, or the first call that fits nowhere once as many as can be are in place.
-pub fn linearizable(calls: &[Call]) -> Result<(), Call> {
-    let mut calls: Vec<Call> =
-        calls.iter().copied().filter(|c| c.asked != Asked::Read || c.told != Told::Nothing).collect();
+pub fn check_linearizability(calls: &[Call]) -> Result<(), Call> {
+    let mut calls: Vec<Call> = calls
+        .iter()
+        .copied()
+        .filter(|c| c.input != CallInput::Read || c.output != CallOutput::Nothing)
+        .collect();
     calls.sort_by_key(|c| c.sent_at);
-    let told = |c: &Call| match (c.asked, c.told) {
-        (Asked::Change { number, mark, .. }, Told::Taken) => Some((number, mark)),
-        (_, Told::Holds(version)) => version,
+    let told = |c: &Call| match (c.input, c.output) {
+        (CallInput::Change { number, mark, .. }, CallOutput::Taken) => Some((number, mark)),
+        (_, CallOutput::Holds(version)) => version,
         _ => None,
     };
     let certain = calls.iter().filter_map(told).collect();
@@ -116,9 +119,9 @@
         // Calls that may come next: none that is still out was answered before they were sent.
         let enabled = loop {
             let out = |n: &usize| !has(&done, *n);
-            let answered = |n: &usize| self.calls[*n].told != Told::Nothing;
+            let answered = |n: &usize| self.calls[*n].output != CallOutput::Nothing;
             let limit =
-                (0..self.calls.len()).filter(out).filter(answered).map(|n| self.calls[n].told_at).min();
+                (0..self.calls.len()).filter(out).filter(answered).map(|n| self.calls[n].answered_at).min();
             let Some(limit) = limit else { return true };
             let enabled: Vec<usize> =
                 (0..self.calls.len()).take_while(|n| self.calls[*n].sent_at <= limit).filter(out).collect();
@@ -133,8 +136,8 @@
             }
         };
         if placed >= self.best.0 {
-            let stuck = enabled.iter().copied().filter(|n| self.calls[*n].told != Told::Nothing);
-            self.best = (placed, stuck.min_by_key(|n| self.calls[*n].told_at));
+            let stuck = enabled.iter().copied().filter(|n| self.calls[*n].output != CallOutput::Nothing);
+            self.best = (placed, stuck.min_by_key(|n| self.calls[*n].answered_at));
         }
         if !self.tried.insert((done.clone(), held.clone())) {
             return false;
@@ -148,12 +151,15 @@
         let mut seen = Vec::new();
         for n in enabled {
             let call = &self.calls[n];
-            let Asked::Change { number, mark, .. } = call.asked else { continue };
+            let CallInput::Change { number, mark, .. } = call.input else { continue };
             let is_passed_over = next_certain.is_some_and(|c| c != (number, mark) && c.0 <= number);
-            if !matches!(call.told, Told::Taken | Told::Nothing) || is_passed_over || seen.contains(&mark) {
+            if !matches!(call.output, CallOutput::Taken | CallOutput::Nothing)
+                || is_passed_over
+                || seen.contains(&mark)
+            {
                 continue;
             }
-            if let Some(next) = held.takes(&call.asked) {
+            if let Some(next) = held.takes(&call.input) {
                 // Whichever of its sendings came into force, the others find it there.
                 seen.push(mark);
                 if self.goes(done.clone(), &next, placed) {
--- a/crates/emulator/src/core/operators.rs
+++ b/crates/emulator/src/core/operator.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::controller::Ask;
-use super::histories::{Asked, Version};
+use super::linearizability::{CallInput, Version};
 
 #[derive(Clone, Debug)]
 pub(crate) enum Wants {
@@ -63,12 +63,12 @@
     }
 
     /// The call that its order is, and what the history of the configuration knows it as.
-    pub fn ask(&self) -> Option<(Ask, Option<Asked>)> {
+    pub fn ask(&self) -> Option<(Ask, Option<CallInput>)> {
         match &self.wants {
             Wants::Rest => None,
-            Wants::Read => Some((Ask::Read, Some(Asked::Read))),
+            Wants::Read => Some((Ask::Read, Some(CallInput::Read))),
             Wants::Operation { change, base, number, mark } => {
-                let asked = Asked::Change { base: *base, number: *number, mark: *mark };
+                let asked = CallInput::Change { base: *base, number: *number, mark: *mark };
                 Some((Ask::Operation(change.clone()), Some(asked)))
             }
             Wants::Zone { zone, empties } => {
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -1,10 +1,10 @@
 //! The world of the core: controllers and edges as processes on machines with disks, clocks and lines, the operators and
 //! workers that call them, and what befalls all of these, on one virtual clock.
 
-mod callers;
+mod clients;
 mod fault_actions;
-mod lines_of;
 mod machines;
+mod messaging;
 mod probes;
 
 use std::collections::BTreeMap;
@@ -18,17 +18,17 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::checker::{CONTACT, Check, Checker, ZoneCall};
 use super::controller::{Answer, Ask, Controller, Out};
-use super::deliberate::Deliberate;
+use super::deliberate_fault::DeliberateFault;
 use super::disk::Disk;
 use super::edge::Edge;
 use super::faults::{Fault, Target};
-use super::histories::Told;
-use super::judges::{CONTACT, Judge, Judges, ZoneCall};
-use super::lines::{Ends, Lines};
-use super::operators::{Operator, Wants, change};
-use super::workers::{BEAT, Goes, Worker};
-use crate::agenda::Agenda;
+use super::linearizability::CallOutput;
+use super::links::{Ends, Lines};
+use super::operator::{Operator, Wants, change};
+use super::worker::{BEAT, Goes, Worker};
+use crate::event_queue::EventQueue;
 
 pub(crate) const EDGES: usize = 2;
 const OPERATORS: usize = 8;
@@ -173,7 +173,7 @@
     pub now: Time,
     pub began_at: Time,
     pub chance: Pcg64Mcg,
-    agenda: Agenda<Next>,
+    agenda: EventQueue<Next>,
     pub machines: Vec<Machine>,
     lines: Lines<Word>,
     /// How many cuts there were, and which of them are not mended.
@@ -186,7 +186,7 @@
     /// The controllers as the callers' list has them.
     listed: Vec<usize>,
     last_mark: u32,
-    pub judges: Judges,
+    pub judges: Checker,
     /// The core is not settled for the contact time after this.
     pub troubled_at: Time,
     slow_until: Time,
@@ -196,7 +196,7 @@
     tolerated: usize,
     /// More machines than the budget names may be away for a moment, as long as no disk is lost.
     pub beyond_budget: bool,
-    pub fault: Option<Deliberate>,
+    pub fault: Option<DeliberateFault>,
     /// Operators begin nothing new.
     pub closing: bool,
     pub events: u64,
@@ -204,13 +204,13 @@
 }
 
 impl World {
-    pub fn new(seed: u64, controllers: usize, tolerated: usize, fault: Option<Deliberate>) -> World {
+    pub fn new(seed: u64, controllers: usize, tolerated: usize, fault: Option<DeliberateFault>) -> World {
         let now = Time::from_nanos(0) + ms(1_000_000);
         let mut world = World {
             now,
             began_at: now,
             chance: Pcg64Mcg::seed_from_u64(seed),
-            agenda: Agenda::default(),
+            agenda: EventQueue::default(),
             machines: Vec::new(),
             lines: Lines::default(),
             cuts: 0,
@@ -221,7 +221,7 @@
             workers: (0..WORKERS).map(|n| Worker::new(now, n, 1)).collect(),
             listed: (EDGES..EDGES + controllers).collect(),
             last_mark: 0,
-            judges: Judges::new(now),
+            judges: Checker::new(now),
             troubled_at: now,
             slow_until: now,
             armed: None,
@@ -274,12 +274,12 @@
     }
 
     fn plan(&mut self, later: Span, next: Next) {
-        self.agenda.plan(self.now + later, next);
+        self.agenda.schedule(self.now + later, next);
     }
 
     fn plan_at(&mut self, machine: usize, at: Time, event: Event) {
         let instance = self.machines[machine].instance;
-        self.agenda.plan(at.max(self.now), Next::At { machine, instance, event });
+        self.agenda.schedule(at.max(self.now), Next::At { machine, instance, event });
     }
 
     pub fn fault_at(&mut self, later: Span, fault: Fault) {
@@ -292,7 +292,7 @@
 
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some((at, next)) = self.agenda.due(until) {
+        while let Some((at, next)) = self.agenda.pop_due(until) {
             self.now = self.now.max(at);
             self.events += 1;
             self.happen(next);
@@ -407,7 +407,7 @@
                     controller.work(now);
                 }
                 Event::Written => {
-                    let keeps = self.fault != Some(Deliberate::UnsyncedVote);
+                    let keeps = self.fault != Some(DeliberateFault::UnsyncedVote);
                     let written = m.disk.end(self.now, keeps);
                     if let Some(number) = written {
                         controller.saved(now, number);
@@ -499,7 +499,7 @@
             Out::Say(to, message) => {
                 let to = self::machine(to);
                 let message =
-                    if self.fault == Some(Deliberate::MarkLost) { unmarked(message) } else { message };
+                    if self.fault == Some(DeliberateFault::MarkLost) { unmarked(message) } else { message };
                 self.send((machine, to), machine, Word::Agreement(Box::new(message)));
             }
             Out::Pass(instances) => {
--- a/crates/emulator/src/core/world/callers.rs
+++ b/crates/emulator/src/core/world/clients.rs
@@ -41,15 +41,15 @@
             controller.hangs_up(call);
         }
         let told = match &answer {
-            Some(Answer::Status(200)) => Told::Taken,
-            Some(Answer::Status(status)) if *status < 500 => Told::Refused,
-            Some(Answer::Holds(version)) => Told::Holds(*version),
-            _ => Told::Nothing,
+            Some(Answer::Status(200)) => CallOutput::Taken,
+            Some(Answer::Status(status)) if *status < 500 => CallOutput::Refused,
+            Some(Answer::Holds(version)) => CallOutput::Holds(*version),
+            _ => CallOutput::Nothing,
         };
-        if let Some(store) = calling.store.filter(|_| told != Told::Nothing) {
+        if let Some(store) = calling.store.filter(|_| told != CallOutput::Nothing) {
             self.judges.told(now, store, told);
         }
-        if let Some(zone) = calling.zone.filter(|_| told == Told::Taken) {
+        if let Some(zone) = calling.zone.filter(|_| told == CallOutput::Taken) {
             self.judges.zones[zone].acked_at = Some(now);
         }
         match calling.by {
@@ -101,7 +101,7 @@
         who: usize,
         call: u64,
         controller: usize,
-        told: Told,
+        told: CallOutput,
         answer: Option<Answer>,
     ) {
         if self.operators[who].call != Some(call) {
@@ -111,7 +111,7 @@
         self.operators[who].call = None;
         let rest = ms(self.chance.random_range(20..900));
         match told {
-            Told::Nothing => {
+            CallOutput::Nothing => {
                 let operator = &mut self.operators[who];
                 if let Some(Answer::Elsewhere(to)) = answer
                     && operator.redirects < 2
@@ -126,14 +126,14 @@
                 let pause = operator.pause;
                 self.plan(pause, Next::Turn { operator: who });
             }
-            Told::Holds(version) if !self.closing && self.chance.random_bool(0.8) => {
+            CallOutput::Holds(version) if !self.closing && self.chance.random_bool(0.8) => {
                 self.last_mark += 1;
                 let wants = change(&mut self.chance, version, self.last_mark);
                 self.operators[who].begins(now, wants);
                 let soon = ms(self.chance.random_range(0..30));
                 self.plan(soon, Next::Turn { operator: who });
             }
-            Told::Taken if !self.operators[who].again && self.chance.random_bool(0.3) => {
+            CallOutput::Taken if !self.operators[who].again && self.chance.random_bool(0.3) => {
                 // Its answer was lost further on: the same order is sent again.
                 let wants = self.operators[who].wants.clone();
                 self.operators[who].begins(now, wants);
@@ -190,14 +190,14 @@
         self.plan(later, Next::Heartbeat { worker: who, instance });
     }
 
-    pub(super) fn worker_told(&mut self, who: usize, instance: u32, controller: usize, told: Told) {
+    pub(super) fn worker_told(&mut self, who: usize, instance: u32, controller: usize, told: CallOutput) {
         if self.workers[who].instance != instance {
             return;
         }
         let now = self.now;
         let worker = &mut self.workers[who];
         worker.call = None;
-        let next = if told == Told::Taken {
+        let next = if told == CallOutput::Taken {
             worker.controller = Some(controller);
             worker.acked(now);
             if worker.goes == Goes::Ending {
--- a/crates/emulator/src/core/world/machines.rs
+++ b/crates/emulator/src/core/world/machines.rs
@@ -20,7 +20,7 @@
         } else {
             let found = m.disk.found();
             let is_emptied = found.is_none() && !is_first;
-            let bootstrap = is_first || is_emptied && self.fault == Some(Deliberate::EmptiedVotes);
+            let bootstrap = is_first || is_emptied && self.fault == Some(DeliberateFault::EmptiedVotes);
             let boot = ConsensusConfig {
                 me: address(machine),
                 seeds: &m.seeds,
--- a/crates/emulator/src/core/world/probes.rs
+++ b/crates/emulator/src/core/world/probes.rs
@@ -12,8 +12,8 @@
     /// A change on top of what was read last.
     pub fn closing_change(&mut self, operator: usize) {
         let now = self.now;
-        let last = self.judges.store.iter().rev().find_map(|c| match c.told {
-            Told::Holds(version) => Some(version),
+        let last = self.judges.store.iter().rev().find_map(|c| match c.output {
+            CallOutput::Holds(version) => Some(version),
             _ => None,
         });
         self.last_mark += 1;
@@ -23,11 +23,11 @@
     }
 
     pub fn read_since(&self, since: Time) -> bool {
-        self.judges.store.iter().any(|c| matches!(c.told, Told::Holds(_)) && c.sent_at >= since)
+        self.judges.store.iter().any(|c| matches!(c.output, CallOutput::Holds(_)) && c.sent_at >= since)
     }
 
     /// Whether an edge is fresh, and what it shows.
-    pub fn edge_stands(&self, edge: usize) -> (bool, Option<crate::core::histories::Version>) {
+    pub fn edge_stands(&self, edge: usize) -> (bool, Option<crate::core::linearizability::Version>) {
         let clock = self.clock(edge);
         self.edge(edge).map_or((false, None), |e| (e.is_fresh(clock), e.in_force().map(|(v, _)| v)))
     }
@@ -69,43 +69,43 @@
             });
             let instance = self.machines[edge].instance;
             let Some(of) = self.edge(edge) else { continue };
-            let (shown, serves) = (of.in_force(), of.serves_tenants(clock, crate::core::judges::REVOKE));
+            let (shown, serves) = (of.in_force(), of.serves_tenants(clock, crate::core::checker::REVOKE));
             let mut broken = Vec::new();
             if in_touch {
                 for worker in &self.workers {
                     let sends = of.sends_to(&worker.id());
                     let what = |what: &str| format!("edge {edge}: {} {what}", worker.id());
-                    if !sends && worker.is_promised(now, crate::core::judges::CONVERGE) {
-                        broken.push((Judge::Promised, what("heartbeats and is heard, and gets nothing")));
+                    if !sends && worker.is_promised(now, crate::core::checker::CONVERGE) {
+                        broken.push((Check::Promised, what("heartbeats and is heard, and gets nothing")));
                     }
                     let told = worker.out_acked_at.is_some_and(|at| {
-                        now - at > crate::core::judges::DRAIN && self.troubled_at + CONTACT < at
+                        now - at > crate::core::checker::DRAIN && self.troubled_at + CONTACT < at
                     });
                     let dead = worker
                         .over_at
                         .is_some_and(|at| now - at > ms(16_000) && now - self.troubled_at > ms(16_000));
                     if sends && told {
-                        broken.push((Judge::Drained, what("was told that it leaves, and is sent to")));
+                        broken.push((Check::Drained, what("was told that it leaves, and is sent to")));
                     }
                     if sends && dead {
                         let known = self.leader().and_then(|l| self.controller(l)).map(|h| {
                             h.detector.registry().instances().get(&worker.id()).map(|known| known.state)
                         });
                         let of = format!("is dead for long, and is sent to; the leader knows {known:?}");
-                        broken.push((Judge::Drained, what(&of)));
+                        broken.push((Check::Drained, what(&of)));
                     }
                 }
             }
             for (zone, name) in crate::core::ZONES.iter().enumerate() {
                 let is_empty = shown.as_ref().is_some_and(|(_, zones)| zones.contains(*name));
-                let must = self.judges.zone(zone, now.saturating_sub(crate::core::judges::EVACUATE));
+                let must = self.judges.zone(zone, now.saturating_sub(crate::core::checker::EVACUATE));
                 let newest = self.judges.zones.iter().rev().find(|c| c.zone == zone).map(|c| c.empties);
                 if in_touch
                     && shown.is_some()
                     && must.is_some_and(|must| must != is_empty && newest == Some(must))
                 {
                     broken
-                        .push((Judge::Evacuated, format!("edge {edge}: zone {name} is emptied: {is_empty}")));
+                        .push((Check::Evacuated, format!("edge {edge}: zone {name} is emptied: {is_empty}")));
                 }
             }
             self.judges.edge(now, (edge, instance), shown.map(|(v, _)| v), serves, in_touch);
@@ -119,13 +119,13 @@
             for n in 0..self.operators.len() {
                 let order = &self.operators[n];
                 let waits = !matches!(order.wants, Wants::Rest);
-                if waits && now - order.since.max(since) > crate::core::judges::ACK {
+                if waits && now - order.since.max(since) > crate::core::checker::ACK {
                     let what = format!(
                         "operator {n}: {:?} waits since {:.3} s",
                         order.wants,
                         (order.since - self.began_at).secs()
                     );
-                    self.judges.breaks(now, Judge::Acknowledged, || what);
+                    self.judges.breaks(now, Check::Acknowledged, || what);
                 }
             }
         }
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::fleet::{Fleet, Plan};
-use crate::network::Faults;
+use crate::network::LinkFaults;
 
 /// Whether own lateness and links are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 pub fn deaths(members: usize, kills: usize, lost: f64, seed: u64) -> Vec<Death> {
     let mut fleet = settled(members, seed, Care::With);
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x9e37);
-    fleet.network.all = Faults { lost, ..Faults::default() };
+    fleet.network.default_faults = LinkFaults { loss_rate: lost, ..LinkFaults::default() };
     fleet.run(Span::from_millis(2_000));
     let mut found = Vec::new();
     for _ in 0..kills {
@@ -91,7 +91,9 @@
     let mut fleet = settled(members, seed, care);
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x51ab);
     match weather {
-        Weather::Loss(lost) => fleet.network.all = Faults { lost, ..Faults::default() },
+        Weather::Loss(lost) => {
+            fleet.network.default_faults = LinkFaults { loss_rate: lost, ..LinkFaults::default() }
+        }
         Weather::OneSided(share) => {
             for a in 0..members {
                 for b in (0..members).filter(|b| *b != a) {
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 use rayon::prelude::*;
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 use crate::network::Network;
 
 /// What a socket's buffer holds while its process stands still, in bytes; Linux gives as much by default.
@@ -100,7 +100,7 @@
     chance: Pcg64Mcg,
     nodes: Vec<Node>,
     places: HashMap<SocketAddrV4, usize>,
-    agenda: Agenda<Next>,
+    agenda: EventQueue<Next>,
     history: Vec<Happened>,
     pub datagrams: u64,
     pub bytes: u64,
@@ -136,7 +136,7 @@
             chance,
             nodes,
             places,
-            agenda: Agenda::default(),
+            agenda: EventQueue::default(),
             history: Vec::new(),
             datagrams: 0,
             bytes: 0,
@@ -252,13 +252,13 @@
     }
 
     fn plan_next(&mut self, at: Time, next: Next) {
-        self.agenda.plan(at, next);
+        self.agenda.schedule(at, next);
     }
 
     /// Lets so much time go by.
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some((at, next)) = self.agenda.due(until) {
+        while let Some((at, next)) = self.agenda.pop_due(until) {
             self.now = self.now.max(at);
             self.happen(next);
         }
@@ -360,7 +360,7 @@
         self.bytes += datagram.len() as u64;
         self.largest = self.largest.max(datagram.len());
         let Some(other) = self.places.get(&to).copied() else { return };
-        let arrivals = self.network.carry(who, other, &mut self.chance);
+        let arrivals = self.network.delivery_delays(who, other, &mut self.chance);
         for after in arrivals {
             let at = self.now + after;
             self.plan_next(at, Next::Arrives { from, to, datagram: datagram.clone() });
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -4,8 +4,8 @@
 //! the system's core; it decides nothing itself and knows no more of a member than what the room hands out.
 #![forbid(unsafe_code)]
 
-mod agenda;
 pub mod core;
+mod event_queue;
 pub mod experiment;
 pub mod fleet;
 pub mod network;
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -1,85 +1,93 @@
-//! A network: what becomes of a datagram from one to another.
+//! Simulated datagram network with loss, duplication, reordering, delays and cut links.
 
 use std::collections::{HashMap, HashSet};
 
 use lynxstair::types::Span;
 use rand::{Rng, RngExt};
 
-/// The faults of a link, each drawn for itself at each datagram.
+/// Faults of a link, drawn independently for each datagram. Rates are probabilities from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Faults {
-    /// Shares of datagrams, 0 to 1.
-    pub lost: f64,
-    pub doubled: f64,
-    /// These come later by up to ten times the delay, past those sent after them.
-    pub reordered: f64,
+pub struct LinkFaults {
+    /// Probability that a copy of a datagram is lost.
+    pub loss_rate: f64,
+    /// Probability that a datagram is sent twice.
+    pub duplication_rate: f64,
+    /// Probability that a datagram is delayed by up to ten times `delay` more, so that later ones may overtake it.
+    pub reorder_rate: f64,
+    /// Shortest delay of a datagram.
     pub delay: Span,
+    /// Longest random addition to `delay`.
     pub jitter: Span,
 }
 
-impl Default for Faults {
+impl Default for LinkFaults {
     fn default() -> Self {
-        Faults {
-            lost: 0.0,
-            doubled: 0.0,
-            reordered: 0.0,
+        LinkFaults {
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
+            reorder_rate: 0.0,
             delay: Span::from_nanos(300_000),
             jitter: Span::from_nanos(200_000),
         }
     }
 }
 
-/// Links between members by number. A link is one direction.
+/// Directed links between members, which are identified by their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// Of all links that have none of their own.
-    pub all: Faults,
-    own: HashMap<(usize, usize), Faults>,
+    /// Faults of all links for which none were set.
+    pub default_faults: LinkFaults,
+    link_faults: HashMap<(usize, usize), LinkFaults>,
     cut: HashSet<(usize, usize)>,
 }
 
 impl Network {
-    /// Nothing goes that way any more.
+    /// Drops all datagrams in this direction from now on.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
 
+    /// Cuts the links in both directions.
     pub fn cut_both(&mut self, one: usize, other: usize) {
         self.cut(one, other);
         self.cut(other, one);
     }
 
-    pub fn mend(&mut self, from: usize, to: usize) {
+    /// Ends the cut in this direction.
+    pub fn heal(&mut self, from: usize, to: usize) {
         self.cut.remove(&(from, to));
     }
 
-    pub fn mend_all(&mut self) {
+    /// Ends all cuts and removes the faults that were set for single links.
+    pub fn heal_all(&mut self) {
         self.cut.clear();
-        self.own.clear();
+        self.link_faults.clear();
     }
 
-    pub fn set(&mut self, from: usize, to: usize, faults: Faults) {
-        self.own.insert((from, to), faults);
+    /// Sets the faults of the link in this direction.
+    pub fn set_link_faults(&mut self, from: usize, to: usize, faults: LinkFaults) {
+        self.link_faults.insert((from, to), faults);
     }
 
-    /// After how long a datagram arrives: not at all, once, or twice.
-    pub fn carry(&self, from: usize, to: usize, chance: &mut impl Rng) -> Vec<Span> {
+    /// Draws the delays of the copies of a datagram that arrive: none, one or two.
+    pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> Vec<Span> {
         if self.cut.contains(&(from, to)) {
             return Vec::new();
         }
-        let faults = self.own.get(&(from, to)).unwrap_or(&self.all);
-        let mut arrives = Vec::with_capacity(1);
-        let copies = if faults.doubled > 0.0 && chance.random_bool(faults.doubled) { 2 } else { 1 };
+        let faults = self.link_faults.get(&(from, to)).unwrap_or(&self.default_faults);
+        let mut delays = Vec::with_capacity(1);
+        let copies =
+            if faults.duplication_rate > 0.0 && rng.random_bool(faults.duplication_rate) { 2 } else { 1 };
         for _ in 0..copies {
-            if faults.lost > 0.0 && chance.random_bool(faults.lost) {
+            if faults.loss_rate > 0.0 && rng.random_bool(faults.loss_rate) {
                 continue;
             }
-            let mut after = faults.delay + faults.jitter.times(chance.random());
-            if faults.reordered > 0.0 && chance.random_bool(faults.reordered) {
-                after = after + faults.delay.times(10.0 * chance.random::<f64>());
+            let mut delay = faults.delay + faults.jitter.times(rng.random());
+            if faults.reorder_rate > 0.0 && rng.random_bool(faults.reorder_rate) {
+                delay = delay + faults.delay.times(10.0 * rng.random::<f64>());
             }
-            arrives.push(after);
+            delays.push(delay);
         }
-        arrives
+        delays
     }
 }
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 use crate::network::Network;
 
 /// The duty that all stand for.
@@ -126,7 +126,7 @@
     now: Time,
     chance: Pcg64Mcg,
     nodes: Vec<Node>,
-    agenda: Agenda<Next>,
+    agenda: EventQueue<Next>,
     pub place: Place,
     pub events: Vec<(Time, usize, Event)>,
     pub broke: Vec<Broke>,
@@ -161,7 +161,7 @@
             now: Time::from_nanos(0) + ms(10_000_000),
             chance,
             nodes: (0..plan.members).map(|_| Node { disk_takes: ms(2), ..Node::default() }).collect(),
-            agenda: Agenda::default(),
+            agenda: EventQueue::default(),
             place: Place::default(),
             events: Vec::new(),
             broke: Vec::new(),
@@ -195,7 +195,7 @@
     }
 
     fn later(&mut self, after: Span, next: Next) {
-        self.agenda.plan(self.now + after, next);
+        self.agenda.schedule(self.now + after, next);
     }
 
     /// A number that only this run draws.
@@ -245,7 +245,7 @@
 
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some((at, next)) = self.agenda.due(until) {
+        while let Some((at, next)) = self.agenda.pop_due(until) {
             self.now = self.now.max(at);
             self.happen(next);
         }
@@ -379,7 +379,7 @@
         if from == to {
             return self.later(Span::from_nanos(20_000), Next::Arrives { from, to, datagram });
         }
-        for after in self.network.carry(from, to, &mut self.chance) {
+        for after in self.network.delivery_delays(from, to, &mut self.chance) {
             self.later(after, Next::Arrives { from, to, datagram: datagram.clone() });
         }
     }
--- a/crates/emulator/tests/core.rs
+++ b/crates/emulator/tests/core.rs
@@ -2,25 +2,25 @@
 //! judge that finds it.
 
 use lynxstair::types::Time;
-use lynxstair_emulator::core::histories::{Asked, Call, Told, linearizable};
-use lynxstair_emulator::core::{Deliberate, Judge, Scenario, play};
+use lynxstair_emulator::core::linearizability::{Call, CallInput, CallOutput, check_linearizability};
+use lynxstair_emulator::core::{Check, DeliberateFault, Scenario, simulate};
 use lynxstair_routing::attempt::{Attempt, AttemptEvent, AttemptStep, ReplyHead, ReplyOwner};
 use rayon::prelude::*;
 
 /// A call from one millisecond to another.
-fn call(from: u64, to: u64, asked: Asked, told: Told) -> Call {
+fn call(from: u64, to: u64, input: CallInput, output: CallOutput) -> Call {
     let at = |ms: u64| Time::from_nanos(ms * 1_000_000);
-    Call { sent_at: at(from), told_at: at(to), asked, told }
+    Call { sent_at: at(from), answered_at: at(to), input, output }
 }
 
-fn put(base: u64, number: u64, mark: u32) -> Asked {
-    Asked::Change { base, number, mark }
+fn put(base: u64, number: u64, mark: u32) -> CallInput {
+    CallInput::Change { base, number, mark }
 }
 
 #[test]
 fn histories() {
-    use Asked::Read;
-    use Told::{Holds, Nothing, Refused, Taken};
+    use CallInput::Read;
+    use CallOutput::{Holds, Nothing, Refused, Taken};
     let cases: &[(&str, bool, Vec<Call>)] = &[
         ("nothing at all", true, vec![]),
         (
@@ -140,7 +140,7 @@
         ),
     ];
     for (name, is_good, calls) in cases {
-        assert_eq!(linearizable(calls).is_ok(), *is_good, "{name}");
+        assert_eq!(check_linearizability(calls).is_ok(), *is_good, "{name}");
     }
 }
 
@@ -150,21 +150,21 @@
     let mut calls = Vec::new();
     for n in 0..200u64 {
         for other in 0..6 {
-            let told = if other == 0 { Told::Taken } else { Told::Nothing };
+            let told = if other == 0 { CallOutput::Taken } else { CallOutput::Nothing };
             calls.push(call(n * 10 + other, n * 10 + 9, put(n, n + 1, (n * 10 + other) as u32), told));
         }
     }
-    assert_eq!(linearizable(&calls), Ok(()));
-    calls.push(call(2_100, 2_101, Asked::Read, Told::Holds(Some((150, 1_490)))));
-    assert!(linearizable(&calls).is_err());
+    assert_eq!(check_linearizability(&calls), Ok(()));
+    calls.push(call(2_100, 2_101, CallInput::Read, CallOutput::Holds(Some((150, 1_490)))));
+    assert!(check_linearizability(&calls).is_err());
 }
 
 fn stories_go_well(scenario: Scenario, seeds: u64) {
     let broken = (0..seeds).into_par_iter().find_map_any(|seed| {
-        let verdict = play(scenario, seed, None);
-        let acked = verdict.acked;
-        let is_bad = !verdict.broken.is_empty() || acked < 20;
-        is_bad.then_some((seed, acked, verdict.broken, verdict.told))
+        let result = simulate(scenario, seed, None);
+        let acked = result.acknowledged;
+        let is_bad = !result.violations.is_empty() || acked < 20;
+        is_bad.then_some((seed, acked, result.violations, result.event_log))
     });
     if let Some((seed, acked, broken, told)) = broken {
         panic!("{} {seed}, {acked} acknowledged: {broken:#?}\n{}", scenario.name(), told.join("\n"));
@@ -204,24 +204,24 @@
 /// Each deliberate fault is found by the judge that is named for it, on a scenario that goes well without it.
 #[test]
 fn deliberate_faults_are_found() {
-    use Deliberate::*;
+    use DeliberateFault::*;
     let cases = [
-        (UnsyncedVote, Scenario::VoteThenPower, Judge::WayForward),
-        (EmptiedVotes, Scenario::WipedAfterAck, Judge::Linearizable),
-        (EarlyAnswer, Scenario::AllAtOnce, Judge::Linearizable),
-        (LeaseRead, Scenario::SplitInReplacement, Judge::Linearizable),
-        (LearnerCounts, Scenario::SplitInReplacement, Judge::Linearizable),
-        (TwoAtOnce, Scenario::SplitInReplacement, Judge::Linearizable),
-        (RemovedVotes, Scenario::WipedAfterAck, Judge::Linearizable),
-        (MarkLost, Scenario::LeaderEnds, Judge::Linearizable),
-        (CutOffBeats, Scenario::CutOff, Judge::Promised),
+        (UnsyncedVote, Scenario::VoteThenPower, Check::WayForward),
+        (EmptiedVotes, Scenario::WipedAfterAck, Check::Linearizable),
+        (EarlyAnswer, Scenario::AllAtOnce, Check::Linearizable),
+        (LeaseRead, Scenario::SplitInReplacement, Check::Linearizable),
+        (LearnerCounts, Scenario::SplitInReplacement, Check::Linearizable),
+        (TwoAtOnce, Scenario::SplitInReplacement, Check::Linearizable),
+        (RemovedVotes, Scenario::WipedAfterAck, Check::Linearizable),
+        (MarkLost, Scenario::LeaderEnds, Check::Linearizable),
+        (CutOffBeats, Scenario::CutOff, Check::Promised),
     ];
-    assert_eq!(cases.map(|(fault, ..)| fault), Deliberate::ALL);
+    assert_eq!(cases.map(|(fault, ..)| fault), DeliberateFault::ALL);
     for (fault, scenario, judge) in cases {
-        let finds = |seed: &u64| play(scenario, *seed, Some(fault)).is_broken_by(judge);
+        let finds = |seed: &u64| simulate(scenario, *seed, Some(fault)).violates(judge);
         let found = (0..400u64).into_par_iter().find_any(finds);
         let Some(seed) = found else { panic!("{judge:?} does not find {}: a hole in it", fault.name()) };
-        let without = play(scenario, seed, None).broken;
+        let without = simulate(scenario, seed, None).violations;
         assert!(
             without.is_empty(),
             "{} {seed} is broken without {} too: {without:?}",
--- a/crates/emulator/tests/membership.rs
+++ b/crates/emulator/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use lynxstair::types::{Span, Time};
 use lynxstair_emulator::fleet::{Fleet, Happened, Plan};
-use lynxstair_emulator::network::Faults;
+use lynxstair_emulator::network::LinkFaults;
 use lynxstair_membership::{ChangeReason, DisabledParts, Event, Incarnation, LinkState, Name, Phase, State};
 use rayon::prelude::*;
 
@@ -148,7 +148,7 @@
         };
         assert_eq!(link(from, to, &fleet), Some(LinkState::Cut), "{what}: shows as a cut");
         assert_eq!(link(to, from, &fleet), Some(LinkState::Cut), "{what}: at both ends");
-        fleet.network.mend_all();
+        fleet.network.heal_all();
         fleet.run(ms(15_000));
         assert_eq!(link(from, to, &fleet), Some(LinkState::Whole), "{what}: mended");
         kept(&fleet, &what);
@@ -180,7 +180,7 @@
             &(0..8).collect::<Vec<_>>(),
             &format!("seed {seed}: heard by one only"),
         );
-        fleet.network.mend_all();
+        fleet.network.heal_all();
         agrees(&mut fleet, "heard by all again");
         kept(&fleet, "heard by one only");
     });
@@ -205,7 +205,7 @@
         fleet.run(ms(40_000));
         assert_eq!(fleet.sees(0, 1), Some(State::Failed));
         assert_eq!(fleet.sees(0, 2), Some(State::Alive), "its own half goes on");
-        fleet.network.mend_all();
+        fleet.network.heal_all();
         agrees(&mut fleet, &format!("seed {seed}: two halves"));
         kept(&fleet, "two halves");
     });
@@ -224,7 +224,7 @@
         let view = fleet.view(0).expect("runs");
         assert!(view.members.iter().all(|m| m.state == State::Unknown), "seed {seed}");
         assert!((1..5).all(|w| fleet.sees(w, 0) == Some(State::Failed)), "seed {seed}");
-        fleet.network.mend_all();
+        fleet.network.heal_all();
         agrees(&mut fleet, "one cut off alone");
         // What it suspected when it was cut off is asked anew, not held against them.
         fleet.run(ms(8_000));
@@ -258,7 +258,12 @@
         seeds().for_each(|seed| {
             let mut fleet = fleet(6, seed);
             let began = fleet.now();
-            fleet.network.all = Faults { lost, doubled: 0.2, reordered: 0.3, ..Faults::default() };
+            fleet.network.default_faults = LinkFaults {
+                loss_rate: lost,
+                duplication_rate: 0.2,
+                reorder_rate: 0.3,
+                ..LinkFaults::default()
+            };
             fleet.run(ms(60_000));
             if spared {
                 never_failed(
@@ -268,7 +273,7 @@
                     &format!("seed {seed}: {lost} lost"),
                 );
             }
-            fleet.network.all = Faults::default();
+            fleet.network.default_faults = LinkFaults::default();
             agrees(&mut fleet, &format!("seed {seed}: after {lost} lost"));
             kept(&fleet, "bad networks");
         });
@@ -314,15 +319,15 @@
 fn groups_at_the_start() {
     seeds().for_each(|seed| {
         let mut fleet = Fleet::new(Plan { members: 6, seeds: 3, seed, ..Plan::default() });
-        fleet.network.all = Faults { lost: 0.5, ..Faults::default() };
+        fleet.network.default_faults = LinkFaults { loss_rate: 0.5, ..LinkFaults::default() };
         let halves: [&[usize]; 2] = [&[0, 3, 4, 5], &[1, 2]];
         for a in halves[0] {
             halves[1].iter().for_each(|b| fleet.network.cut_both(*a, *b));
         }
         (0..6).for_each(|w| fleet.start(w));
         fleet.run(ms(2_000 + 100 * seed));
-        fleet.network.mend_all();
-        fleet.network.all = Faults::default();
+        fleet.network.heal_all();
+        fleet.network.default_faults = LinkFaults::default();
         agrees(&mut fleet, &format!("seed {seed}: two groups at the start"));
         kept(&fleet, "groups at the start");
     });
@@ -481,7 +486,7 @@
 fn runs_repeat() {
     let run = || {
         let mut fleet = fleet(6, 11);
-        fleet.network.all = Faults { lost: 0.3, ..Faults::default() };
+        fleet.network.default_faults = LinkFaults { loss_rate: 0.3, ..LinkFaults::default() };
         fleet.pause(2);
         fleet.run(ms(9_000));
         fleet.resume(2);
@@ -505,14 +510,14 @@
     for broken in [false, true] {
         let mut fleet = variant(DisabledParts { no_suspicion: broken, ..DisabledParts::default() });
         let began = fleet.now();
-        fleet.network.all = Faults { lost: 0.2, ..Faults::default() };
+        fleet.network.default_faults = LinkFaults { loss_rate: 0.2, ..LinkFaults::default() };
         fleet.run(ms(60_000));
         assert_eq!(failed(&fleet, began) > 0, broken, "suspicion");
 
         // One that runs for 20 ms in each 620: what comes for it comes while it stands still.
         let mut fleet = variant(DisabledParts { no_local_health: broken, ..DisabledParts::default() });
         let began = fleet.now();
-        fleet.network.all.delay = ms(15);
+        fleet.network.default_faults.delay = ms(15);
         for _ in 0..60 {
             fleet.pause(1);
             fleet.run(ms(600));
--- a/crates/emulator/tests/ownership.rs
+++ b/crates/emulator/tests/ownership.rs
@@ -95,7 +95,7 @@
                 let what = format!("seed {seed}: {who} cut off, hears: {hears}");
                 fleet.run(ms(3_000));
                 owned_again(&mut fleet, &what);
-                fleet.network.mend_all();
+                fleet.network.heal_all();
                 fleet.run(ms(3_000));
                 owned_again(&mut fleet, &what);
             }
@@ -240,7 +240,7 @@
             if turn % 2 == 0 {
                 fleet.network.cut_both(0, 1);
             } else {
-                fleet.network.mend_all();
+                fleet.network.heal_all();
             }
             fleet.run(ms(1_000));
         }
@@ -354,7 +354,7 @@
     owned_again(&mut fleet, "after a snapshot");
 }
 
-/// Faults at random for half a minute. Nothing that must hold may break; and with no more than one disk lost
+/// LinkFaults at random for half a minute. Nothing that must hold may break; and with no more than one disk lost
 /// there is an owner again in the end.
 fn random(seed: u64, broken: DisabledParts) -> Owners {
     let mut fleet = Owners::started(OwnersPlan { seed, broken, ..OwnersPlan::default() });
@@ -386,11 +386,11 @@
             }
             5 | 6 => fleet.network.cut(who, other),
             7 => fleet.network.cut_both(who, other),
-            8 => fleet.network.all.lost = 0.3 * (fleet.draw(3) as f64),
-            9 => fleet.network.all.doubled = 0.2,
+            8 => fleet.network.default_faults.loss_rate = 0.3 * (fleet.draw(3) as f64),
+            9 => fleet.network.default_faults.duplication_rate = 0.2,
             10 => fleet.slow_disk(who, takes),
             11 => fleet.fail_disk(who, true),
-            12 => fleet.network.mend_all(),
+            12 => fleet.network.heal_all(),
             _ => {
                 let wants = AdminCommand::Depose { duty: DUTY.to_string() };
                 let id = fleet.draw(1 << 40);
@@ -411,8 +411,8 @@
             });
         }
     }
-    fleet.network.mend_all();
-    fleet.network.all = Default::default();
+    fleet.network.heal_all();
+    fleet.network.default_faults = Default::default();
     for who in 0..members {
         fleet.fail_disk(who, false);
         fleet.slow_disk(who, ms(2));
