--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::AtomicBool;
 
 use anyhow::{Context, Result, bail};
-use lynxstair_fault_injection::soak::{SoakPlan, SoakReport, SoakShape, SoakStage, run as play};
+use lynxstair_fault_injection::soak::{SoakOptions, SoakPlan, SoakReport, SoakShape, run as run_soak};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 /// Starts controllers and proxies with clients, workers and an operator; signals, kills, pauses, restarts and changes come in
@@ -65,10 +65,11 @@
     for signal in [SIGINT, SIGTERM, SIGHUP] {
         signal_hook::flag::register(signal, stop.clone()).context("signals")?;
     }
-    let stage = SoakStage { programs: &programs, keep: args.keep.as_deref(), stop: &stop };
+    let options = SoakOptions { programs: &programs, keep_dir: args.keep.as_deref(), stop: &stop };
     let mut code = 0;
     for seed in (args.seed..).take(usize::try_from(args.seeds)?) {
-        let report = play(&SoakPlan::draw(seed, shape), &stage).with_context(|| format!("seed {seed}"))?;
+        let report =
+            run_soak(&SoakPlan::draw(seed, shape), &options).with_context(|| format!("seed {seed}"))?;
         print_report(&report);
         code |= u8::from(!report.findings.is_empty());
     }
@@ -78,7 +79,7 @@
 fn print_report(report: &SoakReport) {
     let summary = &report.summary;
     for finding in &report.findings {
-        println!("{:8.3} s  {}  {}", finding.at, finding.rule, finding.what);
+        println!("{:8.3} s  {}  {}", finding.at_s, finding.rule, finding.description);
     }
     println!(
         "soak {} {}: {} requests, {} succeeded, {} refused, {} failed, {} unanswered; {} signals, {} changes accepted",
@@ -92,7 +93,7 @@
         summary.signals,
         summary.changes
     );
-    if let Some(kept) = &report.kept {
+    if let Some(kept) = &report.kept_dir {
         println!("logs and data: {}", kept.display());
     }
 }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -6,7 +6,9 @@
 
 use anyhow::{Context, Result, bail};
 use clap::ValueEnum;
-use lynxstair_fault_injection::{RULES, Stage, Trial, Verdict, drawn, play, shortened};
+use lynxstair_fault_injection::{
+    RULES, Trial, TrialOptions, Verdict, minimize_trial, random_trial, run_trial,
+};
 use lynxstair_membership::DisabledParts;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
@@ -65,7 +67,7 @@
 pub fn run(args: Args) -> Result<u8> {
     if args.rules {
         for rule in RULES {
-            println!("{:22} {}", rule.name, rule.says);
+            println!("{:22} {}", rule.name, rule.requirement);
         }
         return Ok(0);
     }
@@ -76,19 +78,19 @@
     if !program.exists() {
         bail!("{}: no such program; build it, or name it by --program", program.display());
     }
-    let (mut broken, mut broken_ownership) =
+    let (mut disabled_membership_parts, mut disabled_lease_parts) =
         (DisabledParts::default(), lynxstair_leases::DisabledParts::default());
     for part in &args.without {
         match part {
-            Part::Suspicion => broken.no_suspicion = true,
-            Part::Lateness => broken.no_local_health = true,
-            Part::Incarnation => broken.no_stored_incarnation = true,
-            Part::Relays => broken.no_relays = true,
-            Part::Identity => broken_ownership.votes_forgotten = true,
-            Part::Disk => broken_ownership.no_waiting_for_disk = true,
-            Part::Epochs => broken_ownership.no_epochs = true,
-            Part::Leases => broken_ownership.no_leases = true,
-            Part::Refusal => broken_ownership.no_refusal = true,
+            Part::Suspicion => disabled_membership_parts.no_suspicion = true,
+            Part::Lateness => disabled_membership_parts.no_local_health = true,
+            Part::Incarnation => disabled_membership_parts.no_stored_incarnation = true,
+            Part::Relays => disabled_membership_parts.no_relays = true,
+            Part::Identity => disabled_lease_parts.votes_forgotten = true,
+            Part::Disk => disabled_lease_parts.no_waiting_for_disk = true,
+            Part::Epochs => disabled_lease_parts.no_epochs = true,
+            Part::Leases => disabled_lease_parts.no_leases = true,
+            Part::Refusal => disabled_lease_parts.no_refusal = true,
         }
     }
     let stop = Arc::new(AtomicBool::new(false));
@@ -98,10 +100,15 @@
     if let Some(keep) = &args.keep {
         std::fs::create_dir_all(keep).with_context(|| keep.display().to_string())?;
     }
-    let stage =
-        Stage { program: &program, keep: args.keep.as_deref(), broken, broken_ownership, stop: &stop };
+    let options = TrialOptions {
+        program: &program,
+        keep_dir: args.keep.as_deref(),
+        disabled_membership_parts,
+        disabled_lease_parts,
+        stop: &stop,
+    };
     if let (Some(many), Some(base)) = (args.hunt, &args.base) {
-        return hunt(&args, many, base, &stage);
+        return hunt(&args, many, base, &options);
     }
     if args.files.is_empty() {
         bail!("no trial file is named");
@@ -113,16 +120,16 @@
         if stop.load(Ordering::SeqCst) {
             bail!("told to stop");
         }
-        let verdict = play(trial, &stage).with_context(|| trial.name.clone())?;
+        let verdict = run_trial(trial, &options).with_context(|| trial.name.clone())?;
         tell(&verdict, args.json)?;
-        code |= u8::from(!verdict.kept);
+        code |= u8::from(!verdict.passed);
     }
     Ok(code)
 }
 
 /// The first rule that broke decides the last line.
 fn last_line(verdict: &Verdict) -> String {
-    match verdict.breaks.first() {
+    match verdict.violations.first() {
         None => format!("trial kept {}", verdict.name),
         Some(first) => format!("trial broken {}: {}", verdict.name, first.rule),
     }
@@ -132,30 +139,36 @@
     if json {
         println!("{}", serde_json::to_string(verdict)?);
     } else {
-        for one in &verdict.breaks {
-            println!("{:8.3} s  {}  [{}]  {}", one.at, one.rule, one.who.join(", "), one.what);
-            one.lines.iter().for_each(|l| println!("            {l}"));
+        for one in &verdict.violations {
+            println!(
+                "{:8.3} s  {}  [{}]  {}",
+                one.at_s,
+                one.rule,
+                one.gatekeepers.join(", "),
+                one.description
+            );
+            one.history_lines.iter().for_each(|l| println!("            {l}"));
         }
-        let i = &verdict.invocations;
+        let i = &verdict.requests;
         if i.sent > 0 {
             println!(
                 "invocations: {} sent, {} succeeded, {} throttled, {} errored, {} without an answer",
                 i.sent, i.succeeded, i.throttled, i.errored, i.unanswered
             );
         }
-        if let Some(e) = &verdict.effects {
+        if let Some(e) = &verdict.batches {
             println!(
                 "effects at the sink: {} taken, {} there already, {} late ones refused",
-                e.taken, e.again, e.refused
+                e.accepted, e.duplicates, e.fenced
             );
         }
         for d in &verdict.detections {
             println!(
                 "{} was killed: seen failed after {:.2} s by the first, {:.2} s by the last",
-                d.who, d.first, d.last
+                d.gatekeeper, d.first_s, d.last_s
             );
         }
-        if let Some(after) = verdict.agreed_after {
+        if let Some(after) = verdict.agreed_after_s {
             println!("all agreed {after:.2} s after the last fault");
         }
         if let Some(cpu) = verdict.cpu {
@@ -166,21 +179,23 @@
     Ok(())
 }
 
-fn hunt(args: &Args, many: u64, base: &Path, stage: &Stage<'_>) -> Result<u8> {
+fn hunt(args: &Args, many: u64, base: &Path, options: &TrialOptions<'_>) -> Result<u8> {
     let base = Trial::read(base, args.seed)?;
     let mut code = 0;
     for n in 0..many {
-        let trial = drawn(&base, base.seed.wrapping_add(n));
-        let verdict = play(&trial, stage).with_context(|| trial.name.clone())?;
-        if verdict.kept {
+        let trial = random_trial(&base, base.seed.wrapping_add(n));
+        let verdict = run_trial(&trial, options).with_context(|| trial.name.clone())?;
+        if verdict.passed {
             println!("{}", last_line(&verdict));
             continue;
         }
         code = 1;
         tell(&verdict, args.json)?;
-        let rule = verdict.breaks[0].rule;
-        let least = shortened(&trial, |t| Ok::<_, lynxstair_fault_injection::Failed>(!play(t, stage)?.kept))
-            .with_context(|| trial.name.clone())?;
+        let rule = verdict.violations[0].rule;
+        let least = minimize_trial(&trial, |t| {
+            Ok::<_, lynxstair_fault_injection::TrialError>(!run_trial(t, options)?.passed)
+        })
+        .with_context(|| trial.name.clone())?;
         println!("# broke {rule}; {} of {} faults are needed", least.faults.len(), trial.faults.len());
         println!("{}", least.to_toml());
         if let Some(keep) = &args.keep {
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -27,80 +27,103 @@
     /// As verdicts name it.
     pub name: &'static str,
     /// What must hold.
-    pub says: &'static str,
+    #[serde(rename = "says")]
+    pub requirement: &'static str,
 }
 
 /// All rules, by name.
 pub const RULES: [Rule; 21] = [
-    Rule { name: "all-join", says: "all that start are in, and see each other, before the faults begin" },
-    Rule { name: "states-follow", says: "no state of a member follows one that it may not follow" },
+    Rule {
+        name: "all-join",
+        requirement: "all that start are in, and see each other, before the faults begin",
+    },
+    Rule { name: "states-follow", requirement: "no state of a member follows one that it may not follow" },
     Rule {
         name: "incarnation-forward",
-        says: "an incarnation never goes back, neither one's own nor as seen by others",
+        requirement: "an incarnation never goes back, neither one's own nor as seen by others",
     },
     Rule {
         name: "over-stays-over",
-        says: "one that failed, left or was shut out is there again only in a later incarnation",
+        requirement: "one that failed, left or was shut out is there again only in a later incarnation",
     },
     Rule {
         name: "not-failed-for-good",
-        says: "one that runs and is heard is not failed, at the end, as seen by any that runs",
+        requirement: "one that runs and is heard is not failed, at the end, as seen by any that runs",
     },
     Rule {
         name: "all-agree",
-        says: "all that run see the same members, from agree_within after the last fault to the end",
+        requirement: "all that run see the same members, from agree_within after the last fault to the end",
+    },
+    Rule {
+        name: "status-as-history",
+        requirement: "what a member answers at the end is what its history comes to",
     },
-    Rule { name: "status-as-history", says: "what a member answers at the end is what its history comes to" },
     Rule {
         name: "cuts-do-not-flap",
-        says: "while nothing but cuts lasts, nobody suspects another again and again",
+        requirement: "while nothing but cuts lasts, nobody suspects another again and again",
     },
-    Rule { name: "never-failed", says: "those under must.never_failed are declared failed by nobody" },
+    Rule { name: "never-failed", requirement: "those under must.never_failed are declared failed by nobody" },
     Rule {
         name: "seen-failed",
-        says: "those under must.seen_failed are declared failed by all others, at some time",
+        requirement: "those under must.seen_failed are declared failed by all others, at some time",
+    },
+    Rule {
+        name: "epoch-has-one-owner",
+        requirement: "no epoch of a duty is given to two, and no other acts in it",
+    },
+    Rule {
+        name: "epochs-forward",
+        requirement: "no member owns a duty in an epoch lower than one it owned it in",
     },
-    Rule { name: "epoch-has-one-owner", says: "no epoch of a duty is given to two, and no other acts in it" },
-    Rule { name: "epochs-forward", says: "no member owns a duty in an epoch lower than one it owned it in" },
     Rule {
         name: "owned-again",
-        says: "each duty has one owner at the end, where most voters run and kept their records",
+        requirement: "each duty has one owner at the end, where most voters run and kept their records",
     },
     Rule {
         name: "effects-in-order",
-        says: "no effect of a duty is taken where it lands after one of a later epoch",
+        requirement: "no effect of a duty is taken where it lands after one of a later epoch",
     },
     Rule {
         name: "exported-as-answered",
-        says: "at the end the sink has what clients were answered as succeeded, by gatekeeper and customer",
+        requirement: "at the end the sink has what clients were answered as succeeded, by gatekeeper and customer",
+    },
+    Rule {
+        name: "ends-well",
+        requirement: "no process ends by itself, and each ends with 0 when it is told to",
     },
-    Rule { name: "ends-well", says: "no process ends by itself, and each ends with 0 when it is told to" },
-    Rule { name: "history-whole", says: "each process that runs has a history, and it can be read" },
+    Rule { name: "history-whole", requirement: "each process that runs has a history, and it can be read" },
     Rule {
         name: "one-answer",
-        says: "each invocation gets one final answer, in time, at gatekeepers that nothing is done to",
+        requirement: "each invocation gets one final answer, in time, at gatekeepers that nothing is done to",
+    },
+    Rule { name: "no-effect-twice", requirement: "no invocation that is not idempotent is run twice" },
+    Rule {
+        name: "nothing-to-drained",
+        requirement: "nothing new goes to a worker that drains, after the grace",
     },
-    Rule { name: "no-effect-twice", says: "no invocation that is not idempotent is run twice" },
-    Rule { name: "nothing-to-drained", says: "nothing new goes to a worker that drains, after the grace" },
     Rule {
         name: "served-through",
-        says: "gatekeepers that nothing is done to serve as if there were no fault",
+        requirement: "gatekeepers that nothing is done to serve as if there were no fault",
     },
 ];
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// The rule's name.
     pub rule: &'static str,
     /// Seconds after all served.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub at_s: f64,
     /// Between whom.
-    pub who: Vec<String>,
+    #[serde(rename = "who")]
+    pub gatekeepers: Vec<String>,
     /// What was seen.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// Of the histories.
-    pub lines: Vec<String>,
+    #[serde(rename = "lines")]
+    pub history_lines: Vec<String>,
 }
 
 /// What came of a trial.
@@ -109,18 +132,23 @@
     /// The trial's name.
     pub name: String,
     /// No rule was broken.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub passed: bool,
     /// What broke, in the order of time.
-    pub breaks: Vec<Break>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
     /// Seconds from the last fault's end until all agreed for good; measured, and no rule.
-    pub agreed_after: Option<f64>,
+    #[serde(rename = "agreed_after")]
+    pub agreed_after_s: Option<f64>,
     /// For each that was declared failed after its process was killed: seconds until the first and until the
     /// last of the others had.
     pub detections: Vec<Detection>,
     /// What clients and workers saw.
-    pub invocations: Invocations,
+    #[serde(rename = "invocations")]
+    pub requests: RequestCounts,
     /// Of the owner of export, at the sink; none: there was no sink.
-    pub effects: Option<Effects>,
+    #[serde(rename = "effects")]
+    pub batches: Option<BatchCounts>,
     /// CPU of a gatekeeper a second, as a part of a core; the mean over those that ran through.
     pub cpu: Option<f64>,
 }
@@ -129,27 +157,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Detection {
     /// Who was killed.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub gatekeeper: String,
     /// Seconds until the first of the others had declared it failed.
-    pub first: f64,
+    #[serde(rename = "first")]
+    pub first_s: f64,
     /// Seconds until the last of them had.
-    pub last: f64,
+    #[serde(rename = "last")]
+    pub last_s: f64,
 }
 
 /// Counts of what came to a sink.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Effects {
+pub struct BatchCounts {
     /// They were new.
-    pub taken: usize,
+    #[serde(rename = "taken")]
+    pub accepted: usize,
     /// They were there already: nothing changed.
-    pub again: usize,
+    #[serde(rename = "again")]
+    pub duplicates: usize,
     /// Of a lower epoch than was seen there.
-    pub refused: usize,
+    #[serde(rename = "refused")]
+    pub fenced: usize,
 }
 
 /// Counts of a load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Invocations {
+pub struct RequestCounts {
     /// By clients.
     pub sent: usize,
     /// Answered with success.
@@ -166,7 +200,7 @@
 
 /// One gatekeeper as the trial had it.
 #[derive(Clone, Debug, Default)]
-pub struct Process {
+pub struct ProcessObservation {
     /// As the others know it.
     pub name: String,
     /// At the end.
@@ -191,7 +225,7 @@
     pub history: Vec<String>,
 }
 
-impl Process {
+impl ProcessObservation {
     /// Whether all that it told its clients is on its disk or further.
     pub fn keeps_uses(&self) -> bool {
         self.runs && self.disk_lost.is_empty() && !self.uses_lost
@@ -200,7 +234,7 @@
 
 /// All that was seen. Times are of the machine's monotonic clock, in nanoseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Observed {
+pub struct Observations {
     /// The trial's name.
     pub name: String,
     /// All served.
@@ -220,7 +254,7 @@
     /// What came to the sink, in its order; none: there was none.
     pub landed: Option<Vec<ReceivedBatch>>,
     /// Each gatekeeper.
-    pub processes: Vec<Process>,
+    pub processes: Vec<ProcessObservation>,
     /// What clients were answered.
     pub answered: Vec<RequestOutcome>,
     /// What workers received.
@@ -286,60 +320,67 @@
     }
 }
 
-struct Judge<'a> {
-    seen: &'a Observed,
+struct Checker<'a> {
+    seen: &'a Observations,
     lines: Vec<Vec<Line>>,
-    breaks: Vec<Break>,
+    violations: Vec<Violation>,
 }
 
 /// Judges a trial.
-pub fn judge(seen: &Observed) -> Verdict {
-    let mut judge = Judge { seen, lines: Vec::new(), breaks: Vec::new() };
-    judge.read();
-    judge.joined();
+pub fn check_trial(seen: &Observations) -> Verdict {
+    let mut checker = Checker { seen, lines: Vec::new(), violations: Vec::new() };
+    checker.read();
+    checker.joined();
     for who in 0..seen.processes.len() {
-        judge.one_history(who);
-        judge.ended(who);
+        checker.one_history(who);
+        checker.ended(who);
     }
-    let agreed_after = judge.agreement();
-    judge.flapping();
-    judge.owners();
-    judge.declared();
-    judge.invocations();
-    let detections = judge.detections();
-    let mut breaks = judge.breaks;
-    breaks.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let agreed_after_s = checker.agreement();
+    checker.flapping();
+    checker.owners();
+    checker.declared();
+    checker.invocations();
+    let detections = checker.detections();
+    let mut violations = checker.violations;
+    violations.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     Verdict {
         name: seen.name.clone(),
-        kept: breaks.is_empty(),
-        breaks,
-        agreed_after,
+        passed: violations.is_empty(),
+        violations,
+        agreed_after_s,
         detections,
-        invocations: counted(seen),
-        effects: seen.landed.as_ref().map(|landed| {
+        requests: counted(seen),
+        batches: seen.landed.as_ref().map(|landed| {
             let with = |is: fn(&BatchReply) -> bool| landed.iter().filter(|l| is(&l.reply)).count();
-            Effects {
-                taken: with(|s| *s == BatchReply::Accepted { already_stored: false }),
-                again: with(|s| *s == BatchReply::Accepted { already_stored: true }),
-                refused: with(|s| matches!(s, BatchReply::Fenced { .. })),
+            BatchCounts {
+                accepted: with(|s| *s == BatchReply::Accepted { already_stored: false }),
+                duplicates: with(|s| *s == BatchReply::Accepted { already_stored: true }),
+                fenced: with(|s| matches!(s, BatchReply::Fenced { .. })),
             }
         }),
         cpu: seen.cpu,
     }
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     fn secs(&self, mono: u64) -> f64 {
         (mono as f64 - self.seen.began as f64) / 1e9
     }
 
-    fn breaks(&mut self, rule: &'static str, mono: u64, who: &[&str], what: String, lines: Vec<String>) {
+    fn report(
+        &mut self,
+        rule: &'static str,
+        mono: u64,
+        who: &[&str],
+        description: String,
+        history_lines: Vec<String>,
+    ) {
         debug_assert!(RULES.iter().any(|r| r.name == rule), "{rule}");
         // One of a kind between the same tells enough.
-        let who: Vec<_> = who.iter().map(|w| w.to_string()).collect();
-        if !self.breaks.iter().any(|b| b.rule == rule && b.who == who) {
-            let at = self.secs(mono);
-            self.breaks.push(Break { rule, at, who, what, lines });
+        let gatekeepers: Vec<_> = who.iter().map(|w| w.to_string()).collect();
+        if !self.violations.iter().any(|b| b.rule == rule && b.gatekeepers == gatekeepers) {
+            let at_s = self.secs(mono);
+            self.violations.push(Violation { rule, at_s, gatekeepers, description, history_lines });
         }
     }
 
@@ -355,12 +396,12 @@
                     None if process.was_ended || n + 1 == count => {}
                     None => {
                         let what = format!("line {} can't be read", n + 1);
-                        self.breaks("history-whole", seen.began, &[&process.name], what, vec![text.clone()]);
+                        self.report("history-whole", seen.began, &[&process.name], what, vec![text.clone()]);
                     }
                 }
             }
             if lines.is_empty() && process.runs {
-                self.breaks("history-whole", seen.began, &[&process.name], "no history".to_string(), vec![]);
+                self.report("history-whole", seen.began, &[&process.name], "no history".to_string(), vec![]);
             }
             // The run that begins later comes later.
             lines.sort_by_key(|l| l.mono);
@@ -370,7 +411,7 @@
 
     fn joined(&mut self) {
         if let Some(what) = self.seen.not_joined.clone() {
-            self.breaks("all-join", self.seen.began, &[], what, Vec::new());
+            self.report("all-join", self.seen.began, &[], what, Vec::new());
         }
     }
 
@@ -391,7 +432,7 @@
                     if incarnation <= last && !forgot {
                         let what = format!("{me} begins as {incarnation} after it was {last}");
                         let lines = vec![before.text.clone(), line.text.clone()];
-                        self.breaks("incarnation-forward", line.mono, &[me], what, lines);
+                        self.report("incarnation-forward", line.mono, &[me], what, lines);
                     }
                 }
                 own = Some((incarnation, line));
@@ -409,18 +450,18 @@
                 && (before.text("to") != from || before.number("incarnation") != was)
             {
                 let what = format!("{other} was {}, and becomes {to} from {from}", before.text("to"));
-                self.breaks("states-follow", line.mono, &[me, &other], what, texts());
+                self.report("states-follow", line.mono, &[me, &other], what, texts());
             }
             if now < was {
                 let what = format!("{me} sees {other} go back from incarnation {was} to {now}");
-                self.breaks("incarnation-forward", line.mono, &[me, &other], what, texts());
+                self.report("incarnation-forward", line.mono, &[me, &other], what, texts());
             }
             if now == was && is_over(&from) && (is_there(&to) || to == "joining") {
                 let what = format!("{me} sees {other} {to} after {from}, both in incarnation {now}");
-                self.breaks("over-stays-over", line.mono, &[me, &other], what, texts());
+                self.report("over-stays-over", line.mono, &[me, &other], what, texts());
             } else if now == was && !may_follow(&from, &to) || now > was && from == "shut_out" {
                 let what = format!("{me} sees {other} become {to} from {from}");
-                self.breaks("states-follow", line.mono, &[me, &other], what, texts());
+                self.report("states-follow", line.mono, &[me, &other], what, texts());
             }
         }
         self.lines[who] = lines;
@@ -429,7 +470,7 @@
     fn ended(&mut self, who: usize) {
         if let Some((at, why)) = self.seen.processes[who].ended_badly.clone() {
             let name = self.seen.processes[who].name.clone();
-            self.breaks("ends-well", at, &[&name], format!("{name}: {why}"), Vec::new());
+            self.report("ends-well", at, &[&name], format!("{name}: {why}"), Vec::new());
         }
     }
 }
--- a/crates/fault-injection/src/judge/agreement.rs
+++ b/crates/fault-injection/src/checker/agreement.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Judge<'_> {
+impl Checker<'_> {
     /// The changes of whom one process sees as there, in its last run: from when on. One that hears nobody
     /// says of nobody that he is there.
     pub(super) fn sees(&self, who: usize) -> Vec<(u64, BTreeSet<String>, bool)> {
@@ -78,17 +78,17 @@
                     (seen.ended.max(by) - seen.faults_over) as f64 / 1e9
                 );
                 let texts = self.last_lines(who, &missing, &over);
-                self.breaks("all-agree", at.max(by), &[&me], what, texts);
+                self.report("all-agree", at.max(by), &[&me], what, texts);
             }
             if let Some(status) = &seen.processes[who].status {
                 let says = steps.last().map(|(_, there, _)| there.clone()).unwrap_or_default();
                 if *status != says {
                     let what = format!("{me} answers {status:?}, and its history comes to {says:?}");
-                    self.breaks("status-as-history", seen.ended, &[&me], what, Vec::new());
+                    self.report("status-as-history", seen.ended, &[&me], what, Vec::new());
                 }
             } else {
                 let what = format!("{me} did not answer at its control port at the end");
-                self.breaks("status-as-history", seen.ended, &[&me], what, Vec::new());
+                self.report("status-as-history", seen.ended, &[&me], what, Vec::new());
             }
             self.failed_for_good(who, &running);
         }
@@ -114,7 +114,7 @@
             if let Some(line) = last.filter(|l| l.text("to") == "failed") {
                 let (at, text) = (line.mono, line.text.clone());
                 let what = format!("{me} holds {name} failed, and it runs");
-                self.breaks("not-failed-for-good", at, &[&me, name], what, vec![text]);
+                self.report("not-failed-for-good", at, &[&me, name], what, vec![text]);
             }
         }
     }
@@ -138,7 +138,7 @@
                         (to - from) as f64 / 1e9
                     );
                     let texts = lines.iter().map(|l| l.text.clone()).take(4).collect();
-                    self.breaks("cuts-do-not-flap", lines[SUSPECTED].mono, &[&me, &other], what, texts);
+                    self.report("cuts-do-not-flap", lines[SUSPECTED].mono, &[&me, &other], what, texts);
                 }
             }
         }
@@ -161,7 +161,7 @@
             for (who, at, text) in by.get(name.as_str()).cloned().unwrap_or_default() {
                 let me = &seen.processes[who].name;
                 let what = format!("{me} declares {name} failed");
-                self.breaks("never-failed", at, &[me, name], what, vec![text]);
+                self.report("never-failed", at, &[me, name], what, vec![text]);
             }
         }
         for name in &seen.seen_failed {
@@ -171,7 +171,7 @@
                 // Whoever was ended meanwhile may have been away when it was to be seen.
                 if process.name != *name && !process.was_ended && !said.contains(&who) {
                     let what = format!("{} never declares {name} failed", process.name);
-                    self.breaks("seen-failed", seen.ended, &[&process.name, name], what, Vec::new());
+                    self.report("seen-failed", seen.ended, &[&process.name, name], what, Vec::new());
                 }
             }
         }
@@ -192,10 +192,10 @@
                     let found = lines.iter().filter(after).find(|l| l.text("to") == "failed");
                     took.extend(found.map(|l| (l.mono - killed) as f64 / 1e9));
                 }
-                if let (Some(first), Some(last)) =
+                if let (Some(first_s), Some(last_s)) =
                     (took.iter().copied().reduce(f64::min), took.iter().copied().reduce(f64::max))
                 {
-                    all.push(Detection { who: process.name.clone(), first, last });
+                    all.push(Detection { gatekeeper: process.name.clone(), first_s, last_s });
                 }
             }
         }
--- a/crates/fault-injection/src/judge/clients.rs
+++ b/crates/fault-injection/src/checker/clients.rs
@@ -2,10 +2,11 @@
 
 use super::*;
 
-impl Judge<'_> {
+impl Checker<'_> {
     pub(super) fn invocations(&mut self) {
         let seen = self.seen;
-        let of: HashMap<&str, &Process> = seen.processes.iter().map(|p| (p.name.as_str(), p)).collect();
+        let of: HashMap<&str, &ProcessObservation> =
+            seen.processes.iter().map(|p| (p.name.as_str(), p)).collect();
         let quiet = |name: &str, from: u64, to: u64| {
             of.get(name).is_some_and(|p| !p.disturbed.iter().any(|(a, b)| *a <= to && from <= *b))
         };
@@ -16,11 +17,11 @@
             let said = || vec![serde_json::to_string(one).unwrap_or_default()];
             if one.extra_bytes > 0 {
                 let what = format!("{} bytes came behind the one answer to {:x}", one.extra_bytes, one.id);
-                self.breaks("one-answer", one.ended_at, &[who], what, said());
+                self.report("one-answer", one.ended_at, &[who], what, said());
             }
             if undisturbed && one.status.is_none() && one.reason != "crossed" {
                 let what = format!("no answer to {:x} in time: {}", one.id, one.reason);
-                self.breaks("one-answer", one.ended_at, &[who], what, said());
+                self.report("one-answer", one.ended_at, &[who], what, said());
             }
             if undisturbed && one.reason != "crossed" {
                 let count = served.entry(who).or_default();
@@ -31,7 +32,7 @@
         for (who, (sent, succeeded)) in served {
             if sent >= 20 && (succeeded as f64) < SERVED * sent as f64 {
                 let what = format!("{succeeded} of {sent} invocations at {who} succeeded");
-                self.breaks("served-through", seen.ended, &[who], what, Vec::new());
+                self.report("served-through", seen.ended, &[who], what, Vec::new());
             }
         }
         let by_id: HashMap<u64, &RequestOutcome> = seen.answered.iter().map(|a| (a.id, a)).collect();
@@ -45,7 +46,7 @@
                 || runs.iter().map(|d| serde_json::to_string(d).unwrap_or_default()).collect::<Vec<_>>();
             if asked.operation == "put" && runs.len() > 1 {
                 let what = format!("{id:x} is not idempotent and was run {} times", runs.len());
-                self.breaks("no-effect-twice", runs[1].received_at, &[&asked.gatekeeper], what, said());
+                self.report("no-effect-twice", runs[1].received_at, &[&asked.gatekeeper], what, said());
             }
             let Some((worker, told)) = seen.drained else { continue };
             for run in runs.iter().filter(|r| r.worker == worker && r.received_at > told + DRAINED) {
@@ -54,16 +55,16 @@
                         "{id:x} went to worker {worker}, {:.2} s after it drained",
                         (run.received_at - told) as f64 / 1e9
                     );
-                    self.breaks("nothing-to-drained", run.received_at, &[&asked.gatekeeper], what, said());
+                    self.report("nothing-to-drained", run.received_at, &[&asked.gatekeeper], what, said());
                 }
             }
         }
     }
 }
 
-pub(super) fn counted(seen: &Observed) -> Invocations {
+pub(super) fn counted(seen: &Observations) -> RequestCounts {
     let with = |is: fn(u16) -> bool| seen.answered.iter().filter(|a| a.status.is_some_and(is)).count();
-    Invocations {
+    RequestCounts {
         sent: seen.answered.len(),
         succeeded: with(|s| s == 200),
         throttled: with(|s| s == 429 || s == 503),
--- a/crates/fault-injection/src/judge/ownership.rs
+++ b/crates/fault-injection/src/checker/ownership.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Judge<'_> {
+impl Checker<'_> {
     /// Who owned what: what all wrote down about it, together.
     pub(super) fn owners(&mut self) {
         let seen = self.seen;
@@ -43,7 +43,7 @@
         }
         for (rule, at, who, what, lines) in found {
             let who: Vec<&str> = who.iter().map(String::as_str).collect();
-            self.breaks(rule, at, &who, what, lines);
+            self.report(rule, at, &who, what, lines);
         }
         self.owned_again();
         if let Some(landed) = &seen.landed {
@@ -59,7 +59,7 @@
                 let what =
                     format!("an effect of epoch {} was taken after one of {}", one.epoch, before.epoch);
                 let lines = [before, one].map(|l| serde_json::to_string(l).unwrap_or_default());
-                self.breaks("effects-in-order", one.received_at, &[], what, lines.to_vec());
+                self.report("effects-in-order", one.received_at, &[], what, lines.to_vec());
             }
             last = last.filter(|b| b.epoch > one.epoch).or(Some(one));
         }
@@ -95,7 +95,7 @@
                     told as f64 / 1e3,
                     untold as f64 / 1e3
                 );
-                self.breaks("exported-as-answered", seen.ended, &[who], what, Vec::new());
+                self.report("exported-as-answered", seen.ended, &[who], what, Vec::new());
             }
         }
     }
@@ -122,7 +122,7 @@
         if owners.len() != 1 {
             let who: Vec<&str> = owners.iter().map(|(n, _)| *n).collect();
             let what = format!("{} own export at the end: {owners:?}", owners.len());
-            self.breaks("owned-again", seen.ended, &who, what, Vec::new());
+            self.report("owned-again", seen.ended, &who, what, Vec::new());
         }
     }
 }
--- a/crates/fault-injection/src/judge/tests.rs
+++ b/crates/fault-injection/src/checker/tests.rs
@@ -50,28 +50,28 @@
 }
 
 /// Three that run and agree, from second 1 to second 30; the faults are over at 10.
-fn good() -> Observed {
+fn good() -> Observations {
     let names = ["g1", "g2", "g3"];
     let process = |me: &str| {
         let others: Vec<&str> = names.into_iter().filter(|n| *n != me).collect();
         let mut history = vec![began(1.0, 7, 1)];
         history.extend(others.iter().map(|o| member(2.0, 7, o, ("unknown", 1), ("alive", 1))));
-        Process {
+        ProcessObservation {
             name: me.to_string(),
             runs: true,
             status: Some(others.iter().map(|o| o.to_string()).collect()),
             history,
-            ..Process::default()
+            ..ProcessObservation::default()
         }
     };
-    Observed {
+    Observations {
         name: "test".to_string(),
         began: 3 * SECOND,
         faults_over: 10 * SECOND,
         ended: 30 * SECOND,
         agree_within: 5.0,
         processes: names.into_iter().map(process).collect(),
-        ..Observed::default()
+        ..Observations::default()
     }
 }
 
@@ -91,20 +91,20 @@
     }
 }
 
-fn broken(seen: &Observed) -> Vec<&'static str> {
-    let mut rules: Vec<_> = judge(seen).breaks.iter().map(|b| b.rule).collect();
+fn broken(seen: &Observations) -> Vec<&'static str> {
+    let mut rules: Vec<_> = check_trial(seen).violations.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
 
-type Breaks = fn(&mut Observed);
+type Mutation = fn(&mut Observations);
 
 /// A whole trial is kept; and each rule has something done to it that it, and it alone, cries out at.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one case for each rule")]
 fn each_rule_cries_out() {
     assert_eq!(broken(&good()), Vec::<&str>::new());
-    let cases: [(&str, Breaks); 33] = [
+    let cases: [(&str, Mutation); 33] = [
         ("effects-in-order", |s| {
             s.answered = vec![answered(1, "get", Some(200))];
             s.landed = Some(vec![landed(3, 1, 1), landed(2, 2, 2)]);
@@ -218,10 +218,10 @@
             s.processes[0].history.push(member(6.1, 7, "g2", ("shut_out", 1), ("alive", 2)));
         }),
     ];
-    for (n, (rule, breaks)) in cases.into_iter().enumerate() {
+    for (n, (rule, mutate)) in cases.into_iter().enumerate() {
         let mut seen = good();
-        breaks(&mut seen);
-        assert_eq!(broken(&seen), [rule], "case {n}: {:?}", judge(&seen).breaks);
+        mutate(&mut seen);
+        assert_eq!(broken(&seen), [rule], "case {n}: {:?}", check_trial(&seen).violations);
     }
     // One that holds a running one failed breaks two.
     let mut seen = good();
@@ -251,7 +251,7 @@
     // Failed and back by joining, in time.
     seen.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
     seen.processes[0].history.push(member(12.0, 7, "g2", ("failed", 1), ("alive", 2)));
-    let verdict = judge(&seen);
-    assert!(verdict.kept, "{:?}", verdict.breaks);
-    assert_eq!(verdict.agreed_after, Some(2.0));
+    let verdict = check_trial(&seen);
+    assert!(verdict.passed, "{:?}", verdict.violations);
+    assert_eq!(verdict.agreed_after_s, Some(2.0));
 }
--- a/crates/fault-injection/src/hunt.rs
+++ b/crates/fault-injection/src/hunt.rs
@@ -1,4 +1,4 @@
-//! Random trials: faults of all kinds drawn from a seed, and a failing one shortened to the faults it needs.
+//! Random trials: faults of all kinds drawn from a seed, and a failing one minimize_trial to the faults it needs.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 
 /// A trial like this one with faults drawn from a seed. What must hold of single members is dropped: it was
 /// meant for the faults of the base.
-pub fn drawn(base: &Trial, seed: u64) -> Trial {
+pub fn random_trial(base: &Trial, seed: u64) -> Trial {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let many = chance.random_range(1..=4usize);
     let mut trial = base.clone();
@@ -82,13 +82,16 @@
 
 /// The same trial with only the faults it needs to break: each is left out in turn, as long as it still
 /// breaks. Without one of those that are left it was kept.
-pub fn shortened<E>(trial: &Trial, mut breaks: impl FnMut(&Trial) -> Result<bool, E>) -> Result<Trial, E> {
+pub fn minimize_trial<E>(
+    trial: &Trial,
+    mut fails: impl FnMut(&Trial) -> Result<bool, E>,
+) -> Result<Trial, E> {
     let mut least = trial.clone();
     let mut n = 0;
     while n < least.faults.len() {
         let mut less = least.clone();
         less.faults.remove(n);
-        if breaks(&less)? {
+        if fails(&less)? {
             least = less;
         } else {
             n += 1;
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -31,8 +31,8 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
+use crate::checker::{Observations, ProcessObservation, Verdict, check_trial};
 use crate::file::{Disk, Fault, Kind, Trial};
-use crate::judge::{Observed, Process, Verdict, judge};
 use crate::ports::Place;
 use crate::relay::{Link, Relay};
 
@@ -60,7 +60,7 @@
 
 /// The machine failed the trial, or it was told to stop: nothing is known of the rules.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum TrialError {
     /// The machine refused something: trying again may help.
     #[error("{what}: {source}")]
     Io {
@@ -77,28 +77,28 @@
     Stopped,
 }
 
-fn failed(what: impl Into<String>) -> impl FnOnce(io::Error) -> Failed {
+fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> TrialError {
     let what = what.into();
-    move |source| Failed::Io { what, source }
+    move |source| TrialError::Io { what, source }
 }
 
 /// Where and how a trial is played.
-pub struct Stage<'a> {
+pub struct TrialOptions<'a> {
     /// The gatekeeper's program.
     pub program: &'a Path,
     /// Histories, logs and records are left in a folder of the trial's name in here; none: nothing is left.
-    pub keep: Option<&'a Path>,
+    pub keep_dir: Option<&'a Path>,
     /// Parts of membership that are taken out.
-    pub broken: DisabledParts,
+    pub disabled_membership_parts: DisabledParts,
     /// Parts of the leases that are taken out.
-    pub broken_ownership: lynxstair_leases::DisabledParts,
+    pub disabled_lease_parts: lynxstair_leases::DisabledParts,
     /// Told to stop from outside.
     pub stop: &'a AtomicBool,
 }
 
 struct Gatekeeper {
     child: Option<Child>,
-    process: Process,
+    process: ProcessObservation,
     disturbed_since: Option<u64>,
     started: Instant,
     /// CPU so far, in seconds, when the trial began.
@@ -116,7 +116,7 @@
 
 struct Run<'a> {
     trial: &'a Trial,
-    stage: &'a Stage<'a>,
+    options: &'a TrialOptions<'a>,
     folder: PathBuf,
     place: Place,
     relay: Relay,
@@ -134,35 +134,35 @@
 ///
 /// # Errors
 /// Where the machine failed it (a port, a file, a program that does not start), or it was told to stop.
-pub fn play(trial: &Trial, stage: &Stage<'_>) -> Result<Verdict, Failed> {
-    let temporary = tempfile::tempdir().map_err(failed("a folder for the trial"))?;
-    let folder = match stage.keep {
+pub fn run_trial(trial: &Trial, options: &TrialOptions<'_>) -> Result<Verdict, TrialError> {
+    let temporary = tempfile::tempdir().map_err(io_error("a folder for the trial"))?;
+    let folder = match options.keep_dir {
         Some(keep) => keep.join(file_name(&trial.name)),
         None => temporary.path().to_path_buf(),
     };
-    if stage.keep.is_some() {
+    if options.keep_dir.is_some() {
         let _ = fs::remove_dir_all(&folder);
     }
-    fs::create_dir_all(&folder).map_err(failed(folder.display().to_string()))?;
-    let place = Place::find(trial.gatekeepers).map_err(failed("addresses of its own"))?;
-    let relay = Relay::start(place, trial.gatekeepers, trial.seed).map_err(failed("the links"))?;
+    fs::create_dir_all(&folder).map_err(io_error(folder.display().to_string()))?;
+    let place = Place::find(trial.gatekeepers).map_err(io_error("addresses of its own"))?;
+    let relay = Relay::start(place, trial.gatekeepers, trial.seed).map_err(io_error("the links"))?;
     let load = trial
         .load
         .map(|l| Load::new(LoadPlan { requests_per_second: l.invocations_per_second, workers: WORKERS }));
     let sink = match (&load, trial.voters) {
         (Some(_), Some(_)) => {
             let sink = Sink::open(&folder.join("sink"));
-            Some(sink.map_err(|e| failed("the sink")(io::Error::other(e)))?)
+            Some(sink.map_err(|e| io_error("the sink")(io::Error::other(e)))?)
         }
         _ => None,
     };
     if let Some(sink) = &sink {
-        sink.accepts_stale_epochs.store(stage.broken_ownership.no_refusal, Ordering::SeqCst);
+        sink.accepts_stale_epochs.store(options.disabled_lease_parts.no_refusal, Ordering::SeqCst);
     }
     let gatekeepers = (0..trial.gatekeepers)
         .map(|n| Gatekeeper {
             child: None,
-            process: Process { name: Trial::name_of(n), ..Process::default() },
+            process: ProcessObservation { name: Trial::name_of(n), ..ProcessObservation::default() },
             disturbed_since: None,
             started: Instant::now(),
             cpu: 0.0,
@@ -170,13 +170,14 @@
         .collect();
     let (active, faults) = (BTreeSet::new(), trial.faults.clone());
     let began = Instant::now();
-    let mut run = Run { trial, stage, folder, place, relay, load, sink, gatekeepers, active, faults, began };
-    let observed = run.play()?;
-    if stage.keep.is_some() {
+    let mut run =
+        Run { trial, options, folder, place, relay, load, sink, gatekeepers, active, faults, began };
+    let observed = run.execute()?;
+    if options.keep_dir.is_some() {
         let text = trial.to_toml();
-        fs::write(run.folder.join("trial.toml"), text).map_err(failed("the trial's file"))?;
+        fs::write(run.folder.join("trial.toml"), text).map_err(io_error("the trial's file"))?;
     }
-    Ok(judge(&observed))
+    Ok(check_trial(&observed))
 }
 
 fn file_name(name: &str) -> String {
@@ -210,10 +211,10 @@
     }
 
     /// Sees that it is not told to stop and that nobody ended by itself, for so long.
-    fn wait(&mut self, until: Instant) -> Result<(), Failed> {
+    fn wait(&mut self, until: Instant) -> Result<(), TrialError> {
         loop {
-            if self.stage.stop.load(Ordering::SeqCst) {
-                return Err(Failed::Stopped);
+            if self.options.stop.load(Ordering::SeqCst) {
+                return Err(TrialError::Stopped);
             }
             for n in 0..self.gatekeepers.len() {
                 self.look_at(n);
@@ -226,22 +227,22 @@
         }
     }
 
-    fn play(&mut self) -> Result<Observed, Failed> {
+    fn execute(&mut self) -> Result<Observations, TrialError> {
         for n in 0..self.trial.gatekeepers {
-            self.write_files(n).map_err(failed("the files of a gatekeeper"))?;
+            self.write_files(n).map_err(io_error("the files of a gatekeeper"))?;
         }
         for n in 0..self.trial.gatekeepers {
             self.start(n)?;
         }
         let not_joined = self.all_join()?;
-        let mut observed = Observed {
+        let mut observed = Observations {
             name: self.trial.name.clone(),
             agree_within: self.trial.must.agree_within,
             never_failed: self.trial.must.never_failed.iter().map(|n| Trial::name_of(*n)).collect(),
             seen_failed: self.trial.must.seen_failed.iter().map(|n| Trial::name_of(*n)).collect(),
             voters: self.trial.voters.unwrap_or_default(),
             began: monotonic_nanos(),
-            ..Observed::default()
+            ..Observations::default()
         };
         self.began = Instant::now();
         if not_joined.is_none() {
@@ -253,13 +254,13 @@
     }
 
     /// Waits until all serve and see each other. What is wrong, where they do not in time.
-    fn all_join(&mut self) -> Result<Option<String>, Failed> {
+    fn all_join(&mut self) -> Result<Option<String>, TrialError> {
         let began = Instant::now();
         loop {
             self.wait(Instant::now() + Duration::from_millis(100))?;
             for n in 0..self.gatekeepers.len() {
                 if let Some((_, why)) = &self.gatekeepers[n].process.ended_badly {
-                    return Err(Failed::DidNotStart(self.name(n).to_string(), self.last_words(n, why)));
+                    return Err(TrialError::DidNotStart(self.name(n).to_string(), self.last_words(n, why)));
                 }
             }
             let all = self.trial.gatekeepers;
--- a/crates/fault-injection/src/run/faults.rs
+++ b/crates/fault-injection/src/run/faults.rs
@@ -27,7 +27,7 @@
         steps
     }
 
-    pub(super) fn play_faults(&mut self, observed: &mut Observed) -> Result<(), Failed> {
+    pub(super) fn play_faults(&mut self, observed: &mut Observations) -> Result<(), TrialError> {
         let serving: Vec<_> = (0..self.trial.gatekeepers)
             .map(|n| (self.name(n).to_string(), self.place.serving(n).into()))
             .collect();
@@ -63,7 +63,7 @@
     }
 
     /// To so many seconds after all served; flaps go on meanwhile.
-    pub(super) fn wait_to(&mut self, at: f64) -> Result<(), Failed> {
+    pub(super) fn wait_to(&mut self, at: f64) -> Result<(), TrialError> {
         let until = self.began + Duration::from_secs_f64(at);
         loop {
             let flapping = self.active.iter().any(|f| matches!(self.faults[*f].kind, Kind::Flap { .. }));
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(super) fn take(&mut self, step: Step) -> Result<(), Failed> {
+    pub(super) fn take(&mut self, step: Step) -> Result<(), TrialError> {
         match step {
             Step::Begins(fault) => self.begins(fault),
             Step::Ends(fault) => self.ends(fault),
--- a/crates/fault-injection/src/run/finish.rs
+++ b/crates/fault-injection/src/run/finish.rs
@@ -4,7 +4,7 @@
 
 impl Run<'_> {
     /// Until the sink has what clients were told, for a time; whether it does is the judge's.
-    pub(super) fn wait_for_export(&mut self) -> Result<(), Failed> {
+    pub(super) fn wait_for_export(&mut self) -> Result<(), TrialError> {
         let (Some(load), Some(sink)) = (&self.load, &self.sink) else { return Ok(()) };
         let answered = load.traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
         let is_so =
@@ -36,7 +36,7 @@
     }
 
     /// Asks all, has all end, and reads what they wrote.
-    pub(super) fn end(&mut self, observed: &mut Observed) -> Result<(), Failed> {
+    pub(super) fn end(&mut self, observed: &mut Observations) -> Result<(), TrialError> {
         for n in 0..self.gatekeepers.len() {
             self.look_at(n);
             self.gatekeepers[n].process.runs = self.gatekeepers[n].child.is_some();
@@ -85,14 +85,14 @@
             observed.landed = self.sink.as_ref().map(Sink::received);
             observed.drained = traffic.drained_worker.lock().ok().and_then(|d| *d);
         }
-        if self.stage.keep.is_some() {
-            self.leave_behind(observed).map_err(failed("what is kept"))?;
+        if self.options.keep_dir.is_some() {
+            self.leave_behind(observed).map_err(io_error("what is kept"))?;
         }
         Ok(())
     }
 
     /// The trace of the load, beside the histories.
-    pub(super) fn leave_behind(&self, observed: &Observed) -> io::Result<()> {
+    pub(super) fn leave_behind(&self, observed: &Observations) -> io::Result<()> {
         let mut out = Vec::new();
         for one in &observed.answered {
             serde_json::to_writer(&mut out, one)?;
--- a/crates/fault-injection/src/run/processes.rs
+++ b/crates/fault-injection/src/run/processes.rs
@@ -9,7 +9,7 @@
         let hall = n % self.trial.halls + 1;
         let seeds: Vec<_> =
             (0..self.trial.gatekeepers.min(3)).map(|s| format!("\"{}\"", self.place.front(s))).collect();
-        let broken = self.stage.broken;
+        let broken = self.options.disabled_membership_parts;
         let fleet = format!(
             "fleet = \"trial\"\nname = \"{name}\"\nhall = \"h{hall}\"\nbind = \"{}\"\nadvertise = \"{}\"\n\
              seeds = [{}]\ndata = \"{name}\"\nhistory = \"{name}.jsonl\"\nlog = \"json\"\nseed = {}\n\n\
@@ -39,7 +39,7 @@
                     &format!("[export]\nsink = \"{}\"\n\n[trial]\nstall_ms = 60\n", sink.addr),
                 );
             }
-            let b = self.stage.broken_ownership;
+            let b = self.options.disabled_lease_parts;
             fleet += &format!(
                 "[trial.broken_ownership]\nvotes-forgotten = {}\nno-waiting-for-disk = {}\nno-epochs = {}\n\
                  no-leases = {}\nno-refusal = {}\n",
@@ -56,11 +56,11 @@
         fs::write(self.folder.join(format!("{name}.json")), config)
     }
 
-    pub(super) fn start(&mut self, n: usize) -> Result<(), Failed> {
+    pub(super) fn start(&mut self, n: usize) -> Result<(), TrialError> {
         let name = self.name(n).to_string();
         let log = OpenOptions::new().create(true).append(true).open(self.folder.join(format!("{name}.log")));
-        let log = log.map_err(failed(format!("the log of {name}")))?;
-        let child = Command::new(self.stage.program)
+        let log = log.map_err(io_error(format!("the log of {name}")))?;
+        let child = Command::new(self.options.program)
             .arg("--fleet")
             .arg(self.folder.join(format!("{name}.toml")))
             .env("RELAY_CONFIG", self.folder.join(format!("{name}.json")))
@@ -68,7 +68,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .map_err(failed(self.stage.program.display().to_string()))?;
+            .map_err(io_error(self.options.program.display().to_string()))?;
         self.gatekeepers[n].child = Some(child);
         self.gatekeepers[n].started = Instant::now();
         Ok(())
@@ -152,7 +152,7 @@
         pauses.into_iter().any(|k| matches!(k, Kind::Pause { who } if who.contains(&n)))
     }
 
-    pub(super) fn restarts(&mut self, n: usize) -> Result<(), Failed> {
+    pub(super) fn restarts(&mut self, n: usize) -> Result<(), TrialError> {
         if self.gatekeepers[n].child.is_some() {
             return Ok(());
         }
--- a/crates/fault-injection/src/soak.rs
+++ b/crates/fault-injection/src/soak.rs
@@ -4,10 +4,10 @@
 //!
 //! Called by `lynxstair soak`. Every process is killed on the way out of here, also after a panic.
 
+mod checker;
 mod clients;
 mod driver;
 mod flooding;
-mod judge;
 mod operator;
 mod plan;
 mod system;
@@ -19,17 +19,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-pub use judge::{Finding, SoakRule, Summary};
+pub use checker::{Finding, SoakRule, Summary};
 pub use plan::{Action, ProcessName, SoakPlan, SoakShape, Step};
 
 use driver::Driver;
 
 /// Where and how a soak is played.
-pub struct SoakStage<'a> {
+pub struct SoakOptions<'a> {
     /// The folder of `lynxstair-proxy` and `lynxstair-controller`.
     pub programs: &'a Path,
     /// Logs and data are left here, in a folder for each soak in which something broke.
-    pub keep: Option<&'a Path>,
+    pub keep_dir: Option<&'a Path>,
     /// Told to stop from outside: what was started ends.
     pub stop: &'a AtomicBool,
 }
@@ -70,28 +70,28 @@
     /// Counts.
     pub summary: Summary,
     /// Where logs and data were left.
-    pub kept: Option<PathBuf>,
+    pub kept_dir: Option<PathBuf>,
 }
 
 /// Plays a soak and judges it.
 ///
 /// # Errors
 /// The machine failed it, or the system never served; nothing is known of the rules then.
-pub fn run(plan: &SoakPlan, stage: &SoakStage<'_>) -> Result<SoakReport, SoakError> {
+pub fn run(plan: &SoakPlan, options: &SoakOptions<'_>) -> Result<SoakReport, SoakError> {
     let folder = tempfile::tempdir().map_err(SoakError::io("a folder for the soak"))?;
     let began = Instant::now();
-    let history = Driver::start(plan, stage.programs, folder.path(), began)?.play(stage.stop);
-    if stage.stop.load(Ordering::Relaxed) {
+    let history = Driver::start(plan, options.programs, folder.path(), began)?.execute(options.stop);
+    if options.stop.load(Ordering::Relaxed) {
         return Err(SoakError::Stopped);
     }
-    let (findings, summary) = judge::judge(plan, &history);
-    let mut kept = None;
-    if let Some(keep) = stage.keep.filter(|_| !findings.is_empty()) {
+    let (findings, summary) = checker::check_soak(plan, &history);
+    let mut kept_dir = None;
+    if let Some(keep) = options.keep_dir.filter(|_| !findings.is_empty()) {
         let to = keep.join(format!("soak-{}", plan.seed));
         std::fs::create_dir_all(keep).map_err(SoakError::io(keep.display().to_string()))?;
         let from = folder.keep();
         // Another file system: the logs stay where they are.
-        kept = Some(if std::fs::rename(&from, &to).is_ok() { to } else { from });
+        kept_dir = Some(if std::fs::rename(&from, &to).is_ok() { to } else { from });
     }
-    Ok(SoakReport { seed: plan.seed, findings, summary, kept })
+    Ok(SoakReport { seed: plan.seed, findings, summary, kept_dir })
 }
--- a/crates/fault-injection/src/soak/judge.rs
+++ b/crates/fault-injection/src/soak/checker.rs
@@ -64,9 +64,9 @@
     /// Which rule.
     pub rule: SoakRule,
     /// When, in seconds of the soak.
-    pub at: f64,
+    pub at_s: f64,
     /// What was seen.
-    pub what: String,
+    pub description: String,
 }
 
 /// What a soak came to, in counts.
@@ -89,7 +89,7 @@
 }
 
 /// Judges a history.
-pub(super) fn judge(plan: &SoakPlan, history: &History) -> (Vec<Finding>, Summary) {
+pub(super) fn check_soak(plan: &SoakPlan, history: &History) -> (Vec<Finding>, Summary) {
     let mut findings = Vec::new();
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in &history.runs {
@@ -104,15 +104,15 @@
     findings.extend(judge_cold_workers(&history.cold_spells, &history.runs, &history.requests));
     let summary = summarize(history);
     if summary.succeeded * 2 < summary.sent || summary.sent == 0 {
-        let what = format!("{} of {} requests succeeded", summary.succeeded, summary.sent);
-        findings.push(Finding { rule: SoakRule::Served, at: 0.0, what });
+        let description = format!("{} of {} requests succeeded", summary.succeeded, summary.sent);
+        findings.push(Finding { rule: SoakRule::Served, at_s: 0.0, description });
     }
     (bounded(findings), summary)
 }
 
 /// Keeps the first findings of each rule.
 fn bounded(mut findings: Vec<Finding>) -> Vec<Finding> {
-    findings.sort_by(|a, b| a.at.total_cmp(&b.at));
+    findings.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     let mut told: BTreeMap<SoakRule, usize> = BTreeMap::new();
     findings.retain(|finding| {
         let count = told.entry(finding.rule).or_default();
@@ -128,10 +128,10 @@
     request: &SentRequest,
     runs: &[&Run],
 ) -> Option<Finding> {
-    let finding = |rule, what: &str| {
+    let finding = |rule, summary: &str| {
         let runs: Vec<String> = runs.iter().map(|r| format!("{:.3} to {:.3}", r.began, r.ends)).collect();
-        let what = format!(
-            "{what}: {} at proxy{}, sent {:.3}, ended {:.3} with {:?}, runs [{}], the proxy's events {:?}",
+        let description = format!(
+            "{summary}: {} at proxy{}, sent {:.3}, ended {:.3} with {:?}, runs [{}], the proxy's events {:?}",
             request.id,
             request.proxy + 1,
             request.sent,
@@ -140,7 +140,7 @@
             runs.join(", "),
             nearby(history, request),
         );
-        Some(Finding { rule, at: request.ended, what })
+        Some(Finding { rule, at_s: request.ended, description })
     };
     if !request.is_safe && runs.len() > 1 {
         return finding(SoakRule::Twice, "it ran more than once");
@@ -217,7 +217,7 @@
         let mut told: Option<f64> = None;
         let mut is_killed = false;
         for (at, event) in events {
-            let what = match event {
+            let description = match event {
                 ProcessEvent::Terminated => {
                     told = Some(*at);
                     continue;
@@ -242,7 +242,7 @@
                     format!("{name} ended by itself with {code:?}")
                 }
             };
-            findings.push(Finding { rule: SoakRule::Exit, at: *at, what });
+            findings.push(Finding { rule: SoakRule::Exit, at_s: *at, description });
         }
     }
     findings
@@ -250,7 +250,8 @@
 
 fn judge_config(history: &History) -> Vec<Finding> {
     let mut findings = Vec::new();
-    let mut found = |what: String| findings.push(Finding { rule: SoakRule::Config, at: 0.0, what });
+    let mut found =
+        |description: String| findings.push(Finding { rule: SoakRule::Config, at_s: 0.0, description });
     let mut accepted_on: BTreeMap<u64, u64> = BTreeMap::new();
     for change in &history.changes {
         match change.end {
--- a/crates/fault-injection/src/soak/driver.rs
+++ b/crates/fault-injection/src/soak/driver.rs
@@ -147,7 +147,7 @@
     }
 
     /// Plays all steps, or until `stop`; what was seen.
-    pub fn play(mut self, stop: &AtomicBool) -> History {
+    pub fn execute(mut self, stop: &AtomicBool) -> History {
         let net = self.system.net;
         let clients = Clients::start(self.plan.seed, &self.plan.shape, net, self.origin, &self.is_over);
         let began = self.now();
--- a/crates/fault-injection/src/soak/flooding.rs
+++ b/crates/fault-injection/src/soak/flooding.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
+use super::checker::{Finding, SoakRule};
 use super::clients::SentRequest;
-use super::judge::{Finding, SoakRule};
 use super::workers::{COLD_OVERSHOOT, COLD_RATE, COLD_SLACK, ColdSpell, Run};
 
 /// The bound counts in any time of this length, in seconds.
@@ -40,12 +40,12 @@
         arrivals.iter().filter(is_inside).count()
     };
     let windows = arrivals.iter().map(|arrival| (in_window(arrival.sent), arrival.sent));
-    let (most, at) = windows.max_by(|a, b| a.0.cmp(&b.0))?;
+    let (most, at_s) = windows.max_by(|a, b| a.0.cmp(&b.0))?;
     let allowed = COLD_RATE * COLD_OVERSHOOT + COLD_SLACK;
     (most as f64 > allowed).then(|| Finding {
         rule: SoakRule::Flooded,
-        at,
-        what: format!(
+        at_s,
+        description: format!(
             "cold worker {} got {most} requests in one second, {allowed} allowed; cold from {:.3} to {:.3}",
             spell.worker, spell.from, spell.until
         ),
--- a/crates/fault-injection/src/soak/tests.rs
+++ b/crates/fault-injection/src/soak/tests.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
+use super::checker::{SoakRule, check_soak};
 use super::clients::{End, SentRequest};
 use super::driver::{History, ProcessEvent};
-use super::judge::{SoakRule, judge};
 use super::operator::{Change, ChangeEnd};
 use super::plan::{ProcessName, SoakPlan, SoakShape};
 use super::workers::{ColdSpell, Run};
@@ -43,7 +43,7 @@
 }
 
 fn rules(history: &History) -> Vec<SoakRule> {
-    judge(&plan(), history).0.iter().map(|finding| finding.rule).collect()
+    check_soak(&plan(), history).0.iter().map(|finding| finding.rule).collect()
 }
 
 #[test]
