--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -171,7 +171,7 @@
         if let Some(after) = verdict.agreed_after_s {
             println!("all agreed {after:.2} s after the last fault");
         }
-        if let Some(cpu) = verdict.cpu {
+        if let Some(cpu) = verdict.cpu_cores {
             println!("CPU of a gatekeeper: {:.2}% of a core", cpu * 100.0);
         }
     }
--- a/crates/cli/tests/trials.rs
+++ b/crates/cli/tests/trials.rs
@@ -105,7 +105,7 @@
     let (code, out, err) =
         run(&["trial", &good, &file.display().to_string(), "--keep", &keep.display().to_string()]);
     assert_eq!((code, out.as_str()), (2, ""), "{err}");
-    assert!(err.contains("bad.toml:5: fault.kind: \"melt\" is no kind this build knows"), "{err}");
+    assert!(err.contains("bad.toml:5: fault.kind: \"melt\" is not a known fault kind"), "{err}");
     assert!(began.elapsed() < Duration::from_secs(3));
     assert!(fs::read_dir(&keep).map_or(0, |d| d.count()) == 0);
     let (code, _, err) = run(&["trial", "--program", "/nowhere/at/all", &good]);
--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -1,5 +1,8 @@
-//! The judge: reads what processes wrote down and what clients and workers saw, and says what broke. It knows
-//! no code of what it judges, only the words of the history; what may follow what is written here once more.
+//! Checks the trace of a trial against the rules.
+//!
+//! Input are the histories of the processes and the records of clients, workers and the sink. The checker
+//! shares no code with the gatekeeper's state machines: it parses the history lines and has its own
+//! transition table.
 
 mod agreement;
 mod clients;
@@ -12,265 +15,276 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use clients::counted;
+use clients::count_requests;
 
-/// After a worker drains: the grace, and what a busy machine may add to it, in nanoseconds.
-const DRAINED: u64 = 1_000_000_000;
-/// Suspicions of one by one other while nothing but cuts lasts; more is flapping.
-const SUSPECTED: usize = 2;
-/// Of the invocations at gatekeepers that nothing was done to, such a part succeeds at least.
-const SERVED: f64 = 0.8;
+/// Time after a worker starts draining in which it may still receive requests, in nanoseconds.
+const DRAIN_GRACE_NS: u64 = 1_000_000_000;
+/// Suspicions of one member by one peer that are allowed in an interval with only link cuts.
+const MAX_SUSPICIONS: usize = 2;
+/// Least share of requests that must succeed at an undisturbed gatekeeper.
+const MIN_SUCCESS_SHARE: f64 = 0.8;
 
-/// Something that must hold in every trial.
+/// An invariant that every trial must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Rule {
-    /// As verdicts name it.
+    /// Name in the verdict.
     pub name: &'static str,
-    /// What must hold.
+    /// One-line description, printed by `lynxstair trial --rules`.
     #[serde(rename = "says")]
     pub requirement: &'static str,
 }
 
-/// All rules, by name.
+/// All rules that a trial is checked against.
 pub const RULES: [Rule; 21] = [
     Rule {
         name: "all-join",
-        requirement: "all that start are in, and see each other, before the faults begin",
+        requirement: "before the first fault, every gatekeeper has joined and sees all others",
+    },
+    Rule {
+        name: "states-follow",
+        requirement: "each change of a member's state is a valid transition from its previous state",
     },
-    Rule { name: "states-follow", requirement: "no state of a member follows one that it may not follow" },
     Rule {
         name: "incarnation-forward",
-        requirement: "an incarnation never goes back, neither one's own nor as seen by others",
+        requirement: "a member's incarnation never decreases, in its own history or as seen by others",
     },
     Rule {
         name: "over-stays-over",
-        requirement: "one that failed, left or was shut out is there again only in a later incarnation",
+        requirement: "a member that failed, left or was shut out returns only with a higher incarnation",
     },
     Rule {
         name: "not-failed-for-good",
-        requirement: "one that runs and is heard is not failed, at the end, as seen by any that runs",
+        requirement: "at the end, no running gatekeeper holds another running one failed",
     },
     Rule {
         name: "all-agree",
-        requirement: "all that run see the same members, from agree_within after the last fault to the end",
+        requirement: "from agree_within after the last fault on, running gatekeepers see the same members",
     },
     Rule {
         name: "status-as-history",
-        requirement: "what a member answers at the end is what its history comes to",
+        requirement: "the status a gatekeeper answers at the end matches its history",
     },
     Rule {
         name: "cuts-do-not-flap",
-        requirement: "while nothing but cuts lasts, nobody suspects another again and again",
+        requirement: "while links are cut and nothing else is wrong, no peer is suspected again and again",
+    },
+    Rule {
+        name: "never-failed",
+        requirement: "no gatekeeper declares a member under must.never_failed failed",
     },
-    Rule { name: "never-failed", requirement: "those under must.never_failed are declared failed by nobody" },
     Rule {
         name: "seen-failed",
-        requirement: "those under must.seen_failed are declared failed by all others, at some time",
+        requirement: "all other gatekeepers declare each member under must.seen_failed failed at some time",
     },
     Rule {
         name: "epoch-has-one-owner",
-        requirement: "no epoch of a duty is given to two, and no other acts in it",
+        requirement: "an epoch of a duty is granted to one owner, and no other gatekeeper acts in it",
     },
     Rule {
         name: "epochs-forward",
-        requirement: "no member owns a duty in an epoch lower than one it owned it in",
+        requirement: "no gatekeeper owns a duty in a lower epoch than one in which it owned it before",
     },
     Rule {
         name: "owned-again",
-        requirement: "each duty has one owner at the end, where most voters run and kept their records",
+        requirement: "at the end, each duty has one owner, if most voters run and kept their records",
     },
     Rule {
         name: "effects-in-order",
-        requirement: "no effect of a duty is taken where it lands after one of a later epoch",
+        requirement: "the sink accepts no batch of a lower epoch after one of a higher epoch",
     },
     Rule {
         name: "exported-as-answered",
-        requirement: "at the end the sink has what clients were answered as succeeded, by gatekeeper and customer",
+        requirement: "at the end, the sink has the usage of all succeeded requests, by gatekeeper and tenant",
     },
     Rule {
         name: "ends-well",
-        requirement: "no process ends by itself, and each ends with 0 when it is told to",
+        requirement: "no process exits by itself, and each exits with code 0 after SIGTERM",
+    },
+    Rule {
+        name: "history-whole",
+        requirement: "each running process has a history, and its lines can be parsed",
     },
-    Rule { name: "history-whole", requirement: "each process that runs has a history, and it can be read" },
     Rule {
         name: "one-answer",
-        requirement: "each invocation gets one final answer, in time, at gatekeepers that nothing is done to",
+        requirement: "each request gets one final answer, in time, at gatekeepers that no fault disturbs",
     },
-    Rule { name: "no-effect-twice", requirement: "no invocation that is not idempotent is run twice" },
+    Rule { name: "no-effect-twice", requirement: "a request that is not idempotent runs at most once" },
     Rule {
         name: "nothing-to-drained",
-        requirement: "nothing new goes to a worker that drains, after the grace",
+        requirement: "a draining worker receives no new request after the grace period",
     },
     Rule {
         name: "served-through",
-        requirement: "gatekeepers that nothing is done to serve as if there were no fault",
+        requirement: "gatekeepers that no fault disturbs answer at least 80 % of their requests with 200",
     },
 ];
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// The rule's name.
+    /// Name of the violated rule.
     pub rule: &'static str,
-    /// Seconds after all served.
+    /// Time of the violation, in seconds since all gatekeepers served.
     #[serde(rename = "at")]
     pub at_s: f64,
-    /// Between whom.
+    /// Names of the gatekeepers involved.
     #[serde(rename = "who")]
     pub gatekeepers: Vec<String>,
-    /// What was seen.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// Of the histories.
+    /// History lines or records that show the violation.
     #[serde(rename = "lines")]
     pub history_lines: Vec<String>,
 }
 
-/// What came of a trial.
+/// Result of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
     /// The trial's name.
     pub name: String,
-    /// No rule was broken.
+    /// `true` if no rule was violated.
     #[serde(rename = "kept")]
     pub passed: bool,
-    /// What broke, in the order of time.
+    /// Violations, ordered by time.
     #[serde(rename = "breaks")]
     pub violations: Vec<Violation>,
-    /// Seconds from the last fault's end until all agreed for good; measured, and no rule.
+    /// Seconds from the end of the last fault until all running gatekeepers agreed for good. `None` if the
+    /// gatekeepers never joined.
     #[serde(rename = "agreed_after")]
     pub agreed_after_s: Option<f64>,
-    /// For each that was declared failed after its process was killed: seconds until the first and until the
-    /// last of the others had.
+    /// Detection times of killed gatekeepers. A kill that no other gatekeeper detected has no entry.
     pub detections: Vec<Detection>,
-    /// What clients and workers saw.
+    /// Counts of client requests and worker deliveries.
     #[serde(rename = "invocations")]
     pub requests: RequestCounts,
-    /// Of the owner of export, at the sink; none: there was no sink.
+    /// Counts of export batches at the sink, or `None` if the trial has no sink.
     #[serde(rename = "effects")]
     pub batches: Option<BatchCounts>,
-    /// CPU of a gatekeeper a second, as a part of a core; the mean over those that ran through.
-    pub cpu: Option<f64>,
+    /// Mean CPU use of the gatekeepers that ran without interruption, in cores.
+    #[serde(rename = "cpu")]
+    pub cpu_cores: Option<f64>,
 }
 
-/// How long a death took to be seen.
+/// Time until the other gatekeepers declared a killed gatekeeper failed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Detection {
-    /// Who was killed.
+    /// Name of the killed gatekeeper.
     #[serde(rename = "who")]
     pub gatekeeper: String,
-    /// Seconds until the first of the others had declared it failed.
+    /// Seconds from the kill to the first declaration.
     #[serde(rename = "first")]
     pub first_s: f64,
-    /// Seconds until the last of them had.
+    /// Seconds from the kill until the last gatekeeper that declared it failed did so.
     #[serde(rename = "last")]
     pub last_s: f64,
 }
 
-/// Counts of what came to a sink.
+/// Export batches that reached the sink.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct BatchCounts {
-    /// They were new.
+    /// New batches that the sink stored.
     #[serde(rename = "taken")]
     pub accepted: usize,
-    /// They were there already: nothing changed.
+    /// Batches that the sink had stored before.
     #[serde(rename = "again")]
     pub duplicates: usize,
-    /// Of a lower epoch than was seen there.
+    /// Batches that the sink rejected because their epoch was stale.
     #[serde(rename = "refused")]
     pub fenced: usize,
 }
 
-/// Counts of a load.
+/// Counts of client requests by outcome, and of worker deliveries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RequestCounts {
-    /// By clients.
+    /// Requests sent by clients.
     pub sent: usize,
-    /// Answered with success.
+    /// Requests answered with status 200.
     pub succeeded: usize,
-    /// Told to come back.
+    /// Requests answered with 429 or 503.
     pub throttled: usize,
-    /// Answered with an error.
+    /// Requests answered with any other status.
     pub errored: usize,
-    /// Without a final answer.
+    /// Requests without a final answer.
     pub unanswered: usize,
-    /// Attempts that came to workers.
+    /// Attempts received by workers.
     pub deliveries: usize,
 }
 
-/// One gatekeeper as the trial had it.
+/// Trace of one gatekeeper process. Times are monotonic, in nanoseconds.
 #[derive(Clone, Debug, Default)]
-pub struct ProcessObservation {
-    /// As the others know it.
+pub struct ProcessTrace {
+    /// Member name of the gatekeeper.
     pub name: String,
-    /// At the end.
-    pub runs: bool,
-    /// It was killed or stopped at some time.
-    pub was_ended: bool,
-    /// Its records were emptied or cut short at these times.
-    pub disk_lost: Vec<u64>,
-    /// It was ended while its disk was full: what it could not write was in its memory only.
-    pub uses_lost: bool,
-    /// Times when something was done to the process itself.
-    pub disturbed: Vec<(u64, u64)>,
-    /// When it was killed.
-    pub killed: Vec<u64>,
-    /// Why it ended, where it should not have, or not so.
-    pub ended_badly: Option<(u64, String)>,
-    /// Whom it said were there, when it was asked at the end; none: no answer.
-    pub status: Option<BTreeSet<String>>,
-    /// The duties that it said it owned at the end, with the epoch; none: no answer.
-    pub owns: Option<BTreeMap<String, u64>>,
-    /// The lines that it wrote down.
+    /// `true` if the process was running when the trial ended.
+    pub running: bool,
+    /// `true` if a fault killed or stopped the process.
+    pub was_terminated: bool,
+    /// Times at which a fault emptied or truncated its records.
+    pub disk_lost_ns: Vec<u64>,
+    /// `true` if it was killed or stopped while its disk was full: usage records held only in memory are
+    /// lost.
+    pub usage_lost: bool,
+    /// Intervals in which faults acted on the process itself.
+    pub disturbed_ns: Vec<(u64, u64)>,
+    /// Times at which it was killed.
+    pub kill_times_ns: Vec<u64>,
+    /// Time and reason of the first unexpected exit.
+    pub unexpected_exit: Option<(u64, String)>,
+    /// Members that its status listed as present at the end, or `None` if it did not answer.
+    pub visible_members: Option<BTreeSet<String>>,
+    /// Duties that it reported to own at the end, with the epoch, or `None` if it did not answer.
+    pub owned_duties: Option<BTreeMap<String, u64>>,
+    /// Lines of its history file.
     pub history: Vec<String>,
 }
 
-impl ProcessObservation {
-    /// Whether all that it told its clients is on its disk or further.
-    pub fn keeps_uses(&self) -> bool {
-        self.runs && self.disk_lost.is_empty() && !self.uses_lost
+impl ProcessTrace {
+    /// Returns `true` if the usage of every request it answered is stored on its disk or was exported.
+    pub fn retains_usage(&self) -> bool {
+        self.running && self.disk_lost_ns.is_empty() && !self.usage_lost
     }
 }
 
-/// All that was seen. Times are of the machine's monotonic clock, in nanoseconds.
+/// Everything recorded in a trial. Times are readings of the monotonic clock, in nanoseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Observations {
+pub struct TrialTrace {
     /// The trial's name.
     pub name: String,
-    /// All served.
-    pub began: u64,
-    /// The last fault was over.
-    pub faults_over: u64,
-    /// Before anybody was told to end.
-    pub ended: u64,
-    /// As the trial's `must` has it.
-    pub agree_within: f64,
-    /// The same.
+    /// Time at which all gatekeepers had joined and the trial began.
+    pub start_ns: u64,
+    /// End of the last fault.
+    pub faults_end_ns: u64,
+    /// End of the trial, before SIGTERM is sent to the gatekeepers.
+    pub end_ns: u64,
+    /// `must.agree_within` of the trial, in seconds.
+    pub agree_within_s: f64,
+    /// Members under `must.never_failed` of the trial.
     pub never_failed: Vec<String>,
-    /// The same.
+    /// Members under `must.seen_failed` of the trial.
     pub seen_failed: Vec<String>,
-    /// The first so many gatekeepers; none: no duty has an owner.
+    /// Number of voters, which are the first gatekeepers. 0 if duties have no owners in this trial.
     pub voters: usize,
-    /// What came to the sink, in its order; none: there was none.
-    pub landed: Option<Vec<ReceivedBatch>>,
-    /// Each gatekeeper.
-    pub processes: Vec<ProcessObservation>,
-    /// What clients were answered.
-    pub answered: Vec<RequestOutcome>,
-    /// What workers received.
-    pub delivered: Vec<ReceivedAttempt>,
-    /// The worker that drained, and when.
-    pub drained: Option<(usize, u64)>,
-    /// Stretches in which nothing but cuts lasted, and had lasted for some time.
-    pub only_cuts: Vec<(u64, u64)>,
-    /// Not all were in when the time for it was up: what each said.
-    pub not_joined: Option<String>,
-    /// CPU of a gatekeeper a second, as a part of a core.
-    pub cpu: Option<f64>,
+    /// Batches in the order in which the sink received them, or `None` if the trial has no sink.
+    pub sink_batches: Option<Vec<ReceivedBatch>>,
+    /// Trace of each gatekeeper.
+    pub processes: Vec<ProcessTrace>,
+    /// Outcomes of the client requests.
+    pub outcomes: Vec<RequestOutcome>,
+    /// Attempts that workers received.
+    pub attempts: Vec<ReceivedAttempt>,
+    /// Number of the draining worker and the time at which it started draining.
+    pub drained_worker: Option<(usize, u64)>,
+    /// Intervals in which cut links were the only active faults, without the time to detect the cuts.
+    pub cut_only_ns: Vec<(u64, u64)>,
+    /// Reason why not all gatekeepers joined before the time-out.
+    pub join_failure: Option<String>,
+    /// Mean CPU use of the gatekeepers that ran without interruption, in cores.
+    pub cpu_cores: Option<f64>,
 }
 
-/// What may follow what, in one incarnation.
-fn may_follow(from: &str, to: &str) -> bool {
+/// Returns `true` if a member may change between these states within one incarnation.
+fn is_valid_transition(from: &str, to: &str) -> bool {
     match from {
         "unknown" => true,
         "joining" => matches!(to, "alive" | "suspected" | "failed" | "left" | "shut_out"),
@@ -283,31 +297,31 @@
     }
 }
 
-fn is_over(state: &str) -> bool {
+fn is_gone(state: &str) -> bool {
     matches!(state, "failed" | "left" | "shut_out")
 }
 
-fn is_there(state: &str) -> bool {
+fn is_present(state: &str) -> bool {
     matches!(state, "alive" | "suspected")
 }
 
-/// A line of a history.
+/// A parsed line of a history.
 #[derive(Clone, Debug)]
-struct Line {
-    mono: u64,
+struct HistoryLine {
+    mono_ns: u64,
     run: u64,
     value: Value,
     text: String,
 }
 
-impl Line {
-    fn read(text: &str) -> Option<Line> {
+impl HistoryLine {
+    fn parse(text: &str) -> Option<HistoryLine> {
         let value: Value = serde_json::from_str(text).ok()?;
-        let (mono, run) = (value["mono"].as_u64()?, value["run"].as_u64()?);
-        Some(Line { mono, run, value, text: text.to_string() })
+        let (mono_ns, run) = (value["mono"].as_u64()?, value["run"].as_u64()?);
+        Some(HistoryLine { mono_ns, run, value, text: text.to_string() })
     }
 
-    fn is(&self, event: &str) -> bool {
+    fn is_event(&self, event: &str) -> bool {
         self.value["event"] == event
     }
 
@@ -321,155 +335,176 @@
 }
 
 struct Checker<'a> {
-    seen: &'a Observations,
-    lines: Vec<Vec<Line>>,
+    trace: &'a TrialTrace,
+    lines: Vec<Vec<HistoryLine>>,
     violations: Vec<Violation>,
 }
 
-/// Judges a trial.
-pub fn check_trial(seen: &Observations) -> Verdict {
-    let mut checker = Checker { seen, lines: Vec::new(), violations: Vec::new() };
-    checker.read();
-    checker.joined();
-    for who in 0..seen.processes.len() {
-        checker.one_history(who);
-        checker.ended(who);
+/// Checks the trace of a trial against all rules.
+pub fn check_trial(trace: &TrialTrace) -> Verdict {
+    let mut checker = Checker { trace, lines: Vec::new(), violations: Vec::new() };
+    checker.parse_histories();
+    checker.check_join();
+    for index in 0..trace.processes.len() {
+        checker.check_member_history(index);
+        checker.check_exit(index);
     }
-    let agreed_after_s = checker.agreement();
-    checker.flapping();
-    checker.owners();
-    checker.declared();
-    checker.invocations();
+    let agreed_after_s = checker.check_agreement();
+    checker.check_flapping();
+    checker.check_owners();
+    checker.check_declared_failures();
+    checker.check_requests();
     let detections = checker.detections();
     let mut violations = checker.violations;
     violations.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     Verdict {
-        name: seen.name.clone(),
+        name: trace.name.clone(),
         passed: violations.is_empty(),
         violations,
         agreed_after_s,
         detections,
-        requests: counted(seen),
-        batches: seen.landed.as_ref().map(|landed| {
-            let with = |is: fn(&BatchReply) -> bool| landed.iter().filter(|l| is(&l.reply)).count();
+        requests: count_requests(trace),
+        batches: trace.sink_batches.as_ref().map(|sink_batches| {
+            let with = |is: fn(&BatchReply) -> bool| sink_batches.iter().filter(|l| is(&l.reply)).count();
             BatchCounts {
                 accepted: with(|s| *s == BatchReply::Accepted { already_stored: false }),
                 duplicates: with(|s| *s == BatchReply::Accepted { already_stored: true }),
                 fenced: with(|s| matches!(s, BatchReply::Fenced { .. })),
             }
         }),
-        cpu: seen.cpu,
+        cpu_cores: trace.cpu_cores,
     }
 }
 
 impl Checker<'_> {
-    fn secs(&self, mono: u64) -> f64 {
-        (mono as f64 - self.seen.began as f64) / 1e9
+    fn seconds_since_start(&self, mono_ns: u64) -> f64 {
+        (mono_ns as f64 - self.trace.start_ns as f64) / 1e9
     }
 
     fn report(
         &mut self,
         rule: &'static str,
-        mono: u64,
-        who: &[&str],
+        mono_ns: u64,
+        involved: &[&str],
         description: String,
         history_lines: Vec<String>,
     ) {
         debug_assert!(RULES.iter().any(|r| r.name == rule), "{rule}");
-        // One of a kind between the same tells enough.
-        let gatekeepers: Vec<_> = who.iter().map(|w| w.to_string()).collect();
+        // Only the first violation of a rule between the same gatekeepers is reported.
+        let gatekeepers: Vec<_> = involved.iter().map(|w| w.to_string()).collect();
         if !self.violations.iter().any(|b| b.rule == rule && b.gatekeepers == gatekeepers) {
-            let at_s = self.secs(mono);
+            let at_s = self.seconds_since_start(mono_ns);
             self.violations.push(Violation { rule, at_s, gatekeepers, description, history_lines });
         }
     }
 
-    fn read(&mut self) {
-        let seen = self.seen;
-        for process in &seen.processes {
+    fn parse_histories(&mut self) {
+        let trace = self.trace;
+        for process in &trace.processes {
             let mut lines = Vec::new();
             let count = process.history.len();
             for (n, text) in process.history.iter().enumerate() {
-                match Line::read(text) {
+                match HistoryLine::parse(text) {
                     Some(line) => lines.push(line),
-                    // A kill cuts the last line of a run short.
-                    None if process.was_ended || n + 1 == count => {}
+                    // A kill can truncate the last line of a run.
+                    None if process.was_terminated || n + 1 == count => {}
                     None => {
-                        let what = format!("line {} can't be read", n + 1);
-                        self.report("history-whole", seen.began, &[&process.name], what, vec![text.clone()]);
+                        let what = format!("line {} can't be parsed", n + 1);
+                        self.report(
+                            "history-whole",
+                            trace.start_ns,
+                            &[&process.name],
+                            what,
+                            vec![text.clone()],
+                        );
                     }
                 }
             }
-            if lines.is_empty() && process.runs {
-                self.report("history-whole", seen.began, &[&process.name], "no history".to_string(), vec![]);
+            if lines.is_empty() && process.running {
+                self.report(
+                    "history-whole",
+                    trace.start_ns,
+                    &[&process.name],
+                    "no history".to_string(),
+                    vec![],
+                );
             }
-            // The run that begins later comes later.
-            lines.sort_by_key(|l| l.mono);
+            // Orders the lines of several runs by time.
+            lines.sort_by_key(|l| l.mono_ns);
             self.lines.push(lines);
         }
     }
 
-    fn joined(&mut self) {
-        if let Some(what) = self.seen.not_joined.clone() {
-            self.report("all-join", self.seen.began, &[], what, Vec::new());
+    fn check_join(&mut self) {
+        if let Some(what) = self.trace.join_failure.clone() {
+            self.report("all-join", self.trace.start_ns, &[], what, Vec::new());
         }
     }
 
-    /// What one process wrote of itself and of others.
-    fn one_history(&mut self, who: usize) {
-        let seen = self.seen;
-        let process = &seen.processes[who];
-        let me = process.name.as_str();
-        let lines = std::mem::take(&mut self.lines[who]);
-        let mut own: Option<(u64, &Line)> = None;
-        let mut held: HashMap<(u64, String), &Line> = HashMap::new();
-        for line in lines.iter().filter(|l| l.mono <= seen.ended) {
-            if line.is("began") {
+    /// Checks the incarnations and member states in the history of one process.
+    fn check_member_history(&mut self, index: usize) {
+        let trace = self.trace;
+        let process = &trace.processes[index];
+        let observer = process.name.as_str();
+        let lines = std::mem::take(&mut self.lines[index]);
+        let mut own: Option<(u64, &HistoryLine)> = None;
+        let mut last_lines: HashMap<(u64, String), &HistoryLine> = HashMap::new();
+        for line in lines.iter().filter(|l| l.mono_ns <= trace.end_ns) {
+            if line.is_event("began") {
                 let incarnation = line.value["ident"]["incarnation"].as_u64().unwrap_or_default();
                 if let Some((last, before)) = own {
-                    // One whose disk was emptied can't know what it was, until others tell it.
-                    let forgot = process.disk_lost.iter().any(|at| (before.mono..=line.mono).contains(at));
-                    if incarnation <= last && !forgot {
-                        let what = format!("{me} begins as {incarnation} after it was {last}");
+                    // After a disk loss the process starts without its last incarnation.
+                    let lost_incarnation =
+                        process.disk_lost_ns.iter().any(|at| (before.mono_ns..=line.mono_ns).contains(at));
+                    if incarnation <= last && !lost_incarnation {
+                        let what = format!(
+                            "{observer} starts with incarnation {incarnation} after incarnation {last}"
+                        );
                         let lines = vec![before.text.clone(), line.text.clone()];
-                        self.report("incarnation-forward", line.mono, &[me], what, lines);
+                        self.report("incarnation-forward", line.mono_ns, &[observer], what, lines);
                     }
                 }
                 own = Some((incarnation, line));
             }
-            if !line.is("member") {
+            if !line.is_event("member") {
                 continue;
             }
             let other = line.text("name").to_string();
             let (from, to) = (line.text("from").to_string(), line.text("to").to_string());
-            let (was, now) = (line.number("was"), line.number("incarnation"));
-            let before = held.insert((line.run, other.clone()), line);
-            let texts =
+            let (previous, incarnation) = (line.number("was"), line.number("incarnation"));
+            let before = last_lines.insert((line.run, other.clone()), line);
+            let evidence =
                 || before.iter().map(|b| b.text.clone()).chain([line.text.clone()]).collect::<Vec<_>>();
             if let Some(before) = before
-                && (before.text("to") != from || before.number("incarnation") != was)
+                && (before.text("to") != from || before.number("incarnation") != previous)
             {
-                let what = format!("{other} was {}, and becomes {to} from {from}", before.text("to"));
-                self.report("states-follow", line.mono, &[me, &other], what, texts());
+                let what = format!("{other} was {}, and changes from {from} to {to}", before.text("to"));
+                self.report("states-follow", line.mono_ns, &[observer, &other], what, evidence());
             }
-            if now < was {
-                let what = format!("{me} sees {other} go back from incarnation {was} to {now}");
-                self.report("incarnation-forward", line.mono, &[me, &other], what, texts());
+            if incarnation < previous {
+                let what = format!(
+                    "{observer} sees the incarnation of {other} decrease from {previous} to {incarnation}"
+                );
+                self.report("incarnation-forward", line.mono_ns, &[observer, &other], what, evidence());
             }
-            if now == was && is_over(&from) && (is_there(&to) || to == "joining") {
-                let what = format!("{me} sees {other} {to} after {from}, both in incarnation {now}");
-                self.report("over-stays-over", line.mono, &[me, &other], what, texts());
-            } else if now == was && !may_follow(&from, &to) || now > was && from == "shut_out" {
-                let what = format!("{me} sees {other} become {to} from {from}");
-                self.report("states-follow", line.mono, &[me, &other], what, texts());
+            if incarnation == previous && is_gone(&from) && (is_present(&to) || to == "joining") {
+                let what = format!(
+                    "{observer} sees {other} change from {from} to {to} within incarnation {incarnation}"
+                );
+                self.report("over-stays-over", line.mono_ns, &[observer, &other], what, evidence());
+            } else if incarnation == previous && !is_valid_transition(&from, &to)
+                || incarnation > previous && from == "shut_out"
+            {
+                let what = format!("{observer} sees {other} change from {from} to {to}");
+                self.report("states-follow", line.mono_ns, &[observer, &other], what, evidence());
             }
         }
-        self.lines[who] = lines;
+        self.lines[index] = lines;
     }
 
-    fn ended(&mut self, who: usize) {
-        if let Some((at, why)) = self.seen.processes[who].ended_badly.clone() {
-            let name = self.seen.processes[who].name.clone();
+    fn check_exit(&mut self, index: usize) {
+        if let Some((at, why)) = self.trace.processes[index].unexpected_exit.clone() {
+            let name = self.trace.processes[index].name.clone();
             self.report("ends-well", at, &[&name], format!("{name}: {why}"), Vec::new());
         }
     }
--- a/crates/fault-injection/src/checker/tests.rs
+++ b/crates/fault-injection/src/checker/tests.rs
@@ -29,8 +29,8 @@
     )
 }
 
-/// One unit of customer 5 at g1.
-fn landed(epoch: u64, number: u64, at: u64) -> ReceivedBatch {
+/// A batch with one unit of tenant 5 at g1.
+fn received_batch(epoch: u64, number: u64, at: u64) -> ReceivedBatch {
     let stream = StreamId { gatekeeper: "g1".to_string(), directory_id: 1 };
     let sums = vec![UsageSum { tenant: 5, operation: 0, window: 1, milli_units: 1_000 }];
     let batch = Batch { stream, number, sums, unreadable_records: 0 };
@@ -49,29 +49,30 @@
     )
 }
 
-/// Three that run and agree, from second 1 to second 30; the faults are over at 10.
-fn good() -> Observations {
+/// Observations of three gatekeepers that run and agree from second 1 to second 30; the faults end at second
+/// 10.
+fn correct_observations() -> TrialTrace {
     let names = ["g1", "g2", "g3"];
     let process = |me: &str| {
         let others: Vec<&str> = names.into_iter().filter(|n| *n != me).collect();
         let mut history = vec![began(1.0, 7, 1)];
         history.extend(others.iter().map(|o| member(2.0, 7, o, ("unknown", 1), ("alive", 1))));
-        ProcessObservation {
+        ProcessTrace {
             name: me.to_string(),
-            runs: true,
-            status: Some(others.iter().map(|o| o.to_string()).collect()),
+            running: true,
+            visible_members: Some(others.iter().map(|o| o.to_string()).collect()),
             history,
-            ..ProcessObservation::default()
+            ..ProcessTrace::default()
         }
     };
-    Observations {
+    TrialTrace {
         name: "test".to_string(),
-        began: 3 * SECOND,
-        faults_over: 10 * SECOND,
-        ended: 30 * SECOND,
-        agree_within: 5.0,
+        start_ns: 3 * SECOND,
+        faults_end_ns: 10 * SECOND,
+        end_ns: 30 * SECOND,
+        agree_within_s: 5.0,
         processes: names.into_iter().map(process).collect(),
-        ..Observations::default()
+        ..TrialTrace::default()
     }
 }
 
@@ -91,36 +92,36 @@
     }
 }
 
-fn broken(seen: &Observations) -> Vec<&'static str> {
-    let mut rules: Vec<_> = check_trial(seen).violations.iter().map(|b| b.rule).collect();
+fn violated_rules(trace: &TrialTrace) -> Vec<&'static str> {
+    let mut rules: Vec<_> = check_trial(trace).violations.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
 
-type Mutation = fn(&mut Observations);
+type Mutation = fn(&mut TrialTrace);
 
-/// A whole trial is kept; and each rule has something done to it that it, and it alone, cries out at.
+/// Correct observations pass. Each case violates exactly one rule, and only that rule is reported.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one case for each rule")]
-fn each_rule_cries_out() {
-    assert_eq!(broken(&good()), Vec::<&str>::new());
+fn each_rule_reports_its_violation() {
+    assert_eq!(violated_rules(&correct_observations()), Vec::<&str>::new());
     let cases: [(&str, Mutation); 33] = [
         ("effects-in-order", |s| {
-            s.answered = vec![answered(1, "get", Some(200))];
-            s.landed = Some(vec![landed(3, 1, 1), landed(2, 2, 2)]);
+            s.outcomes = vec![answered(1, "get", Some(200))];
+            s.sink_batches = Some(vec![received_batch(3, 1, 1), received_batch(2, 2, 2)]);
         }),
         ("exported-as-answered", |s| {
-            s.answered = vec![answered(1, "get", Some(200)), answered(2, "get", Some(200))];
-            s.landed = Some(vec![landed(3, 1, 1)]);
+            s.outcomes = vec![answered(1, "get", Some(200)), answered(2, "get", Some(200))];
+            s.sink_batches = Some(vec![received_batch(3, 1, 1)]);
             s.voters = 1;
-            s.processes[0].owns = Some([("export".to_string(), 3)].into());
+            s.processes[0].owned_duties = Some([("export".to_string(), 3)].into());
         }),
-        ("exported-as-answered", |s| s.landed = Some(vec![landed(3, 1, 1)])),
+        ("exported-as-answered", |s| s.sink_batches = Some(vec![received_batch(3, 1, 1)])),
         ("exported-as-answered", |s| {
-            s.answered = vec![answered(1, "get", Some(200))];
-            s.landed = Some(Vec::new());
+            s.outcomes = vec![answered(1, "get", Some(200))];
+            s.sink_batches = Some(Vec::new());
             s.voters = 1;
-            s.processes[0].owns = Some([("export".to_string(), 3)].into());
+            s.processes[0].owned_duties = Some([("export".to_string(), 3)].into());
         }),
         ("epoch-has-one-owner", |s| {
             s.processes[0].history.push(granted(5.0, "g1", 1));
@@ -136,27 +137,27 @@
         ("owned-again", |s| s.voters = 3),
         ("owned-again", |s| {
             s.voters = 3;
-            s.processes[0].owns = Some([("export".to_string(), 3)].into());
-            s.processes[2].owns = Some([("export".to_string(), 4)].into());
+            s.processes[0].owned_duties = Some([("export".to_string(), 3)].into());
+            s.processes[2].owned_duties = Some([("export".to_string(), 4)].into());
         }),
         ("owned-again", |s| {
             s.voters = 3;
-            s.processes[0].disk_lost = vec![5 * SECOND];
+            s.processes[0].disk_lost_ns = vec![5 * SECOND];
         }),
         ("cuts-do-not-flap", |s| {
-            s.only_cuts = vec![(5 * SECOND, 9 * SECOND)];
+            s.cut_only_ns = vec![(5 * SECOND, 9 * SECOND)];
             for at in [6.0, 7.0, 8.0] {
                 s.processes[0].history.push(member(at, 7, "g2", ("alive", 1), ("suspected", 1)));
                 s.processes[0].history.push(member(at + 0.1, 7, "g2", ("suspected", 1), ("alive", 1)));
             }
         }),
-        ("all-join", |s| s.not_joined = Some("g2 is joining".to_string())),
+        ("all-join", |s| s.join_failure = Some("g2 is joining".to_string())),
         ("states-follow", |s| {
             s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("joining", 1)));
             s.processes[0].history.push(member(6.1, 7, "g2", ("joining", 1), ("alive", 1)));
         }),
         ("states-follow", |s| {
-            // From a state that it was not in.
+            // The previous state differs from the one in the line before.
             s.processes[0].history.push(member(6.0, 7, "g2", ("suspected", 1), ("alive", 1)));
         }),
         ("incarnation-forward", |s| {
@@ -174,84 +175,84 @@
         }),
         ("seen-failed", |s| s.seen_failed = vec!["g2".to_string()]),
         ("all-agree", |s| {
-            // Late, though it agrees at the end.
+            // Agrees at the end, but after the deadline.
             s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
             s.processes[0].history.push(member(16.0, 7, "g2", ("failed", 1), ("alive", 2)));
         }),
         ("all-agree", |s| {
             s.processes[0].history.push(member(20.0, 7, "g2", ("alive", 1), ("left", 1)));
-            s.processes[0].status = Some(BTreeSet::from(["g3".to_string()]));
+            s.processes[0].visible_members = Some(BTreeSet::from(["g3".to_string()]));
         }),
         ("all-agree", |s| {
             let doubt =
                 r#"{"mono":20000000000,"who":"x","run":7,"event":"doubt_began","why":"hears_nobody"}"#;
             s.processes[0].history.push(doubt.to_string());
-            s.processes[0].status = Some(BTreeSet::new());
+            s.processes[0].visible_members = Some(BTreeSet::new());
         }),
         ("all-agree", |s| {
-            // Sees one that does not run.
-            s.processes[2].runs = false;
+            // Sees a member that does not run.
+            s.processes[2].running = false;
             s.processes[1].history.push(member(6.0, 7, "g3", ("alive", 1), ("failed", 1)));
-            s.processes[1].status = Some(BTreeSet::from(["g1".to_string()]));
+            s.processes[1].visible_members = Some(BTreeSet::from(["g1".to_string()]));
         }),
-        ("status-as-history", |s| s.processes[0].status = Some(BTreeSet::new())),
-        ("status-as-history", |s| s.processes[0].status = None),
-        ("ends-well", |s| s.processes[0].ended_badly = Some((6 * SECOND, "code 101".to_string()))),
+        ("status-as-history", |s| s.processes[0].visible_members = Some(BTreeSet::new())),
+        ("status-as-history", |s| s.processes[0].visible_members = None),
+        ("ends-well", |s| s.processes[0].unexpected_exit = Some((6 * SECOND, "code 101".to_string()))),
         ("history-whole", |s| s.processes[0].history.insert(1, "{\"mono\":".to_string())),
-        ("one-answer", |s| s.answered = vec![answered(1, "get", None)]),
+        ("one-answer", |s| s.outcomes = vec![answered(1, "get", None)]),
         ("one-answer", |s| {
-            s.answered = vec![RequestOutcome { extra_bytes: 5, ..answered(1, "get", Some(200)) }]
+            s.outcomes = vec![RequestOutcome { extra_bytes: 5, ..answered(1, "get", Some(200)) }]
         }),
         ("no-effect-twice", |s| {
-            s.answered = vec![answered(1, "put", Some(200))];
-            s.delivered = vec![ReceivedAttempt { id: 1, worker: 1, received_at: 6 * SECOND }; 2];
+            s.outcomes = vec![answered(1, "put", Some(200))];
+            s.attempts = vec![ReceivedAttempt { id: 1, worker: 1, received_at: 6 * SECOND }; 2];
         }),
         ("nothing-to-drained", |s| {
-            s.answered = vec![answered(1, "get", Some(200))];
-            s.drained = Some((1, 4 * SECOND));
-            s.delivered = vec![ReceivedAttempt { id: 1, worker: 1, received_at: 6 * SECOND }];
+            s.outcomes = vec![answered(1, "get", Some(200))];
+            s.drained_worker = Some((1, 4 * SECOND));
+            s.attempts = vec![ReceivedAttempt { id: 1, worker: 1, received_at: 6 * SECOND }];
         }),
-        ("served-through", |s| s.answered = (0..40).map(|n| answered(n, "get", Some(429))).collect()),
+        ("served-through", |s| s.outcomes = (0..40).map(|n| answered(n, "get", Some(429))).collect()),
         ("states-follow", |s| {
-            // Shut out and back without being let in.
+            // Returns from shut_out without the state unknown in between.
             s.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("shut_out", 1)));
             s.processes[0].history.push(member(6.1, 7, "g2", ("shut_out", 1), ("alive", 2)));
         }),
     ];
     for (n, (rule, mutate)) in cases.into_iter().enumerate() {
-        let mut seen = good();
-        mutate(&mut seen);
-        assert_eq!(broken(&seen), [rule], "case {n}: {:?}", check_trial(&seen).violations);
+        let mut trace = correct_observations();
+        mutate(&mut trace);
+        assert_eq!(violated_rules(&trace), [rule], "case {n}: {:?}", check_trial(&trace).violations);
     }
-    // One that holds a running one failed breaks two.
-    let mut seen = good();
-    seen.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
-    seen.processes[0].status = Some(BTreeSet::from(["g3".to_string()]));
-    assert_eq!(broken(&seen), ["not-failed-for-good", "all-agree"]);
+    // Holding a running member failed violates two rules.
+    let mut trace = correct_observations();
+    trace.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+    trace.processes[0].visible_members = Some(BTreeSet::from(["g3".to_string()]));
+    assert_eq!(violated_rules(&trace), ["not-failed-for-good", "all-agree"]);
 }
 
-/// What the faults themselves do is no break.
+/// Effects of the faults themselves are not violations.
 #[test]
-fn what_is_allowed() {
-    let mut seen = good();
-    // Its clients got no answer while it was paused.
-    seen.answered = vec![answered(1, "get", None)];
-    seen.processes[0].disturbed = vec![(4 * SECOND, 7 * SECOND)];
-    // An emptied disk forgets its incarnation.
-    seen.processes[1].history.push(began(6.0, 8, 1));
-    seen.processes[1].history.push(began(6.1, 8, 2));
-    seen.processes[1].history.extend(["g1", "g3"].map(|o| member(6.2, 8, o, ("unknown", 1), ("alive", 1))));
-    seen.processes[1].disk_lost = vec![5 * SECOND];
-    // Without a majority of voters nobody owns or exports.
-    seen.voters = 3;
-    seen.processes[0].disk_lost = vec![5 * SECOND];
-    // A kill cuts a line short.
-    seen.processes[1].was_ended = true;
-    seen.processes[1].history.push("{\"mono\":600".to_string());
-    // Failed and back by joining, in time.
-    seen.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
-    seen.processes[0].history.push(member(12.0, 7, "g2", ("failed", 1), ("alive", 2)));
-    let verdict = check_trial(&seen);
+fn direct_effects_of_faults_are_allowed() {
+    let mut trace = correct_observations();
+    // No answer while the gatekeeper was paused.
+    trace.outcomes = vec![answered(1, "get", None)];
+    trace.processes[0].disturbed_ns = vec![(4 * SECOND, 7 * SECOND)];
+    // The incarnation is lost with the disk.
+    trace.processes[1].history.push(began(6.0, 8, 1));
+    trace.processes[1].history.push(began(6.1, 8, 2));
+    trace.processes[1].history.extend(["g1", "g3"].map(|o| member(6.2, 8, o, ("unknown", 1), ("alive", 1))));
+    trace.processes[1].disk_lost_ns = vec![5 * SECOND];
+    // Without a quorum of voters there is no owner and no export.
+    trace.voters = 3;
+    trace.processes[0].disk_lost_ns = vec![5 * SECOND];
+    // A kill truncates a line.
+    trace.processes[1].was_terminated = true;
+    trace.processes[1].history.push("{\"mono\":600".to_string());
+    // Declared failed, and back with a new incarnation before the deadline.
+    trace.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
+    trace.processes[0].history.push(member(12.0, 7, "g2", ("failed", 1), ("alive", 2)));
+    let verdict = check_trial(&trace);
     assert!(verdict.passed, "{:?}", verdict.violations);
     assert_eq!(verdict.agreed_after_s, Some(2.0));
 }
--- a/crates/fault-injection/src/file.rs
+++ b/crates/fault-injection/src/file.rs
@@ -1,5 +1,6 @@
-//! The trial file: TOML, read whole and checked before anything is started. What can't be played is told with
-//! file, line, key and what would be right.
+//! Trial files: the model of a trial, and its TOML format.
+//!
+//! A file is validated before any process starts. Errors name the file, line, key and the valid values.
 
 mod reader;
 mod writer;
@@ -8,212 +9,216 @@
 
 use lynxstair_cluster::DUTIES;
 
-/// One machine holds no more gatekeepers with a relay for each.
-pub const MOST_GATEKEEPERS: usize = 100;
-const LONGEST_SECONDS: f64 = 3_600.0;
-/// Where the file does not say within how many seconds all agree.
-const AGREE_WITHIN: f64 = 10.0;
+/// Greatest number of gatekeepers in a trial.
+pub const MAX_GATEKEEPERS: usize = 100;
+const MAX_SECONDS: f64 = 3_600.0;
+/// Default of `must.agree_within`, in seconds.
+const DEFAULT_AGREE_WITHIN_S: f64 = 10.0;
 
-/// Numbers from here on stand for whoever owns a duty when the fault begins.
-pub const OWNER: usize = 1 << 20;
+/// First of the target numbers that stand for the owner of a duty at the time the fault begins: this number
+/// plus the index of the duty.
+pub const OWNER_PLACEHOLDER: usize = 1 << 20;
 
-fn key_may_be_owner(key: &str) -> bool {
+fn allows_owner(key: &str) -> bool {
     matches!(key, "who" | "from" | "to")
 }
 
-/// A trial, checked: all names are numbers of gatekeepers from 0.
+/// A validated trial. Gatekeepers are numbered from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
-    /// What it is called in the verdict.
+    /// Name in the verdict.
     pub name: String,
-    /// How long faults and load last.
-    pub seconds: f64,
-    /// How many gatekeepers there are.
+    /// Duration of the faults and the load, in seconds.
+    pub duration_s: f64,
+    /// Number of gatekeepers.
     pub gatekeepers: usize,
-    /// How many zones (`halls` in the file) they are spread over.
-    pub halls: usize,
-    /// How many of them vote; none: no duty has an owner.
+    /// Number of zones (`halls` in the file).
+    pub zones: usize,
+    /// Number of voters. `None` if duties have no owners in this trial.
     pub voters: Option<usize>,
-    /// What chance is drawn from.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Clients and workers, if there are any.
-    pub load: Option<LoadPlan>,
-    /// In the order of the file.
+    /// Load by clients and workers, if any.
+    pub load: Option<TrialLoad>,
+    /// Faults in the order of the file.
     pub faults: Vec<Fault>,
-    /// What must hold besides the rules.
-    pub must: Must,
+    /// Conditions that this trial must satisfy besides the rules.
+    pub expectations: Expectations,
 }
 
-/// The load of a trial.
+/// Client load of a trial.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoadPlan {
-    /// By all clients together.
-    pub invocations_per_second: f64,
+pub struct TrialLoad {
+    /// Total request rate of all clients.
+    pub requests_per_second: f64,
 }
 
-/// What must hold in this trial besides the rules.
+/// Conditions that a trial must satisfy besides the rules (`must` in the file).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Must {
-    /// All agree by then, in seconds after the last fault's end.
-    pub agree_within: f64,
-    /// Nobody may declare these failed.
+pub struct Expectations {
+    /// Time after the last fault until all gatekeepers must agree, in seconds.
+    pub agree_within_s: f64,
+    /// Gatekeepers that no other may declare failed.
     pub never_failed: Vec<usize>,
-    /// All others declare these failed, at some time.
+    /// Gatekeepers that all others must declare failed at some time.
     pub seen_failed: Vec<usize>,
 }
 
-/// One fault.
+/// A fault of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Seconds after all serve.
-    pub at: f64,
-    /// None: to the end of the trial, or where the kind has no end.
-    pub lasts: Option<f64>,
-    /// What is done, and to whom.
-    pub kind: Kind,
+    /// Start, in seconds after the trial begins.
+    pub start_s: f64,
+    /// Duration in seconds. `None` if the fault lasts until the end of the trial or its kind has no duration.
+    pub duration_s: Option<f64>,
+    /// Kind and targets.
+    pub kind: FaultKind,
 }
 
-/// What a killed process finds on its disk.
+/// State of the disk that a killed process finds when it restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Disk {
-    /// All that it wrote.
+pub enum DiskState {
+    /// All written data is present.
     #[default]
-    Kept,
-    /// Nothing.
+    Intact,
+    /// All data is lost.
     Emptied,
-    /// The last record is cut short.
+    /// The last record is truncated.
     Torn,
 }
 
-/// Directions of links, by gatekeeper.
+/// Set of one-way links, as pairs of sender and receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Links(pub BTreeSet<(usize, usize)>);
 
-/// What is done to processes (`who`, by number) or to links.
+/// Kind of a fault, with the processes or links that it targets.
 #[derive(Clone, Debug, PartialEq)]
-#[allow(missing_docs, reason = "fields are named as in the file; the variants say what they mean")]
-pub enum Kind {
-    /// SIGSTOP, and SIGCONT at its end.
-    Pause { who: Vec<usize> },
-    /// SIGKILL; started again after so many seconds, with this disk.
-    Kill { who: Vec<usize>, restart_after: Option<f64>, disk: Disk },
-    /// SIGTERM; started again after so many seconds.
-    Stop { who: Vec<usize>, restart_after: Option<f64> },
-    /// Nothing gets through.
+#[allow(missing_docs, reason = "the docs of the variants cover their fields")]
+pub enum FaultKind {
+    /// Sends SIGSTOP, and SIGCONT at the end.
+    Pause { targets: Vec<usize> },
+    /// Sends SIGKILL, applies the disk state, and restarts the process after the given time.
+    Kill { targets: Vec<usize>, restart_after_s: Option<f64>, disk: DiskState },
+    /// Sends SIGTERM, and restarts the process after the given time.
+    Stop { targets: Vec<usize>, restart_after_s: Option<f64> },
+    /// Blocks all traffic.
     Cut { links: Links },
-    /// This share of the datagrams is lost.
-    Lose { links: Links, share: f64 },
-    /// This share comes twice.
-    Double { links: Links, share: f64 },
-    /// This share comes behind later ones.
-    Reorder { links: Links, share: f64 },
-    /// All come later, by this much and up to the jitter.
-    Delay { links: Links, ms: f64, jitter_ms: f64 },
-    /// Writes of records fail.
-    DiskFull { who: Vec<usize> },
-    /// Cut and whole in turn, each for half of the period in seconds.
-    Flap { links: Links, period: f64 },
+    /// Drops each datagram with this probability.
+    Lose { links: Links, probability: f64 },
+    /// Duplicates each datagram with this probability.
+    Duplicate { links: Links, probability: f64 },
+    /// Gives each datagram an extra random delay with this probability, so that later ones can overtake it.
+    Reorder { links: Links, probability: f64 },
+    /// Delays each datagram by `delay_ms` plus a random time of up to `jitter_ms`.
+    Delay { links: Links, delay_ms: f64, jitter_ms: f64 },
+    /// Makes writes of records fail.
+    DiskFull { targets: Vec<usize> },
+    /// Cuts and restores the links in turn, each for half of the period.
+    Flap { links: Links, period_s: f64 },
 }
 
-impl Kind {
-    /// As in the file.
+impl FaultKind {
+    /// Name of the kind in a trial file.
     pub fn name(&self) -> &'static str {
         match self {
-            Kind::Pause { .. } => "pause",
-            Kind::Kill { .. } => "kill",
-            Kind::Stop { .. } => "stop",
-            Kind::Cut { .. } => "cut",
-            Kind::Lose { .. } => "lose",
-            Kind::Double { .. } => "double",
-            Kind::Reorder { .. } => "reorder",
-            Kind::Delay { .. } => "delay",
-            Kind::DiskFull { .. } => "disk_full",
-            Kind::Flap { .. } => "flap",
+            FaultKind::Pause { .. } => "pause",
+            FaultKind::Kill { .. } => "kill",
+            FaultKind::Stop { .. } => "stop",
+            FaultKind::Cut { .. } => "cut",
+            FaultKind::Lose { .. } => "lose",
+            FaultKind::Duplicate { .. } => "double",
+            FaultKind::Reorder { .. } => "reorder",
+            FaultKind::Delay { .. } => "delay",
+            FaultKind::DiskFull { .. } => "disk_full",
+            FaultKind::Flap { .. } => "flap",
         }
     }
 
-    /// Whose processes it is done to.
-    pub fn who(&self) -> &[usize] {
+    /// Gatekeepers whose processes are targeted. Empty for link faults.
+    pub fn targets(&self) -> &[usize] {
         match self {
-            Kind::Pause { who }
-            | Kind::Kill { who, .. }
-            | Kind::Stop { who, .. }
-            | Kind::DiskFull { who } => who,
+            FaultKind::Pause { targets }
+            | FaultKind::Kill { targets, .. }
+            | FaultKind::Stop { targets, .. }
+            | FaultKind::DiskFull { targets } => targets,
             _ => &[],
         }
     }
 
-    /// The same kind, done to these in the place of whoever owns a duty; none: nobody does.
-    pub fn of_owner(&self, owner: &impl Fn(usize) -> Option<usize>) -> Kind {
-        let one = |n: usize| if n >= OWNER { owner(n - OWNER) } else { Some(n) };
+    /// Returns the kind with each owner placeholder replaced by the current owner. A duty without an owner is
+    /// left out.
+    pub fn with_resolved_owners(&self, owner: &impl Fn(usize) -> Option<usize>) -> FaultKind {
+        let resolve = |n: usize| if n >= OWNER_PLACEHOLDER { owner(n - OWNER_PLACEHOLDER) } else { Some(n) };
         let mut kind = self.clone();
         match &mut kind {
-            Kind::Pause { who }
-            | Kind::Kill { who, .. }
-            | Kind::Stop { who, .. }
-            | Kind::DiskFull { who } => {
-                *who = who.iter().filter_map(|n| one(*n)).collect::<BTreeSet<_>>().into_iter().collect();
+            FaultKind::Pause { targets }
+            | FaultKind::Kill { targets, .. }
+            | FaultKind::Stop { targets, .. }
+            | FaultKind::DiskFull { targets } => {
+                *targets =
+                    targets.iter().filter_map(|n| resolve(*n)).collect::<BTreeSet<_>>().into_iter().collect();
             }
-            Kind::Cut { links }
-            | Kind::Lose { links, .. }
-            | Kind::Double { links, .. }
-            | Kind::Reorder { links, .. }
-            | Kind::Delay { links, .. }
-            | Kind::Flap { links, .. } => {
-                let pairs = links.0.iter().filter_map(|(a, b)| Some((one(*a)?, one(*b)?)));
+            FaultKind::Cut { links }
+            | FaultKind::Lose { links, .. }
+            | FaultKind::Duplicate { links, .. }
+            | FaultKind::Reorder { links, .. }
+            | FaultKind::Delay { links, .. }
+            | FaultKind::Flap { links, .. } => {
+                let pairs = links.0.iter().filter_map(|(a, b)| Some((resolve(*a)?, resolve(*b)?)));
                 links.0 = pairs.filter(|(a, b)| a != b).collect();
             }
         }
         kind
     }
 
-    /// Whether it is done to whoever owns a duty.
-    pub fn names_owner(&self) -> bool {
+    /// Returns `true` if a target is the owner of a duty.
+    pub fn targets_owner(&self) -> bool {
         let links = match self {
-            Kind::Cut { links }
-            | Kind::Lose { links, .. }
-            | Kind::Double { links, .. }
-            | Kind::Reorder { links, .. }
-            | Kind::Delay { links, .. }
-            | Kind::Flap { links, .. } => Some(links),
+            FaultKind::Cut { links }
+            | FaultKind::Lose { links, .. }
+            | FaultKind::Duplicate { links, .. }
+            | FaultKind::Reorder { links, .. }
+            | FaultKind::Delay { links, .. }
+            | FaultKind::Flap { links, .. } => Some(links),
             _ => None,
         };
-        let in_links = links.is_some_and(|l| l.0.iter().any(|(a, b)| *a >= OWNER || *b >= OWNER));
-        in_links || self.who().iter().any(|n| *n >= OWNER)
+        let in_links = links
+            .is_some_and(|l| l.0.iter().any(|(a, b)| *a >= OWNER_PLACEHOLDER || *b >= OWNER_PLACEHOLDER));
+        in_links || self.targets().iter().any(|n| *n >= OWNER_PLACEHOLDER)
     }
 
-    /// Whether it ends: has `lasts`.
-    pub fn has_end(&self) -> bool {
-        !matches!(self, Kind::Kill { .. } | Kind::Stop { .. })
+    /// Returns `true` if the kind takes a duration (`lasts` in the file).
+    pub fn has_duration(&self) -> bool {
+        !matches!(self, FaultKind::Kill { .. } | FaultKind::Stop { .. })
     }
 }
 
 impl Fault {
-    /// Seconds after all serve when it is over, in a trial that long.
-    pub fn ends(&self, seconds: f64) -> f64 {
+    /// End of the fault in a trial of the given duration, in seconds after the trial begins.
+    pub fn end_s(&self, trial_duration_s: f64) -> f64 {
         match &self.kind {
-            Kind::Kill { restart_after, .. } | Kind::Stop { restart_after, .. } => {
-                // A restart that would come after the end does not come.
-                let restarts = restart_after.map(|r| self.at + r).filter(|at| *at < seconds);
-                restarts.unwrap_or(self.at)
+            FaultKind::Kill { restart_after_s, .. } | FaultKind::Stop { restart_after_s, .. } => {
+                // No restart takes place after the end of the trial.
+                let restarts = restart_after_s.map(|r| self.start_s + r).filter(|at| *at < trial_duration_s);
+                restarts.unwrap_or(self.start_s)
             }
-            _ => self.lasts.map_or(seconds, |l| (self.at + l).min(seconds)),
+            _ => self.duration_s.map_or(trial_duration_s, |l| (self.start_s + l).min(trial_duration_s)),
         }
     }
 }
 
 impl Trial {
-    /// The name of a gatekeeper.
-    pub fn name_of(number: usize) -> String {
-        match number.checked_sub(OWNER) {
+    /// Returns the name of a gatekeeper or of an owner placeholder, as in a trial file.
+    pub fn gatekeeper_name(number: usize) -> String {
+        match number.checked_sub(OWNER_PLACEHOLDER) {
             Some(duty) => format!("owner:{}", DUTIES[duty]),
             None => format!("g{}", number + 1),
         }
     }
 
-    /// Seconds after all serve when the last fault is over.
-    pub fn faults_over(&self) -> f64 {
-        self.faults.iter().map(|f| f.ends(self.seconds)).fold(0.0, f64::max)
+    /// End of the last fault, in seconds after the trial begins.
+    pub fn faults_end_s(&self) -> f64 {
+        self.faults.iter().map(|f| f.end_s(self.duration_s)).fold(0.0, f64::max)
     }
 }
 
--- a/crates/fault-injection/src/file/reader.rs
+++ b/crates/fault-injection/src/file/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a trial file, and checks it whole.
+//! Reads and validates a trial file.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -80,9 +80,9 @@
     file: &'a Path,
     text: &'a str,
     gatekeepers: usize,
-    halls: usize,
+    zones: usize,
     voters: Option<usize>,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl Reader<'_> {
@@ -90,7 +90,7 @@
         ConfigError::at(self.file, self.text, at, Some(key), why)
     }
 
-    fn within<T: PartialOrd + Copy + std::fmt::Display>(
+    fn in_range<T: PartialOrd + Copy + std::fmt::Display>(
         &self,
         key: &str,
         value: &Spanned<T>,
@@ -100,76 +100,90 @@
         ConfigError::check_range((self.file, self.text), key, value, (least, most))
     }
 
-    fn one(&mut self, at: usize, key: &str, word: &str) -> Result<Vec<usize>, ConfigError> {
+    fn parse_target(&mut self, at: usize, key: &str, word: &str) -> Result<Vec<usize>, ConfigError> {
         let all: Vec<usize> = (0..self.gatekeepers).collect();
         let number = |text: &str| text.parse::<usize>().ok().filter(|n| *n >= 1);
         if let Some(n) = word.strip_prefix('g').and_then(number).filter(|n| *n <= self.gatekeepers) {
             return Ok(vec![n - 1]);
         }
         if let Some(rest) = word.strip_prefix("hall:") {
-            let hall = number(rest).filter(|h| *h <= self.halls).ok_or_else(|| {
-                self.invalid(at, key, format!("{word:?}: the halls are hall:1 to hall:{}", self.halls))
+            let zone = number(rest).filter(|h| *h <= self.zones).ok_or_else(|| {
+                self.invalid(
+                    at,
+                    key,
+                    format!("{word:?} is not a zone of this trial; hall:1 to hall:{} are", self.zones),
+                )
             })?;
-            return Ok(all.into_iter().filter(|n| n % self.halls == hall - 1).collect());
+            return Ok(all.into_iter().filter(|n| n % self.zones == zone - 1).collect());
         }
         if let Some(rest) = word.strip_prefix("any:") {
-            let many = number(rest).filter(|n| *n <= self.gatekeepers).ok_or_else(|| {
-                self.invalid(at, key, format!("{word:?}: any:1 to any:{} can be drawn", self.gatekeepers))
+            let count = number(rest).filter(|n| *n <= self.gatekeepers).ok_or_else(|| {
+                self.invalid(
+                    at,
+                    key,
+                    format!("{word:?} is out of range; any:1 to any:{} are valid", self.gatekeepers),
+                )
             })?;
-            let mut drawn: Vec<_> = all.sample(&mut self.chance, many).copied().collect();
-            drawn.sort_unstable();
-            return Ok(drawn);
+            let mut sampled: Vec<_> = all.sample(&mut self.rng, count).copied().collect();
+            sampled.sort_unstable();
+            return Ok(sampled);
         }
         if word == "voters" {
             let voters = self.voters.ok_or_else(|| {
-                self.invalid(at, key, "\"voters\" needs the key voters, 1 to the number of gatekeepers")
+                self.invalid(at, key, "\"voters\" requires the key voters, with the value 1, 3 or 5")
             })?;
             return Ok((0..voters).collect());
         }
         if let Some(duty) = word.strip_prefix("owner:") {
-            if self.voters.is_none() || !key_may_be_owner(key) {
+            if self.voters.is_none() || !allows_owner(key) {
                 let why = match self.voters {
-                    None => format!("{word:?} needs the key voters: without them no duty has an owner"),
-                    Some(_) => format!("{word:?}: who owns it then is not known beforehand; name them"),
+                    None => format!("{word:?} requires the key voters; without voters no duty has an owner"),
+                    Some(_) => format!(
+                        "{word:?} is not valid here, as the owner is not known in advance; name gatekeepers"
+                    ),
                 };
                 return Err(self.invalid(at, key, why));
             }
             let number = DUTIES.iter().position(|d| *d == duty).ok_or_else(|| {
-                self.invalid(at, key, format!("{word:?} is no duty; {} are", DUTIES.join(", ")))
+                self.invalid(
+                    at,
+                    key,
+                    format!("{word:?} names no known duty; known duties: {}", DUTIES.join(", ")),
+                )
             })?;
-            return Ok(vec![OWNER + number]);
+            return Ok(vec![OWNER_PLACEHOLDER + number]);
         }
         let why = format!(
-            "{word:?} is nobody; g1 to g{}, \"hall:1\", \"any:2\" or \"voters\" would be",
+            "{word:?} names no gatekeeper; g1 to g{}, \"hall:1\", \"any:2\" or \"voters\" are valid",
             self.gatekeepers
         );
         Err(self.invalid(at, key, why))
     }
 
-    fn who(&mut self, key: &str, value: &Spanned<Value>) -> Result<Vec<usize>, ConfigError> {
+    fn parse_targets(&mut self, key: &str, value: &Spanned<Value>) -> Result<Vec<usize>, ConfigError> {
         let at = value.span().start;
         let words: Vec<&str> = match value.get_ref() {
             Value::String(word) => vec![word],
             Value::Array(words) if words.iter().all(Value::is_str) => {
                 words.iter().filter_map(Value::as_str).collect()
             }
-            _ => return Err(self.invalid(at, key, "names in a list would be right, as [\"g2\"]")),
+            _ => return Err(self.invalid(at, key, "expected a name or a list of names, such as [\"g2\"]")),
         };
         let mut all = BTreeSet::new();
         for word in words {
-            all.extend(self.one(at, key, word)?);
+            all.extend(self.parse_target(at, key, word)?);
         }
         Ok(all.into_iter().collect())
     }
 
-    fn links(&mut self, fault: &FaultText, needed: bool) -> Result<Links, ConfigError> {
+    fn parse_links(&mut self, fault: &FaultText, needed: bool) -> Result<Links, ConfigError> {
         if needed && fault.from.is_none() && fault.to.is_none() {
-            let why = "missing; cut and flap name from, to or both";
+            let why = "missing; cut and flap require from, to, or both of them";
             return Err(self.invalid(fault.kind.span().start, "from", why));
         }
         let all: Vec<usize> = (0..self.gatekeepers).collect();
-        let from = fault.from.as_ref().map_or(Ok(all.clone()), |v| self.who("from", v))?;
-        let to = fault.to.as_ref().map_or(Ok(all), |v| self.who("to", v))?;
+        let from = fault.from.as_ref().map_or(Ok(all.clone()), |v| self.parse_targets("from", v))?;
+        let to = fault.to.as_ref().map_or(Ok(all), |v| self.parse_targets("to", v))?;
         let both = fault.both.as_ref().is_some_and(|b| *b.get_ref());
         let mut links = BTreeSet::new();
         for &a in &from {
@@ -183,7 +197,7 @@
         Ok(Links(links))
     }
 
-    /// The keys that a kind has besides `at` and `kind`; an error where another one is given.
+    /// Returns the keys that a kind takes besides `at` and `kind`, or an error if the fault has another key.
     fn check_keys(&self, text: &FaultText, kind: &str) -> Result<&'static [&'static str], ConfigError> {
         let keys: &'static [&'static str] = match kind {
             "pause" | "disk_full" => &["lasts", "who"],
@@ -195,8 +209,8 @@
             "flap" => &["lasts", "from", "to", "both", "period"],
             _ => {
                 let why = format!(
-                    "{kind:?} is no kind this build knows; pause, kill, stop, cut, lose, double, reorder, delay, \
-                     disk_full and flap are"
+                    "{kind:?} is not a known fault kind; known kinds: pause, kill, stop, cut, lose, double, \
+                     reorder, delay, disk_full, flap"
                 );
                 return Err(self.invalid(text.kind.span().start, "fault.kind", why));
             }
@@ -218,149 +232,161 @@
             if let Some(span) = span
                 && !keys.contains(&key)
             {
-                let why = format!("{kind} has no such key; at, {} are its keys", keys.join(", "));
+                let why = format!("{kind} does not take this key; its keys are at, {}", keys.join(", "));
                 return Err(self.invalid(span.start, key, why));
             }
         }
         Ok(keys)
     }
 
-    /// What the process finds on its disk.
-    fn disk(&self, text: &FaultText) -> Result<Disk, ConfigError> {
+    fn parse_disk(&self, text: &FaultText) -> Result<DiskState, ConfigError> {
         Ok(match text.disk.as_ref().map(|d| (d.get_ref().as_str(), d.span().start)) {
-            None | Some(("kept", _)) => Disk::Kept,
-            Some(("emptied", _)) => Disk::Emptied,
-            Some(("torn", _)) => Disk::Torn,
+            None | Some(("kept", _)) => DiskState::Intact,
+            Some(("emptied", _)) => DiskState::Emptied,
+            Some(("torn", _)) => DiskState::Torn,
             Some((other, at)) => {
-                let why = format!("{other:?} is no state of a disk; \"kept\", \"emptied\" and \"torn\" are");
+                let why =
+                    format!("{other:?} is not a disk state; \"kept\", \"emptied\" and \"torn\" are valid");
                 return Err(self.invalid(at, "disk", why));
             }
         })
     }
 
-    fn fault(&mut self, text: &FaultText, at: usize, seconds: f64) -> Result<Fault, ConfigError> {
+    fn parse_fault(
+        &mut self,
+        text: &FaultText,
+        at: usize,
+        trial_duration_s: f64,
+    ) -> Result<Fault, ConfigError> {
         let kind = text.kind.get_ref().as_str();
         let keys = self.check_keys(text, kind)?;
-        let begins = self.within("at", &text.at, 0.0, seconds)?;
+        let start = self.in_range("at", &text.at, 0.0, trial_duration_s)?;
         let positive = |key: &str, value: &Option<Spanned<f64>>| {
-            value.as_ref().map(|v| self.within(key, v, 0.0, LONGEST_SECONDS)).transpose()
+            value.as_ref().map(|v| self.in_range(key, v, 0.0, MAX_SECONDS)).transpose()
         };
-        let lasts = positive("lasts", &text.lasts)?;
-        let restart_after = positive("restart_after", &text.restart_after)?;
-        let missing = |key: &str| self.invalid(at, key, format!("missing, and {kind} needs it"));
+        let duration_s = positive("lasts", &text.lasts)?;
+        let restart_after_s = positive("restart_after", &text.restart_after)?;
+        let missing = |key: &str| self.invalid(at, key, format!("missing; {kind} requires it"));
         let share = || {
             let share = text.share.as_ref().ok_or_else(|| missing("share"))?;
-            self.within("share", share, 0.0, 1.0)
+            self.in_range("share", share, 0.0, 1.0)
         };
         let period = || {
             let period = text.period.as_ref().ok_or_else(|| missing("period"))?;
-            self.within("period", period, 0.01, LONGEST_SECONDS)
+            self.in_range("period", period, 0.01, MAX_SECONDS)
         };
         let ms = || {
             let ms = text.ms.as_ref().ok_or_else(|| missing("ms"))?;
-            let jitter = text.jitter_ms.as_ref().map(|j| self.within("jitter_ms", j, 0.0, 60_000.0));
-            Ok((self.within("ms", ms, 0.0, 60_000.0)?, jitter.transpose()?.unwrap_or_default()))
+            let jitter = text.jitter_ms.as_ref().map(|j| self.in_range("jitter_ms", j, 0.0, 60_000.0));
+            Ok((self.in_range("ms", ms, 0.0, 60_000.0)?, jitter.transpose()?.unwrap_or_default()))
         };
-        let disk = self.disk(text)?;
-        // Checked before anything is drawn, so that what is drawn hangs on the seed alone.
-        let (share, period, ms) = match kind {
+        let disk = self.parse_disk(text)?;
+        // All values are validated before targets are drawn, so that the draws depend only on the seed.
+        let (probability, period_s, delay) = match kind {
             "lose" | "double" | "reorder" => (share()?, 0.0, (0.0, 0.0)),
             "flap" => (0.0, period()?, (0.0, 0.0)),
             "delay" => (0.0, 0.0, ms()?),
             _ => (0.0, 0.0, (0.0, 0.0)),
         };
-        let who = match &text.who {
-            Some(who) => self.who("who", who)?,
+        let targets = match &text.who {
+            Some(targets) => self.parse_targets("who", targets)?,
             None if keys.contains(&"who") => return Err(missing("who")),
             None => Vec::new(),
         };
         let kind = match kind {
-            "pause" => Kind::Pause { who },
-            "disk_full" => Kind::DiskFull { who },
-            "kill" => Kind::Kill { who, restart_after, disk },
-            "stop" => Kind::Stop { who, restart_after },
-            "cut" => Kind::Cut { links: self.links(text, true)? },
-            "lose" => Kind::Lose { links: self.links(text, false)?, share },
-            "double" => Kind::Double { links: self.links(text, false)?, share },
-            "reorder" => Kind::Reorder { links: self.links(text, false)?, share },
-            "delay" => Kind::Delay { links: self.links(text, false)?, ms: ms.0, jitter_ms: ms.1 },
-            _ => Kind::Flap { links: self.links(text, true)?, period },
+            "pause" => FaultKind::Pause { targets },
+            "disk_full" => FaultKind::DiskFull { targets },
+            "kill" => FaultKind::Kill { targets, restart_after_s, disk },
+            "stop" => FaultKind::Stop { targets, restart_after_s },
+            "cut" => FaultKind::Cut { links: self.parse_links(text, true)? },
+            "lose" => FaultKind::Lose { links: self.parse_links(text, false)?, probability },
+            "double" => FaultKind::Duplicate { links: self.parse_links(text, false)?, probability },
+            "reorder" => FaultKind::Reorder { links: self.parse_links(text, false)?, probability },
+            "delay" => FaultKind::Delay {
+                links: self.parse_links(text, false)?,
+                delay_ms: delay.0,
+                jitter_ms: delay.1,
+            },
+            _ => FaultKind::Flap { links: self.parse_links(text, true)?, period_s },
         };
-        Ok(Fault { at: begins, lasts, kind })
+        Ok(Fault { start_s: start, duration_s, kind })
     }
 }
 
 impl Trial {
-    /// Reads a trial file. `seed` takes the place of the one in it.
+    /// Reads a trial file. `seed` overrides the seed in the file.
     ///
     /// # Errors
-    /// Where it can't be read or played: file, line, key, and what would be right.
+    /// Returns an error with file, line, key and the valid values if the file can't be read or is invalid.
     pub fn read(file: &Path, seed: Option<u64>) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file).map_err(|e| ConfigError::unreadable(file, &e))?;
         Trial::parse(file, &text, seed)
     }
 
-    /// The same, of a text.
+    /// Parses the text of a trial file. `file` is used for the default name and in errors.
     ///
     /// # Errors
-    /// As `read`.
+    /// Returns an error if the text is invalid, as [`Trial::read`] does.
     pub fn parse(file: &Path, text: &str, seed: Option<u64>) -> Result<Self, ConfigError> {
         let mut reader =
-            Reader { file, text, gatekeepers: 0, halls: 1, voters: None, chance: Pcg64Mcg::seed_from_u64(0) };
+            Reader { file, text, gatekeepers: 0, zones: 1, voters: None, rng: Pcg64Mcg::seed_from_u64(0) };
         let parsed: FileText = toml::from_str(text).map_err(|e| ConfigError::from_toml(file, text, &e))?;
-        let seconds = reader.within("seconds", &parsed.seconds, 0.1, LONGEST_SECONDS)?;
-        let most = MOST_GATEKEEPERS as i64;
-        let gatekeepers = reader.within("gatekeepers", &parsed.gatekeepers, 1, most)?;
-        let halls = parsed.halls.as_ref().map(|h| reader.within("halls", h, 1, gatekeepers)).transpose()?;
-        let voters =
-            parsed.voters.as_ref().map(|v| reader.within("voters", v, 1, gatekeepers)).transpose()?;
-        if let (Some(many), Some(at)) = (voters, &parsed.voters)
-            && !matches!(many, 1 | 3 | 5)
+        let duration_s = reader.in_range("seconds", &parsed.seconds, 0.1, MAX_SECONDS)?;
+        let most = MAX_GATEKEEPERS as i64;
+        let total = reader.in_range("gatekeepers", &parsed.gatekeepers, 1, most)?;
+        let zones = parsed.halls.as_ref().map(|h| reader.in_range("halls", h, 1, total)).transpose()?;
+        let voters = parsed.voters.as_ref().map(|v| reader.in_range("voters", v, 1, total)).transpose()?;
+        if let (Some(count), Some(at)) = (voters, &parsed.voters)
+            && !matches!(count, 1 | 3 | 5)
         {
-            let why = format!("{many}: three or five would be right (one bears no fault)");
+            let why = format!("{count} voters are not supported; use 3 or 5 (1 tolerates no failure)");
             return Err(reader.invalid(at.span().start, "voters", why));
         }
-        let file_seed = parsed.seed.as_ref().map(|s| reader.within("seed", s, 0, i64::MAX)).transpose()?;
+        let file_seed = parsed.seed.as_ref().map(|s| reader.in_range("seed", s, 0, i64::MAX)).transpose()?;
         let seed = seed.unwrap_or(file_seed.unwrap_or(1) as u64);
-        reader.gatekeepers = gatekeepers as usize;
-        reader.halls = halls.unwrap_or(1) as usize;
+        reader.gatekeepers = total as usize;
+        reader.zones = zones.unwrap_or(1) as usize;
         reader.voters = voters.map(|v| v as usize);
-        reader.chance = Pcg64Mcg::seed_from_u64(seed);
+        reader.rng = Pcg64Mcg::seed_from_u64(seed);
         let load = match &parsed.load {
             Some(load) => {
-                let per_second = reader.within(
+                let per_second = reader.in_range(
                     "load.invocations_per_second",
                     &load.invocations_per_second,
                     0.1,
                     20_000.0,
                 )?;
-                Some(LoadPlan { invocations_per_second: per_second })
+                Some(TrialLoad { requests_per_second: per_second })
             }
             None => None,
         };
         let mut faults = Vec::new();
         for fault in &parsed.fault {
-            faults.push(reader.fault(fault.get_ref(), fault.span().start, seconds)?);
+            faults.push(reader.parse_fault(fault.get_ref(), fault.span().start, duration_s)?);
         }
         let must = &parsed.must;
         let agree = must.agree_within.as_ref();
-        let agree = agree.map(|a| reader.within("must.agree_within", a, 0.0, LONGEST_SECONDS)).transpose()?;
+        let agree = agree.map(|a| reader.in_range("must.agree_within", a, 0.0, MAX_SECONDS)).transpose()?;
         let mut names = |key: &str, value: &Option<Spanned<Value>>| {
-            value.as_ref().map_or(Ok(Vec::new()), |v| reader.who(key, v))
+            value.as_ref().map_or(Ok(Vec::new()), |v| reader.parse_targets(key, v))
         };
         let never_failed = names("must.never_failed", &must.never_failed)?;
         let seen_failed = names("must.seen_failed", &must.seen_failed)?;
         let stem = file.file_stem().map_or_else(String::new, |s| s.to_string_lossy().into_owned());
         Ok(Trial {
             name: parsed.name.unwrap_or(stem),
-            seconds,
+            duration_s,
             gatekeepers: reader.gatekeepers,
-            halls: reader.halls,
+            zones: reader.zones,
             voters: reader.voters,
             seed,
             load,
             faults,
-            must: Must { agree_within: agree.unwrap_or(AGREE_WITHIN), never_failed, seen_failed },
+            expectations: Expectations {
+                agree_within_s: agree.unwrap_or(DEFAULT_AGREE_WITHIN_S),
+                never_failed,
+                seen_failed,
+            },
         })
     }
 }
--- a/crates/fault-injection/src/file/tests.rs
+++ b/crates/fault-injection/src/file/tests.rs
@@ -1,8 +1,8 @@
 use std::path::Path;
 
-use super::{Disk, Kind, Trial};
+use super::{DiskState, FaultKind, Trial};
 
-const GOOD: &str = r#"name = "Whole"
+const VALID_FILE: &str = r#"name = "Whole"
 seconds = 20
 gatekeepers = 6
 halls = 2
@@ -48,48 +48,67 @@
 }
 
 #[test]
-fn a_whole_file() {
-    let trial = parse(GOOD).expect("good");
-    assert_eq!((trial.gatekeepers, trial.seed, trial.seconds), (6, 7, 20.0));
-    assert!(matches!(&trial.faults[1].kind, Kind::Kill { who, disk: Disk::Torn, .. } if who.len() == 2));
-    let Kind::Cut { links } = &trial.faults[2].kind else { panic!("a cut") };
+fn a_valid_file_is_parsed() {
+    let trial = parse(VALID_FILE).expect("valid");
+    assert_eq!((trial.gatekeepers, trial.seed, trial.duration_s), (6, 7, 20.0));
+    assert!(matches!(
+        &trial.faults[1].kind,
+        FaultKind::Kill { targets, disk: DiskState::Torn, .. } if targets.len() == 2
+    ));
+    let FaultKind::Cut { links } = &trial.faults[2].kind else { panic!("a cut") };
     assert!(links.0.contains(&(0, 1)) && links.0.contains(&(1, 0)) && links.0.contains(&(0, 2)));
-    let Kind::Lose { links, .. } = &trial.faults[3].kind else { panic!("loss") };
+    let FaultKind::Lose { links, .. } = &trial.faults[3].kind else { panic!("loss") };
     assert_eq!(links.0.len(), 30);
-    assert_eq!(trial.must.seen_failed, [1, 3, 5]);
-    assert_eq!(trial.faults_over(), 20.0);
-    let other = Trial::parse(Path::new("t.toml"), GOOD, Some(8)).expect("good");
+    assert_eq!(trial.expectations.seen_failed, [1, 3, 5]);
+    assert_eq!(trial.faults_end_s(), 20.0);
+    let other = Trial::parse(Path::new("t.toml"), VALID_FILE, Some(8)).expect("valid");
     assert_eq!(other.seed, 8);
 }
 
 #[test]
-fn written_and_read_again_it_is_the_same() {
-    let mut trial = parse(GOOD).expect("good");
-    let again = parse(&trial.to_toml()).expect("good");
-    assert_eq!(again.faults_over(), trial.faults_over());
-    trial.faults.retain(|f| !matches!(f.kind, Kind::Cut { .. } | Kind::Lose { .. }));
-    assert_eq!(parse(&trial.to_toml()).expect("good"), trial);
+fn a_trial_survives_formatting_and_parsing() {
+    let mut trial = parse(VALID_FILE).expect("valid");
+    let again = parse(&trial.to_toml()).expect("valid");
+    assert_eq!(again.faults_end_s(), trial.faults_end_s());
+    trial.faults.retain(|f| !matches!(f.kind, FaultKind::Cut { .. } | FaultKind::Lose { .. }));
+    assert_eq!(parse(&trial.to_toml()).expect("valid"), trial);
 }
 
 #[test]
-fn what_cannot_be_played() {
+fn invalid_files_are_rejected_with_line_and_key() {
     let cases = [
-        ("\"pause\"\nwho", "\"nap\"\nwho", "t.toml:14: fault.kind: \"nap\" is no kind this build knows"),
-        ("\"pause\"\nwho", "\"change\"\nwho", "t.toml:14: fault.kind: \"change\" is no kind this build"),
-        ("[\"g2\"]", "[\"g9\"]", "t.toml:15: who: \"g9\" is nobody; g1 to g6"),
-        ("[\"g2\"]", "[\"owner:rule\"]", "t.toml:15: who: \"owner:rule\" is no duty; export are"),
-        ("[\"g3\"]", "[\"owner:export\"]", "t.toml:38: must.never_failed: \"owner:export\": who owns it"),
-        ("voters = 3", "voters = 2", "t.toml:5: voters: 2: three or five would be right"),
-        ("[\"g2\"]", "[2]", "t.toml:15: who: names in a list"),
+        ("\"pause\"\nwho", "\"nap\"\nwho", "t.toml:14: fault.kind: \"nap\" is not a known fault kind"),
+        ("\"pause\"\nwho", "\"change\"\nwho", "t.toml:14: fault.kind: \"change\" is not a known fault kind"),
+        ("[\"g2\"]", "[\"g9\"]", "t.toml:15: who: \"g9\" names no gatekeeper; g1 to g6"),
+        (
+            "[\"g2\"]",
+            "[\"owner:rule\"]",
+            "t.toml:15: who: \"owner:rule\" names no known duty; known duties: export",
+        ),
+        (
+            "[\"g3\"]",
+            "[\"owner:export\"]",
+            "t.toml:38: must.never_failed: \"owner:export\" is not valid here",
+        ),
+        ("voters = 3", "voters = 2", "t.toml:5: voters: 2 voters are not supported; use 3 or 5"),
+        ("[\"g2\"]", "[2]", "t.toml:15: who: expected a name or a list of names"),
         ("lasts = 8.0", "last = 8.0", "t.toml:13: unknown field `last`"),
         ("lasts = 8.0", "lasts = -1.0", "t.toml:13: lasts: -1 is not within 0"),
-        ("lasts = 8.0", "share = 0.5", "t.toml:13: share: pause has no such key; at, lasts, who are"),
-        ("restart_after = 2.0", "lasts = 2.0", "t.toml:21: lasts: kill has no such key"),
-        ("\"torn\"", "\"wet\"", "t.toml:22: disk: \"wet\" is no state of a disk"),
-        ("\"any:2\"", "\"any:9\"", "t.toml:20: who: \"any:9\": any:1 to any:6"),
-        ("[\"hall:2\", ", "[\"hall:4\", ", "t.toml:28: to: \"hall:4\": the halls are hall:1 to hall:2"),
+        (
+            "lasts = 8.0",
+            "share = 0.5",
+            "t.toml:13: share: pause does not take this key; its keys are at, lasts, who",
+        ),
+        ("restart_after = 2.0", "lasts = 2.0", "t.toml:21: lasts: kill does not take this key"),
+        ("\"torn\"", "\"wet\"", "t.toml:22: disk: \"wet\" is not a disk state"),
+        ("\"any:2\"", "\"any:9\"", "t.toml:20: who: \"any:9\" is out of range; any:1 to any:6 are"),
+        (
+            "[\"hall:2\", ",
+            "[\"hall:4\", ",
+            "t.toml:28: to: \"hall:4\" is not a zone of this trial; hall:1 to hall:2 are",
+        ),
         ("share = 0.4", "share = 1.4", "t.toml:34: share: 1.4 is not within 0 to 1"),
-        ("share = 0.4", "", "t.toml:31: share: missing, and lose needs it"),
+        ("share = 0.4", "", "t.toml:31: share: missing; lose requires it"),
         ("gatekeepers = 6", "gatekeepers = 0", "t.toml:3: gatekeepers: 0 is not within 1 to 100"),
         ("gatekeepers = 6", "", "missing field `gatekeepers`"),
         ("halls = 2", "halls = 7", "t.toml:4: halls: 7 is not within 1 to 6"),
@@ -98,9 +117,9 @@
         ("[must]", "[should]", "unknown field `should`"),
         ("name = \"Whole\"", "name = \"Whole", "t.toml:1: "),
     ];
-    for (good, changed, wanted) in cases {
-        assert!(GOOD.contains(good), "{good}");
-        let error = parse(&GOOD.replacen(good, changed, 1)).expect_err(changed);
-        assert!(error.contains(wanted), "{changed}: {error}, not {wanted}");
+    for (original, changed, expected) in cases {
+        assert!(VALID_FILE.contains(original), "{original}");
+        let error = parse(&VALID_FILE.replacen(original, changed, 1)).expect_err(changed);
+        assert!(error.contains(expected), "{changed}: {error}, not {expected}");
     }
 }
--- a/crates/fault-injection/src/file/writer.rs
+++ b/crates/fault-injection/src/file/writer.rs
@@ -1,77 +1,81 @@
-//! Writes a trial as a file.
+//! Formats a trial as a trial file.
 
 use std::fmt::Write;
 
 use super::*;
 
 impl Trial {
-    /// The same trial as a file.
+    /// Returns the trial in the TOML format of a trial file.
     pub fn to_toml(&self) -> String {
         let mut out = String::new();
-        let names = |who: &[usize]| {
-            let names: Vec<_> = who.iter().map(|w| format!("\"{}\"", Trial::name_of(*w))).collect();
+        let names = |targets: &[usize]| {
+            let names: Vec<_> =
+                targets.iter().map(|w| format!("\"{}\"", Trial::gatekeeper_name(*w))).collect();
             format!("[{}]", names.join(", "))
         };
         let name = self.name.replace('\\', "\\\\").replace('"', "\\\"");
-        let _ = writeln!(out, "name = \"{name}\"\nseconds = {:?}", self.seconds);
-        let _ = writeln!(out, "gatekeepers = {}\nhalls = {}", self.gatekeepers, self.halls);
+        let _ = writeln!(out, "name = \"{name}\"\nseconds = {:?}", self.duration_s);
+        let _ = writeln!(out, "gatekeepers = {}\nhalls = {}", self.gatekeepers, self.zones);
         if let Some(voters) = self.voters {
             let _ = writeln!(out, "voters = {voters}");
         }
         let _ = writeln!(out, "seed = {}", self.seed);
         if let Some(load) = self.load {
-            let _ = writeln!(out, "\n[load]\ninvocations_per_second = {:?}", load.invocations_per_second);
+            let _ = writeln!(out, "\n[load]\ninvocations_per_second = {:?}", load.requests_per_second);
         }
         for fault in &self.faults {
-            // Links that no two lists of names give are written one by one.
-            for (links, rest) in fault.lines(&names) {
-                let _ = writeln!(out, "\n[[fault]]\nat = {:?}", fault.at);
-                if let Some(lasts) = fault.lasts {
-                    let _ = writeln!(out, "lasts = {lasts:?}");
+            // A link set may not be a product of two name lists, so it is written as one fault per sender.
+            for (links, rest) in fault.key_lines(&names) {
+                let _ = writeln!(out, "\n[[fault]]\nat = {:?}", fault.start_s);
+                if let Some(duration_s) = fault.duration_s {
+                    let _ = writeln!(out, "lasts = {duration_s:?}");
                 }
                 let _ = writeln!(out, "kind = \"{}\"\n{links}{rest}", fault.kind.name());
                 out.truncate(out.trim_end().len());
                 out.push('\n');
             }
         }
-        let _ = writeln!(out, "\n[must]\nagree_within = {:?}", self.must.agree_within);
-        if !self.must.never_failed.is_empty() {
-            let _ = writeln!(out, "never_failed = {}", names(&self.must.never_failed));
+        let _ = writeln!(out, "\n[must]\nagree_within = {:?}", self.expectations.agree_within_s);
+        if !self.expectations.never_failed.is_empty() {
+            let _ = writeln!(out, "never_failed = {}", names(&self.expectations.never_failed));
         }
-        if !self.must.seen_failed.is_empty() {
-            let _ = writeln!(out, "seen_failed = {}", names(&self.must.seen_failed));
+        if !self.expectations.seen_failed.is_empty() {
+            let _ = writeln!(out, "seen_failed = {}", names(&self.expectations.seen_failed));
         }
         out
     }
 }
 
 impl Fault {
-    /// Its keys besides `at`, `lasts` and `kind`, once for each group of links.
-    fn lines(&self, names: &impl Fn(&[usize]) -> String) -> Vec<(String, String)> {
-        let who = |who: &[usize]| format!("who = {}\n", names(who));
+    /// Returns the lines with the keys besides `at`, `lasts` and `kind`: target keys and other keys. A link
+    /// fault has one pair for each sender.
+    fn key_lines(&self, names: &impl Fn(&[usize]) -> String) -> Vec<(String, String)> {
+        let line_of_targets = |targets: &[usize]| format!("who = {}\n", names(targets));
         let (links, rest) = match &self.kind {
-            Kind::Pause { who: w } | Kind::DiskFull { who: w } => return vec![(who(w), String::new())],
-            Kind::Kill { who: w, restart_after, disk } => {
-                let mut rest = restart_after.map_or(String::new(), |r| format!("restart_after = {r:?}\n"));
+            FaultKind::Pause { targets: t } | FaultKind::DiskFull { targets: t } => {
+                return vec![(line_of_targets(t), String::new())];
+            }
+            FaultKind::Kill { targets: t, restart_after_s, disk } => {
+                let mut rest = restart_after_s.map_or(String::new(), |r| format!("restart_after = {r:?}\n"));
                 match disk {
-                    Disk::Kept => {}
-                    Disk::Emptied => rest.push_str("disk = \"emptied\"\n"),
-                    Disk::Torn => rest.push_str("disk = \"torn\"\n"),
+                    DiskState::Intact => {}
+                    DiskState::Emptied => rest.push_str("disk = \"emptied\"\n"),
+                    DiskState::Torn => rest.push_str("disk = \"torn\"\n"),
                 }
-                return vec![(who(w), rest)];
-            }
-            Kind::Stop { who: w, restart_after } => {
-                let rest = restart_after.map_or(String::new(), |r| format!("restart_after = {r:?}\n"));
-                return vec![(who(w), rest)];
+                return vec![(line_of_targets(t), rest)];
             }
-            Kind::Cut { links } => (links, String::new()),
-            Kind::Lose { links, share } | Kind::Double { links, share } | Kind::Reorder { links, share } => {
-                (links, format!("share = {share:?}\n"))
+            FaultKind::Stop { targets: t, restart_after_s } => {
+                let rest = restart_after_s.map_or(String::new(), |r| format!("restart_after = {r:?}\n"));
+                return vec![(line_of_targets(t), rest)];
             }
-            Kind::Delay { links, ms, jitter_ms } => {
-                (links, format!("ms = {ms:?}\njitter_ms = {jitter_ms:?}\n"))
+            FaultKind::Cut { links } => (links, String::new()),
+            FaultKind::Lose { links, probability }
+            | FaultKind::Duplicate { links, probability }
+            | FaultKind::Reorder { links, probability } => (links, format!("share = {probability:?}\n")),
+            FaultKind::Delay { links, delay_ms, jitter_ms } => {
+                (links, format!("ms = {delay_ms:?}\njitter_ms = {jitter_ms:?}\n"))
             }
-            Kind::Flap { links, period } => (links, format!("period = {period:?}\n")),
+            FaultKind::Flap { links, period_s } => (links, format!("period = {period_s:?}\n")),
         };
         let mut groups: Vec<(Vec<usize>, Vec<usize>)> = Vec::new();
         for from in links.0.iter().map(|(a, _)| *a).collect::<BTreeSet<_>>() {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,9 +1,10 @@
-//! Several processes of the program with faults between them, and the judging of their histories.
+//! Fault injection: runs several processes of the program on loopback, injects faults, and checks what they
+//! recorded.
 //!
-//! A trial file is read and checked whole ([`Trial::read`]), played ([`run_trial`]), and judged ([`check_trial`]) by
-//! what each process wrote down and what clients and workers saw. The judge knows no code of what it judges:
-//! it reads lines. Called by the `lynxstair` command; everything it starts ends with it, also where it is
-//! killed.
+//! A trial file is read and validated ([`Trial::read`]), run ([`run_trial`]), and its trace is checked
+//! ([`check_trial`]): the histories of the processes, and the records of clients, workers and the sink. The
+//! checker parses text and shares no code with the state machines that it checks. Used by `lynxstair trial`
+//! and `lynxstair soak`. All started processes end with this one, even if it is killed.
 #![forbid(unsafe_code)]
 
 mod checker;
@@ -14,7 +15,7 @@
 mod run;
 pub mod soak;
 
-pub use checker::{Observations, ProcessObservation, RULES, Rule, Verdict, Violation, check_trial};
-pub use file::{Disk, Fault, Kind, Links, LoadPlan, Must, Trial};
+pub use checker::{ProcessTrace, RULES, Rule, TrialTrace, Verdict, Violation, check_trial};
+pub use file::{DiskState, Expectations, Fault, FaultKind, Links, Trial, TrialLoad};
 pub use hunt::{minimize_trial, random_trial};
 pub use run::{TrialError, TrialOptions, run_trial};
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,8 +1,9 @@
-//! The links among gatekeepers: a front for each, through which all others reach it, with the faults of each
-//! direction of each pair. Datagrams and connections alike.
+//! Relay between gatekeepers that injects link faults into datagrams and connections, per sender and
+//! receiver.
 //!
-//! Who sent a datagram is told by its address, which each process has of its own; it goes on from the
-//! sender's own front, so that the receiver sees the address at which it would answer.
+//! Each gatekeeper has a relay address at which all others reach it. The sender of a datagram is identified
+//! by its source address. A datagram is forwarded from the relay address of its sender, so that replies pass
+//! the relay too.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -16,205 +17,208 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::ports::Place;
+use crate::ports::TrialAddresses;
 
-const LOOK: Duration = Duration::from_millis(50);
-/// One that is put out of order comes later by up to so long.
-const OUT_OF_ORDER: Duration = Duration::from_millis(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Greatest extra delay of a reordered datagram.
+const MAX_REORDER_DELAY: Duration = Duration::from_millis(60);
 
-/// The faults of one direction between two.
+/// Faults of a link from one gatekeeper to another, in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Link {
-    pub cut: bool,
-    pub lose: f64,
-    pub double: f64,
-    pub reorder: f64,
+    pub is_cut: bool,
+    pub loss_probability: f64,
+    pub duplicate_probability: f64,
+    pub reorder_probability: f64,
     pub delay: Duration,
     pub jitter: Duration,
 }
 
-/// A datagram that waits: when, in what order, from whom to whom.
-type Waiting = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
+/// Delayed datagrams by due time: time, order of arrival, sender, receiver, payload.
+type DelayedDatagrams = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
 
-struct Inside {
-    place: Place,
+struct RelayState {
+    addresses: TrialAddresses,
     links: Mutex<Vec<Vec<Link>>>,
-    fronts: Vec<UdpSocket>,
-    by_ip: HashMap<IpAddr, usize>,
-    chance: Mutex<Pcg64Mcg>,
-    waiting: Mutex<Waiting>,
-    more: Condvar,
+    sockets: Vec<UdpSocket>,
+    gatekeeper_by_ip: HashMap<IpAddr, usize>,
+    rng: Mutex<Pcg64Mcg>,
+    delayed: Mutex<DelayedDatagrams>,
+    wake_up: Condvar,
     order: AtomicU64,
     stop: AtomicBool,
 }
 
-/// All links.
+/// Relay for all links of a trial.
 pub(crate) struct Relay {
-    inside: Arc<Inside>,
+    state: Arc<RelayState>,
     threads: Vec<JoinHandle<()>>,
 }
 
-fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Relay {
-    pub fn start(place: Place, gatekeepers: usize, seed: u64) -> io::Result<Self> {
-        let fronts =
-            (0..gatekeepers).map(|n| UdpSocket::bind(place.front(n))).collect::<io::Result<Vec<_>>>()?;
-        for front in &fronts {
-            front.set_read_timeout(Some(LOOK))?;
+    pub fn start(addresses: TrialAddresses, gatekeepers: usize, seed: u64) -> io::Result<Self> {
+        let sockets = (0..gatekeepers)
+            .map(|n| UdpSocket::bind(addresses.relay_addr(n)))
+            .collect::<io::Result<Vec<_>>>()?;
+        for socket in &sockets {
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
         }
-        let inside = Arc::new(Inside {
-            place,
+        let state = Arc::new(RelayState {
+            addresses,
             links: Mutex::new(vec![vec![Link::default(); gatekeepers]; gatekeepers]),
-            fronts,
-            by_ip: (0..gatekeepers).map(|n| (IpAddr::V4(*place.member(n).ip()), n)).collect(),
-            chance: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
-            waiting: Mutex::default(),
-            more: Condvar::new(),
+            sockets,
+            gatekeeper_by_ip: (0..gatekeepers)
+                .map(|n| (IpAddr::V4(*addresses.control_addr(n).ip()), n))
+                .collect(),
+            rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
+            delayed: Mutex::default(),
+            wake_up: Condvar::new(),
             order: AtomicU64::new(0),
             stop: AtomicBool::new(false),
         });
         let mut threads = Vec::new();
         for to in 0..gatekeepers {
-            let hearing = inside.clone();
-            threads.push(thread::spawn(move || hearing.datagrams(to)));
-            let listener = TcpListener::bind(place.front(to))?;
+            let receiver = state.clone();
+            threads.push(thread::spawn(move || receiver.relay_datagrams(to)));
+            let listener = TcpListener::bind(addresses.relay_addr(to))?;
             listener.set_nonblocking(true)?;
-            let accepting = inside.clone();
-            threads.push(thread::spawn(move || accepting.connections(&listener, to)));
+            let accepting = state.clone();
+            threads.push(thread::spawn(move || accepting.accept_connections(&listener, to)));
         }
-        let sending = inside.clone();
-        threads.push(thread::spawn(move || sending.late_ones()));
-        Ok(Relay { inside, threads })
+        let sending = state.clone();
+        threads.push(thread::spawn(move || sending.send_delayed()));
+        Ok(Relay { state, threads })
     }
 
-    /// The links are so from now on; by sender, then receiver.
-    pub fn set(&self, links: Vec<Vec<Link>>) {
-        *locked(&self.inside.links) = links;
+    /// Replaces the state of all links, indexed by sender, then receiver.
+    pub fn set_links(&self, links: Vec<Vec<Link>>) {
+        *lock(&self.state.links) = links;
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.inside.stop.store(true, Ordering::SeqCst);
-        self.inside.more.notify_all();
+        self.state.stop.store(true, Ordering::SeqCst);
+        self.state.wake_up.notify_all();
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-impl Inside {
-    fn stops(&self) -> bool {
+impl RelayState {
+    fn is_stopping(&self) -> bool {
         self.stop.load(Ordering::SeqCst)
     }
 
-    fn datagrams(&self, to: usize) {
+    fn relay_datagrams(&self, to: usize) {
         let mut buffer = [0; 65_536];
-        while !self.stops() {
-            let Ok((len, from)) = self.fronts[to].recv_from(&mut buffer) else { continue };
-            // From none of the gatekeepers: it is put through as it came, as from a stranger on the network.
-            let Some(from) = self.by_ip.get(&from.ip()).copied() else { continue };
-            for after in self.fate(from, to) {
+        while !self.is_stopping() {
+            let Ok((len, from)) = self.sockets[to].recv_from(&mut buffer) else { continue };
+            // Drops datagrams that come from no gatekeeper.
+            let Some(from) = self.gatekeeper_by_ip.get(&from.ip()).copied() else { continue };
+            for after in self.delays_of_copies(from, to) {
                 if after.is_zero() {
                     self.send(from, to, &buffer[..len]);
                 } else {
                     let order = self.order.fetch_add(1, Ordering::SeqCst);
-                    let one = (Instant::now() + after, order, from, to, buffer[..len].to_vec());
-                    locked(&self.waiting).push(Reverse(one));
-                    self.more.notify_one();
+                    let datagram = (Instant::now() + after, order, from, to, buffer[..len].to_vec());
+                    lock(&self.delayed).push(Reverse(datagram));
+                    self.wake_up.notify_one();
                 }
             }
         }
     }
 
-    /// After how long it goes on: not at all, once or twice.
-    fn fate(&self, from: usize, to: usize) -> Vec<Duration> {
-        let link = locked(&self.links)[from][to];
-        if link.cut {
+    /// Draws the delay of each copy of a datagram to forward: none, one or two copies.
+    fn delays_of_copies(&self, from: usize, to: usize) -> Vec<Duration> {
+        let link = lock(&self.links)[from][to];
+        if link.is_cut {
             return Vec::new();
         }
         if link == Link::default() {
             return vec![Duration::ZERO];
         }
-        let mut chance = locked(&self.chance);
-        let copies = if chance.random_bool(link.double.clamp(0.0, 1.0)) { 2 } else { 1 };
-        let mut fate = Vec::new();
+        let mut rng = lock(&self.rng);
+        let copies = if rng.random_bool(link.duplicate_probability.clamp(0.0, 1.0)) { 2 } else { 1 };
+        let mut delays_of_copies = Vec::new();
         for _ in 0..copies {
-            if chance.random_bool(link.lose.clamp(0.0, 1.0)) {
+            if rng.random_bool(link.loss_probability.clamp(0.0, 1.0)) {
                 continue;
             }
-            let mut after = link.delay + link.jitter.mul_f64(chance.random());
-            if chance.random_bool(link.reorder.clamp(0.0, 1.0)) {
-                after += OUT_OF_ORDER.mul_f64(chance.random());
+            let mut after = link.delay + link.jitter.mul_f64(rng.random());
+            if rng.random_bool(link.reorder_probability.clamp(0.0, 1.0)) {
+                after += MAX_REORDER_DELAY.mul_f64(rng.random());
             }
-            fate.push(after);
+            delays_of_copies.push(after);
         }
-        fate
+        delays_of_copies
     }
 
     fn send(&self, from: usize, to: usize, datagram: &[u8]) {
-        // Nobody there: lost, as on any network.
-        let _ = self.fronts[from].send_to(datagram, self.place.member(to));
+        // A datagram that cannot be sent is lost.
+        let _ = self.sockets[from].send_to(datagram, self.addresses.control_addr(to));
     }
 
-    fn late_ones(&self) {
-        let mut waiting = locked(&self.waiting);
-        while !self.stops() {
+    fn send_delayed(&self) {
+        let mut delayed = lock(&self.delayed);
+        while !self.is_stopping() {
             let now = Instant::now();
-            let next = waiting.peek().map(|Reverse(one)| one.0);
+            let next = delayed.peek().map(|Reverse(datagram)| datagram.0);
             match next {
                 Some(at) if at <= now => {
-                    if let Some(Reverse((_, _, from, to, datagram))) = waiting.pop() {
-                        // What was cut meanwhile does not arrive.
-                        if !locked(&self.links)[from][to].cut {
+                    if let Some(Reverse((_, _, from, to, datagram))) = delayed.pop() {
+                        // The link may have been cut meanwhile.
+                        if !lock(&self.links)[from][to].is_cut {
                             self.send(from, to, &datagram);
                         }
                     }
                 }
                 next => {
-                    let wait = next.map_or(LOOK, |at| (at - now).min(LOOK));
-                    let woken = self.more.wait_timeout(waiting, wait);
-                    waiting = woken.unwrap_or_else(|e| e.into_inner()).0;
+                    let wait = next.map_or(POLL_INTERVAL, |at| (at - now).min(POLL_INTERVAL));
+                    let woken = self.wake_up.wait_timeout(delayed, wait);
+                    delayed = woken.unwrap_or_else(|e| e.into_inner()).0;
                 }
             }
         }
     }
 
-    fn connections(self: &Arc<Self>, listener: &TcpListener, to: usize) {
-        while !self.stops() {
+    fn accept_connections(self: &Arc<Self>, listener: &TcpListener, to: usize) {
+        while !self.is_stopping() {
             match listener.accept() {
                 Ok((stream, from)) => {
-                    let (inside, from) = (self.clone(), self.by_ip.get(&from.ip()).copied());
-                    thread::spawn(move || inside.connection(&stream, from, to));
+                    let (state, from) = (self.clone(), self.gatekeeper_by_ip.get(&from.ip()).copied());
+                    thread::spawn(move || state.relay_connection(&stream, from, to));
                 }
                 Err(_) => thread::sleep(Duration::from_millis(5)),
             }
         }
     }
 
-    /// One connection; from an operator where it comes from no gatekeeper. While its direction is cut nothing
-    /// goes.
-    fn connection(self: &Arc<Self>, stream: &TcpStream, from: Option<usize>, to: usize) {
-        let member: SocketAddr = self.place.member(to).into();
+    /// Relays one connection. No data passes in a direction while its link is cut. A connection that comes
+    /// from no gatekeeper (`from` is `None`) is never cut.
+    fn relay_connection(self: &Arc<Self>, stream: &TcpStream, from: Option<usize>, to: usize) {
+        let member: SocketAddr = self.addresses.control_addr(to).into();
         let Ok(other) = TcpStream::connect_timeout(&member, Duration::from_millis(500)) else { return };
         let (Ok(there), Ok(back)) = (stream.try_clone(), other.try_clone()) else { return };
-        let (inside, forth) = (self.clone(), from.map(|f| (f, to)));
-        let one = thread::spawn(move || inside.pipe(&there, &back, forth));
+        let (state, forward_link) = (self.clone(), from.map(|f| (f, to)));
+        let forward = thread::spawn(move || state.pipe(&there, &back, forward_link));
         self.pipe(&other, stream, from.map(|f| (to, f)));
-        let _ = one.join();
+        let _ = forward.join();
     }
 
     fn pipe(&self, mut from: &TcpStream, mut to: &TcpStream, link: Option<(usize, usize)>) {
         let _ = from.set_nonblocking(false);
-        let _ = from.set_read_timeout(Some(LOOK));
+        let _ = from.set_read_timeout(Some(POLL_INTERVAL));
         let mut buffer = [0; 16_384];
-        while !self.stops() {
-            let cut = link.is_some_and(|(a, b)| locked(&self.links)[a][b].cut);
-            if cut {
-                thread::sleep(LOOK);
+        while !self.is_stopping() {
+            let is_cut = link.is_some_and(|(a, b)| lock(&self.links)[a][b].is_cut);
+            if is_cut {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
             match from.read(&mut buffer) {
@@ -224,7 +228,7 @@
                         break;
                     }
                 }
-                Err(e) if goes_on(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(_) => break,
             }
         }
@@ -232,7 +236,7 @@
     }
 }
 
-/// Nothing came for a while, or the machine stood still.
-fn goes_on(e: &io::Error) -> bool {
+/// Returns `true` for a read time-out or an interrupted read.
+fn is_retryable(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted)
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,8 +1,8 @@
-//! Plays a trial: starts the processes and the links between them, does the faults, stops everything, and
-//! hands what was seen to the judge.
+//! Runs a trial: starts the gatekeepers and the relay between them, injects the faults, stops everything, and
+//! passes the trace to the checker.
 //!
-//! Nothing is left running: each gatekeeper is told to end with the process that started it (its fleet file
-//! says so), which also holds where this one is killed; on every way out of here all are killed.
+//! No process is left behind: dropping the run kills all gatekeepers, and each fleet file sets
+//! `ends_with_parent`, so that the gatekeepers also exit if this process is killed.
 
 mod faults;
 mod finish;
@@ -31,50 +31,50 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-use crate::checker::{Observations, ProcessObservation, Verdict, check_trial};
-use crate::file::{Disk, Fault, Kind, Trial};
-use crate::ports::Place;
+use crate::checker::{ProcessTrace, TrialTrace, Verdict, check_trial};
+use crate::file::{DiskState, Fault, FaultKind, Trial};
+use crate::ports::TrialAddresses;
 use crate::relay::{Link, Relay};
 
-use processes::ended;
-use queries::{cpu, owner_heard, owns, status};
+use processes::wait_for_exit;
+use queries::{cpu_seconds, knows_all_owners, member_status, owned_duties};
 
-/// All are to be in by then.
-const JOINED_WITHIN: Duration = Duration::from_secs(40);
-/// One that is told to end is to have ended by then.
-const ENDED_WITHIN: Duration = Duration::from_secs(6);
-/// What is left of the time after all have to agree, to see that it lasts.
-const LASTS: Duration = Duration::from_millis(700);
-/// A process that was started longer ago than this listens to signals.
-const STARTS_WITHIN: Duration = Duration::from_secs(2);
-const WORKERS: usize = 4;
-/// Within so long members find out what links are cut, in nanoseconds.
-const FOUND_OUT: u64 = 4_000_000_000;
-/// A pause of an owner waits so long for an effect to fall into.
-const EFFECT_WITHIN: Duration = Duration::from_millis(1_500);
-/// A fault that is done to a duty's owner waits so long for there to be one.
-const OWNER_WITHIN: Duration = Duration::from_millis(1_500);
-/// What clients were told is to be at the sink by then.
-const EXPORTED_WITHIN: Duration = Duration::from_secs(10);
-const TURN: Duration = Duration::from_millis(5);
+/// Time-out for all gatekeepers to join.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time-out for a process to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time after the agreement deadline in which the agreement must hold.
+const AGREEMENT_HOLD_TIME: Duration = Duration::from_millis(700);
+/// Time after its start in which a process may not have installed its signal handlers.
+const SIGNAL_SETUP_TIME: Duration = Duration::from_secs(2);
+const WORKER_COUNT: usize = 4;
+/// Time in which members detect cut links, in nanoseconds.
+const CUT_DETECTION_NS: u64 = 4_000_000_000;
+/// Longest wait for a batch to begin before an owner is paused.
+const BATCH_START_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Longest wait for a duty to have an owner before a fault is injected into the owner.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time-out for the usage of all answered requests to reach the sink.
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The machine failed the trial, or it was told to stop: nothing is known of the rules.
+/// Error that prevented a trial from completing. It says nothing about the rules.
 #[derive(Debug, thiserror::Error)]
 pub enum TrialError {
-    /// The machine refused something: trying again may help.
+    /// An I/O operation of the test machine failed. A retry may succeed.
     #[error("{what}: {source}")]
     Io {
-        /// What.
+        /// Failed operation or affected path.
         what: String,
-        /// Why.
+        /// Underlying error.
         source: io::Error,
     },
-    /// A gatekeeper, by name, and the last lines of its log.
-    #[error("{0} ended before it served: {1}")]
-    DidNotStart(String, String),
-    /// Told to stop from outside.
-    #[error("told to stop")]
-    Stopped,
+    /// A gatekeeper exited while the trial started: its name, the exit status and its last log line.
+    #[error("{0} exited before the trial began: {1}")]
+    StartFailed(String, String),
+    /// The stop flag was set.
+    #[error("interrupted")]
+    Interrupted,
 }
 
 fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> TrialError {
@@ -82,77 +82,80 @@
     move |source| TrialError::Io { what, source }
 }
 
-/// Where and how a trial is played.
+/// Options for running a trial.
 pub struct TrialOptions<'a> {
-    /// The gatekeeper's program.
+    /// Path of the gatekeeper program.
     pub program: &'a Path,
-    /// Histories, logs and records are left in a folder of the trial's name in here; none: nothing is left.
+    /// Directory that keeps histories, logs and records, in a subdirectory named after the trial. `None`
+    /// keeps nothing.
     pub keep_dir: Option<&'a Path>,
-    /// Parts of membership that are taken out.
+    /// Parts of membership that are disabled.
     pub disabled_membership_parts: DisabledParts,
-    /// Parts of the leases that are taken out.
+    /// Parts of the leases that are disabled.
     pub disabled_lease_parts: lynxstair_leases::DisabledParts,
-    /// Told to stop from outside.
+    /// Flag that interrupts the trial.
     pub stop: &'a AtomicBool,
 }
 
-struct Gatekeeper {
+struct GatekeeperProcess {
     child: Option<Child>,
-    process: ProcessObservation,
-    disturbed_since: Option<u64>,
+    trace: ProcessTrace,
+    disturbed_since_ns: Option<u64>,
     started: Instant,
-    /// CPU so far, in seconds, when the trial began.
-    cpu: f64,
+    /// CPU time used before the trial began, in seconds.
+    cpu_at_start_s: f64,
 }
 
-/// What is to be done, and when.
+/// A step of the schedule. Faults are given by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Step {
-    Begins(usize),
-    Ends(usize),
-    Restarts(usize),
-    Drains,
+enum ScheduledStep {
+    BeginFault(usize),
+    EndFault(usize),
+    RestartProcesses(usize),
+    DrainWorker,
 }
 
-struct Run<'a> {
+struct TrialRun<'a> {
     trial: &'a Trial,
     options: &'a TrialOptions<'a>,
-    folder: PathBuf,
-    place: Place,
+    dir: PathBuf,
+    addresses: TrialAddresses,
     relay: Relay,
     load: Option<Load>,
-    /// Where there are owners and a load.
+    /// `Some` if the trial has voters and a load.
     sink: Option<Sink>,
-    gatekeepers: Vec<Gatekeeper>,
-    active: BTreeSet<usize>,
-    /// As the trial has them; done to a duty's owner, as it was when they began.
+    gatekeepers: Vec<GatekeeperProcess>,
+    active_faults: BTreeSet<usize>,
+    /// Faults of the trial. A fault on the owner of a duty gets its target when it begins.
     faults: Vec<Fault>,
     began: Instant,
 }
 
-/// Plays a trial and judges it.
+/// Runs a trial and checks its trace.
 ///
 /// # Errors
-/// Where the machine failed it (a port, a file, a program that does not start), or it was told to stop.
+/// Fails if an I/O operation fails, if a gatekeeper exits while starting, or if the stop flag is set.
 pub fn run_trial(trial: &Trial, options: &TrialOptions<'_>) -> Result<Verdict, TrialError> {
-    let temporary = tempfile::tempdir().map_err(io_error("a folder for the trial"))?;
-    let folder = match options.keep_dir {
+    let temporary = tempfile::tempdir().map_err(io_error("creating a temporary directory"))?;
+    let dir = match options.keep_dir {
         Some(keep) => keep.join(file_name(&trial.name)),
         None => temporary.path().to_path_buf(),
     };
     if options.keep_dir.is_some() {
-        let _ = fs::remove_dir_all(&folder);
+        let _ = fs::remove_dir_all(&dir);
     }
-    fs::create_dir_all(&folder).map_err(io_error(folder.display().to_string()))?;
-    let place = Place::find(trial.gatekeepers).map_err(io_error("addresses of its own"))?;
-    let relay = Relay::start(place, trial.gatekeepers, trial.seed).map_err(io_error("the links"))?;
+    fs::create_dir_all(&dir).map_err(io_error(dir.display().to_string()))?;
+    let addresses =
+        TrialAddresses::find(trial.gatekeepers).map_err(io_error("finding free loopback addresses"))?;
+    let relay =
+        Relay::start(addresses, trial.gatekeepers, trial.seed).map_err(io_error("starting the relay"))?;
     let load = trial
         .load
-        .map(|l| Load::new(LoadPlan { requests_per_second: l.invocations_per_second, workers: WORKERS }));
+        .map(|l| Load::new(LoadPlan { requests_per_second: l.requests_per_second, workers: WORKER_COUNT }));
     let sink = match (&load, trial.voters) {
         (Some(_), Some(_)) => {
-            let sink = Sink::open(&folder.join("sink"));
-            Some(sink.map_err(|e| io_error("the sink")(io::Error::other(e)))?)
+            let sink = Sink::open(&dir.join("sink"));
+            Some(sink.map_err(|e| io_error("opening the sink")(io::Error::other(e)))?)
         }
         _ => None,
     };
@@ -160,24 +163,35 @@
         sink.accepts_stale_epochs.store(options.disabled_lease_parts.no_refusal, Ordering::SeqCst);
     }
     let gatekeepers = (0..trial.gatekeepers)
-        .map(|n| Gatekeeper {
+        .map(|n| GatekeeperProcess {
             child: None,
-            process: ProcessObservation { name: Trial::name_of(n), ..ProcessObservation::default() },
-            disturbed_since: None,
+            trace: ProcessTrace { name: Trial::gatekeeper_name(n), ..ProcessTrace::default() },
+            disturbed_since_ns: None,
             started: Instant::now(),
-            cpu: 0.0,
+            cpu_at_start_s: 0.0,
         })
         .collect();
-    let (active, faults) = (BTreeSet::new(), trial.faults.clone());
+    let (active_faults, faults) = (BTreeSet::new(), trial.faults.clone());
     let began = Instant::now();
-    let mut run =
-        Run { trial, options, folder, place, relay, load, sink, gatekeepers, active, faults, began };
-    let observed = run.execute()?;
+    let mut run = TrialRun {
+        trial,
+        options,
+        dir,
+        addresses,
+        relay,
+        load,
+        sink,
+        gatekeepers,
+        active_faults,
+        faults,
+        began,
+    };
+    let trace = run.execute()?;
     if options.keep_dir.is_some() {
         let text = trial.to_toml();
-        fs::write(run.folder.join("trial.toml"), text).map_err(io_error("the trial's file"))?;
+        fs::write(run.dir.join("trial.toml"), text).map_err(io_error("writing trial.toml"))?;
     }
-    Ok(check_trial(&observed))
+    Ok(check_trial(&trace))
 }
 
 fn file_name(name: &str) -> String {
@@ -185,8 +199,8 @@
     name.chars().map(word).collect()
 }
 
-impl Drop for Run<'_> {
-    /// On every way out nothing is left running.
+impl Drop for TrialRun<'_> {
+    /// Kills all processes.
     fn drop(&mut self) {
         for gatekeeper in &mut self.gatekeepers {
             if let Some(child) = &mut gatekeeper.child {
@@ -197,89 +211,108 @@
     }
 }
 
-impl Run<'_> {
+impl TrialRun<'_> {
     fn name(&self, n: usize) -> &str {
-        &self.gatekeepers[n].process.name
+        &self.gatekeepers[n].trace.name
     }
 
-    fn data(&self, n: usize) -> PathBuf {
-        self.folder.join(self.name(n))
+    fn data_dir(&self, n: usize) -> PathBuf {
+        self.dir.join(self.name(n))
     }
 
-    fn full(&self, n: usize) -> PathBuf {
-        self.folder.join(format!("{}.full", self.name(n)))
+    fn disk_full_marker(&self, n: usize) -> PathBuf {
+        self.dir.join(format!("{}.full", self.name(n)))
     }
 
-    /// Sees that it is not told to stop and that nobody ended by itself, for so long.
-    fn wait(&mut self, until: Instant) -> Result<(), TrialError> {
+    /// Waits until the given time. Records processes that exit meanwhile, and fails if the stop flag is set.
+    fn wait_until(&mut self, until: Instant) -> Result<(), TrialError> {
         loop {
             if self.options.stop.load(Ordering::SeqCst) {
-                return Err(TrialError::Stopped);
+                return Err(TrialError::Interrupted);
             }
             for n in 0..self.gatekeepers.len() {
-                self.look_at(n);
+                self.check_exit(n);
             }
             let now = Instant::now();
             if now >= until {
                 return Ok(());
             }
-            thread::sleep((until - now).min(TURN));
+            thread::sleep((until - now).min(POLL_INTERVAL));
         }
     }
 
-    fn execute(&mut self) -> Result<Observations, TrialError> {
+    fn execute(&mut self) -> Result<TrialTrace, TrialError> {
         for n in 0..self.trial.gatekeepers {
-            self.write_files(n).map_err(io_error("the files of a gatekeeper"))?;
+            self.write_settings(n).map_err(io_error("writing the settings of a gatekeeper"))?;
         }
         for n in 0..self.trial.gatekeepers {
-            self.start(n)?;
+            self.start_process(n)?;
         }
-        let not_joined = self.all_join()?;
-        let mut observed = Observations {
+        let join_failure = self.wait_for_join()?;
+        let mut trace = TrialTrace {
             name: self.trial.name.clone(),
-            agree_within: self.trial.must.agree_within,
-            never_failed: self.trial.must.never_failed.iter().map(|n| Trial::name_of(*n)).collect(),
-            seen_failed: self.trial.must.seen_failed.iter().map(|n| Trial::name_of(*n)).collect(),
+            agree_within_s: self.trial.expectations.agree_within_s,
+            never_failed: self
+                .trial
+                .expectations
+                .never_failed
+                .iter()
+                .map(|n| Trial::gatekeeper_name(*n))
+                .collect(),
+            seen_failed: self
+                .trial
+                .expectations
+                .seen_failed
+                .iter()
+                .map(|n| Trial::gatekeeper_name(*n))
+                .collect(),
             voters: self.trial.voters.unwrap_or_default(),
-            began: monotonic_nanos(),
-            ..Observations::default()
+            start_ns: monotonic_nanos(),
+            ..TrialTrace::default()
         };
         self.began = Instant::now();
-        if not_joined.is_none() {
-            self.play_faults(&mut observed)?;
+        if join_failure.is_none() {
+            self.run_faults(&mut trace)?;
         }
-        observed.not_joined = not_joined;
-        self.end(&mut observed)?;
-        Ok(observed)
+        trace.join_failure = join_failure;
+        self.finish(&mut trace)?;
+        Ok(trace)
     }
 
-    /// Waits until all serve and see each other. What is wrong, where they do not in time.
-    fn all_join(&mut self) -> Result<Option<String>, TrialError> {
+    /// Waits until all gatekeepers serve and see each other. Returns the reason if they do not before the
+    /// time-out.
+    fn wait_for_join(&mut self) -> Result<Option<String>, TrialError> {
         let began = Instant::now();
         loop {
-            self.wait(Instant::now() + Duration::from_millis(100))?;
+            self.wait_until(Instant::now() + Duration::from_millis(100))?;
             for n in 0..self.gatekeepers.len() {
-                if let Some((_, why)) = &self.gatekeepers[n].process.ended_badly {
-                    return Err(TrialError::DidNotStart(self.name(n).to_string(), self.last_words(n, why)));
+                if let Some((_, why)) = &self.gatekeepers[n].trace.unexpected_exit {
+                    return Err(TrialError::StartFailed(
+                        self.name(n).to_string(),
+                        self.last_log_line(n, why),
+                    ));
                 }
             }
-            let all = self.trial.gatekeepers;
-            let wrong = (0..all).find_map(|n| {
-                if !self.serves(n) {
+            let count = self.trial.gatekeepers;
+            let failure = (0..count).find_map(|n| {
+                if !self.is_serving(n) {
                     return Some(format!("{} does not serve", self.name(n)));
                 }
-                let Some((phase, there)) = status(self.place.member(n)) else {
-                    return Some(format!("{} does not answer at its control port", self.name(n)));
+                let Some((phase, present)) = member_status(self.addresses.control_addr(n)) else {
+                    return Some(format!("{} does not answer at its control address", self.name(n)));
                 };
-                if self.trial.voters.is_some() && owner_heard(self.place.member(n)) != Some(true) {
-                    return Some(format!("{} has heard of no owner", self.name(n)));
+                if self.trial.voters.is_some()
+                    && knows_all_owners(self.addresses.control_addr(n)) != Some(true)
+                {
+                    return Some(format!("{} does not know the owner of each duty", self.name(n)));
                 }
-                let is_in = phase == Phase::In && there.len() + 1 == all;
-                (!is_in).then(|| format!("{} is {phase:?} and sees {} others", self.name(n), there.len()))
+                let has_joined = phase == Phase::In && present.len() + 1 == count;
+                (!has_joined)
+                    .then(|| format!("{} is {phase:?} and sees {} others", self.name(n), present.len()))
             });
-            match wrong {
+            match failure {
                 None => return Ok(None),
-                Some(wrong) if began.elapsed() > JOINED_WITHIN => return Ok(Some(wrong)),
+                Some(failure) if began.elapsed() > JOIN_TIMEOUT => return Ok(Some(failure)),
                 Some(_) => {}
             }
         }
--- a/crates/fault-injection/src/run/finish.rs
+++ b/crates/fault-injection/src/run/finish.rs
@@ -1,107 +1,114 @@
-//! The end of a trial: processes are told to end, and what they left behind is gathered.
+//! Ends a trial: stops the processes and collects the trace.
 
 use super::*;
 
-impl Run<'_> {
-    /// Until the sink has what clients were told, for a time; whether it does is the judge's.
+impl TrialRun<'_> {
+    /// Waits until the usage of all answered requests is at the sink, or a time-out expires. The checker
+    /// decides whether the usage is complete.
     pub(super) fn wait_for_export(&mut self) -> Result<(), TrialError> {
         let (Some(load), Some(sink)) = (&self.load, &self.sink) else { return Ok(()) };
         let answered = load.traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
-        let is_so =
-            |g: &Gatekeeper| g.child.is_some() && g.process.disk_lost.is_empty() && !g.process.uses_lost;
-        let runs = |name: &str| self.gatekeepers.iter().any(|g| g.process.name == name && is_so(g));
-        let told = answered.iter().filter(|a| a.status == Some(200) && runs(&a.gatekeeper)).count() as u64;
+        let retains_usage = |g: &GatekeeperProcess| {
+            g.child.is_some() && g.trace.disk_lost_ns.is_empty() && !g.trace.usage_lost
+        };
+        let is_checked =
+            |name: &str| self.gatekeepers.iter().any(|g| g.trace.name == name && retains_usage(g));
+        let answered_count =
+            answered.iter().filter(|a| a.status == Some(200) && is_checked(&a.gatekeeper)).count() as u64;
         let began = Instant::now();
         loop {
-            let taken = sink
+            let accepted = sink
                 .received()
                 .into_iter()
                 .filter(|l| l.reply == BatchReply::Accepted { already_stored: false });
-            let taken: u64 =
-                taken.filter(|l| runs(&l.batch.stream.gatekeeper)).map(|l| l.batch.milli_units()).sum();
-            if taken >= told * 1_000 || began.elapsed() > EXPORTED_WITHIN {
+            let accepted: u64 = accepted
+                .filter(|l| is_checked(&l.batch.stream.gatekeeper))
+                .map(|l| l.batch.milli_units())
+                .sum();
+            if accepted >= answered_count * 1_000 || began.elapsed() > EXPORT_TIMEOUT {
                 break;
             }
-            thread::sleep(10 * TURN);
+            thread::sleep(10 * POLL_INTERVAL);
         }
-        self.wait(Instant::now() + LASTS)
+        self.wait_until(Instant::now() + AGREEMENT_HOLD_TIME)
     }
 
-    /// CPU a second of those that ran through, as a part of a core.
-    pub(super) fn cpu(&self) -> Option<f64> {
+    /// Returns the mean CPU use of the gatekeepers that ran without interruption, in cores.
+    pub(super) fn mean_cpu_cores(&self) -> Option<f64> {
         let seconds = self.began.elapsed().as_secs_f64();
-        let through = self.gatekeepers.iter().filter(|g| !g.process.was_ended);
-        let used: Vec<f64> = through.filter_map(|g| Some(cpu(g.child.as_ref()?.id())? - g.cpu)).collect();
+        let uninterrupted = self.gatekeepers.iter().filter(|g| !g.trace.was_terminated);
+        let used: Vec<f64> = uninterrupted
+            .filter_map(|g| Some(cpu_seconds(g.child.as_ref()?.id())? - g.cpu_at_start_s))
+            .collect();
         (!used.is_empty()).then(|| used.iter().sum::<f64>() / used.len() as f64 / seconds)
     }
 
-    /// Asks all, has all end, and reads what they wrote.
-    pub(super) fn end(&mut self, observed: &mut Observations) -> Result<(), TrialError> {
+    /// Queries the final status of all gatekeepers, stops them, and reads their histories.
+    pub(super) fn finish(&mut self, trace: &mut TrialTrace) -> Result<(), TrialError> {
         for n in 0..self.gatekeepers.len() {
-            self.look_at(n);
-            self.gatekeepers[n].process.runs = self.gatekeepers[n].child.is_some();
+            self.check_exit(n);
+            self.gatekeepers[n].trace.running = self.gatekeepers[n].child.is_some();
         }
-        let ended = monotonic_nanos();
-        observed.ended = ended;
+        let end_ns = monotonic_nanos();
+        trace.end_ns = end_ns;
         for n in 0..self.gatekeepers.len() {
-            self.calm(n);
-            if self.gatekeepers[n].process.runs {
-                let there = status(self.place.member(n)).map(|(_, there)| there);
-                self.gatekeepers[n].process.status = there;
+            self.end_disturbance(n);
+            if self.gatekeepers[n].trace.running {
+                let present = member_status(self.addresses.control_addr(n)).map(|(_, present)| present);
+                self.gatekeepers[n].trace.visible_members = present;
                 if self.trial.voters.is_some() {
-                    self.gatekeepers[n].process.owns = owns(self.place.member(n));
+                    self.gatekeepers[n].trace.owned_duties = owned_duties(self.addresses.control_addr(n));
                 }
             }
         }
-        // Whatever was written before all were asked is there a moment later.
+        // History lines written before the status queries reach the files.
         thread::sleep(Duration::from_millis(150));
         for n in 0..self.gatekeepers.len() {
             self.signal(n, Signal::SIGTERM);
         }
         for gatekeeper in &mut self.gatekeepers {
             let Some(mut child) = gatekeeper.child.take() else { continue };
-            let why = match self::ended(&mut child) {
+            let why = match self::wait_for_exit(&mut child) {
                 Some(status) if status.success() => continue,
-                Some(status) => format!("told to end, {status}"),
+                Some(status) => format!("exited after SIGTERM ({status})"),
                 None => {
                     let _ = child.kill();
                     let _ = child.wait();
-                    "told to end, and had not after 6 s".to_string()
+                    "did not exit within 6 s after SIGTERM".to_string()
                 }
             };
-            gatekeeper.process.ended_badly.get_or_insert((monotonic_nanos(), why));
+            gatekeeper.trace.unexpected_exit.get_or_insert((monotonic_nanos(), why));
         }
         for gatekeeper in &mut self.gatekeepers {
-            let path = self.folder.join(format!("{}.jsonl", gatekeeper.process.name));
+            let path = self.dir.join(format!("{}.jsonl", gatekeeper.trace.name));
             let bytes = fs::read(&path).unwrap_or_default();
             let text = String::from_utf8_lossy(&bytes);
-            gatekeeper.process.history = text.lines().map(str::to_string).collect();
-            observed.processes.push(gatekeeper.process.clone());
+            gatekeeper.trace.history = text.lines().map(str::to_string).collect();
+            trace.processes.push(gatekeeper.trace.clone());
         }
         if let Some(load) = &self.load {
             let traffic = &load.traffic;
-            observed.answered = traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
-            observed.delivered = traffic.attempts.lock().map(|d| d.clone()).unwrap_or_default();
-            observed.landed = self.sink.as_ref().map(Sink::received);
-            observed.drained = traffic.drained_worker.lock().ok().and_then(|d| *d);
+            trace.outcomes = traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
+            trace.attempts = traffic.attempts.lock().map(|d| d.clone()).unwrap_or_default();
+            trace.sink_batches = self.sink.as_ref().map(Sink::received);
+            trace.drained_worker = traffic.drained_worker.lock().ok().and_then(|d| *d);
         }
         if self.options.keep_dir.is_some() {
-            self.leave_behind(observed).map_err(io_error("what is kept"))?;
+            self.write_traces(trace).map_err(io_error("writing the kept traces"))?;
         }
         Ok(())
     }
 
-    /// The trace of the load, beside the histories.
-    pub(super) fn leave_behind(&self, observed: &Observations) -> io::Result<()> {
+    /// Writes the request outcomes and the times of the trial beside the histories.
+    pub(super) fn write_traces(&self, trace: &TrialTrace) -> io::Result<()> {
         let mut out = Vec::new();
-        for one in &observed.answered {
+        for one in &trace.outcomes {
             serde_json::to_writer(&mut out, one)?;
             out.push(b'\n');
         }
-        fs::write(self.folder.join("answered.jsonl"), out)?;
+        fs::write(self.dir.join("answered.jsonl"), out)?;
         let times: BTreeMap<_, _> =
-            [("began", observed.began), ("faults_over", observed.faults_over), ("ended", observed.ended)]
-                .into();
-        fs::write(self.folder.join("times.json"), serde_json::to_vec(&times)?)
+            [("began", trace.start_ns), ("faults_over", trace.faults_end_ns), ("ended", trace.end_ns)].into();
+        fs::write(self.dir.join("times.json"), serde_json::to_vec(&times)?)
     }
 }
--- a/crates/fault-injection/src/run/processes.rs
+++ b/crates/fault-injection/src/run/processes.rs
@@ -1,69 +1,79 @@
-//! The processes of a trial: their files, starts, signals and ends.
+//! The processes of a trial: settings, start, signals and exit.
 
 use super::*;
 
-impl Run<'_> {
-    /// The two files that a gatekeeper is started with.
-    pub(super) fn write_files(&self, n: usize) -> io::Result<()> {
+impl TrialRun<'_> {
+    /// Writes the fleet file and the configuration of a gatekeeper.
+    pub(super) fn write_settings(&self, n: usize) -> io::Result<()> {
         let name = self.name(n);
-        let hall = n % self.trial.halls + 1;
-        let seeds: Vec<_> =
-            (0..self.trial.gatekeepers.min(3)).map(|s| format!("\"{}\"", self.place.front(s))).collect();
-        let broken = self.options.disabled_membership_parts;
-        let fleet = format!(
-            "fleet = \"trial\"\nname = \"{name}\"\nhall = \"h{hall}\"\nbind = \"{}\"\nadvertise = \"{}\"\n\
+        let zone = n % self.trial.zones + 1;
+        let seeds: Vec<_> = (0..self.trial.gatekeepers.min(3))
+            .map(|s| format!("\"{}\"", self.addresses.relay_addr(s)))
+            .collect();
+        let disabled = self.options.disabled_membership_parts;
+        let settings = format!(
+            "fleet = \"trial\"\nname = \"{name}\"\nhall = \"h{zone}\"\nbind = \"{}\"\nadvertise = \"{}\"\n\
              seeds = [{}]\ndata = \"{name}\"\nhistory = \"{name}.jsonl\"\nlog = \"json\"\nseed = {}\n\n\
              [trial]\nends_with_parent = {}\ndisk_full_while = \"{name}.full\"\n\n\
              [trial.broken]\nno-suspicion = {}\nno-lateness = {}\nno-incarnation = {}\nno-relays = {}\n",
-            self.place.member(n),
-            self.place.front(n),
+            self.addresses.control_addr(n),
+            self.addresses.relay_addr(n),
             seeds.join(", "),
             (self.trial.seed.wrapping_mul(1_000_003).wrapping_add(n as u64)) & 0x7fff_ffff,
             std::process::id(),
-            broken.no_suspicion,
-            broken.no_local_health,
-            broken.no_stored_incarnation,
-            broken.no_relays,
+            disabled.no_suspicion,
+            disabled.no_local_health,
+            disabled.no_stored_incarnation,
+            disabled.no_relays,
         );
-        let mut fleet = fleet;
+        let mut settings = settings;
         if let Some(voters) = self.trial.voters {
             let voter = |v: usize| {
-                format!("{{ name = \"{}\", addr = \"{}\" }}", Trial::name_of(v), self.place.front(v))
+                format!(
+                    "{{ name = \"{}\", addr = \"{}\" }}",
+                    Trial::gatekeeper_name(v),
+                    self.addresses.relay_addr(v)
+                )
             };
             let all: Vec<_> = (0..voters).map(voter).collect();
-            fleet.insert_str(0, &format!("voters = [{}]\n", all.join(", ")));
+            settings.insert_str(0, &format!("voters = [{}]\n", all.join(", ")));
             if let Some(sink) = &self.sink {
-                // A moment between check and write, so that pauses fall into it.
-                fleet = fleet.replace(
+                // Delays the write after the ownership check, so that pauses can fall in between.
+                settings = settings.replace(
                     "[trial]\n",
                     &format!("[export]\nsink = \"{}\"\n\n[trial]\nstall_ms = 60\n", sink.addr),
                 );
             }
-            let b = self.options.disabled_lease_parts;
-            fleet += &format!(
+            let disabled = self.options.disabled_lease_parts;
+            settings += &format!(
                 "[trial.broken_ownership]\nvotes-forgotten = {}\nno-waiting-for-disk = {}\nno-epochs = {}\n\
                  no-leases = {}\nno-refusal = {}\n",
-                b.votes_forgotten, b.no_waiting_for_disk, b.no_epochs, b.no_leases, b.no_refusal
+                disabled.votes_forgotten,
+                disabled.no_waiting_for_disk,
+                disabled.no_epochs,
+                disabled.no_leases,
+                disabled.no_refusal
             );
         }
-        fs::write(self.folder.join(format!("{name}.toml")), fleet)?;
-        let nobody = unused_address();
+        fs::write(self.dir.join(format!("{name}.toml")), settings)?;
+        let unused = unused_address();
         let (known, counter, discovery) = match &self.load {
             Some(load) => (load.worker_list(), load.counter.addr, load.discovery.addr),
-            None => (r#"{"revision":1,"complete":true,"members":[]}"#.to_string(), nobody, nobody),
+            None => (r#"{"revision":1,"complete":true,"members":[]}"#.to_string(), unused, unused),
         };
-        let config = named_gatekeeper_config(name, self.place.serving(n).into(), &known, counter, discovery);
-        fs::write(self.folder.join(format!("{name}.json")), config)
+        let config =
+            named_gatekeeper_config(name, self.addresses.serving_addr(n).into(), &known, counter, discovery);
+        fs::write(self.dir.join(format!("{name}.json")), config)
     }
 
-    pub(super) fn start(&mut self, n: usize) -> Result<(), TrialError> {
+    pub(super) fn start_process(&mut self, n: usize) -> Result<(), TrialError> {
         let name = self.name(n).to_string();
-        let log = OpenOptions::new().create(true).append(true).open(self.folder.join(format!("{name}.log")));
-        let log = log.map_err(io_error(format!("the log of {name}")))?;
+        let log = OpenOptions::new().create(true).append(true).open(self.dir.join(format!("{name}.log")));
+        let log = log.map_err(io_error(format!("opening the log of {name}")))?;
         let child = Command::new(self.options.program)
             .arg("--fleet")
-            .arg(self.folder.join(format!("{name}.toml")))
-            .env("RELAY_CONFIG", self.folder.join(format!("{name}.json")))
+            .arg(self.dir.join(format!("{name}.toml")))
+            .env("RELAY_CONFIG", self.dir.join(format!("{name}.json")))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -80,127 +90,129 @@
         }
     }
 
-    pub(super) fn look_at(&mut self, n: usize) {
+    pub(super) fn check_exit(&mut self, n: usize) {
         let gatekeeper = &mut self.gatekeepers[n];
         let Some(child) = &mut gatekeeper.child else { return };
         if let Ok(Some(status)) = child.try_wait() {
             gatekeeper.child = None;
-            let why = format!("ended by itself, {status}");
-            gatekeeper.process.ended_badly.get_or_insert((monotonic_nanos(), why));
+            let why = format!("exited by itself ({status})");
+            gatekeeper.trace.unexpected_exit.get_or_insert((monotonic_nanos(), why));
         }
     }
 
-    pub(super) fn kill_one(&mut self, n: usize, disk: Disk) {
-        self.disturb(n);
-        let full = self.full(n).exists();
+    pub(super) fn kill_process(&mut self, n: usize, disk: DiskState) {
+        self.mark_disturbed(n);
+        let is_disk_full = self.disk_full_marker(n).exists();
         let gatekeeper = &mut self.gatekeepers[n];
-        gatekeeper.process.was_ended = true;
-        gatekeeper.process.uses_lost |= full;
+        gatekeeper.trace.was_terminated = true;
+        gatekeeper.trace.usage_lost |= is_disk_full;
         if let Some(mut child) = gatekeeper.child.take() {
             let _ = child.kill();
             let _ = child.wait();
-            gatekeeper.process.killed.push(monotonic_nanos());
+            gatekeeper.trace.kill_times_ns.push(monotonic_nanos());
         }
-        let data = self.data(n);
+        let data = self.data_dir(n);
         let lost = match disk {
-            Disk::Kept => false,
-            Disk::Emptied => fs::remove_dir_all(&data).is_ok(),
-            // A gatekeeper that is no voter has but the one.
-            Disk::Torn => {
-                let voter = tear(&data.join("voter/ledger")).is_ok();
-                tear(&data.join("ledger")).is_ok() || voter
+            DiskState::Intact => false,
+            DiskState::Emptied => fs::remove_dir_all(&data).is_ok(),
+            // Only voters have the second ledger.
+            DiskState::Torn => {
+                let voter = truncate_last_record(&data.join("voter/ledger")).is_ok();
+                truncate_last_record(&data.join("ledger")).is_ok() || voter
             }
         };
         if lost {
-            self.gatekeepers[n].process.disk_lost.push(monotonic_nanos());
+            self.gatekeepers[n].trace.disk_lost_ns.push(monotonic_nanos());
         }
     }
 
-    /// Told to end; one that is paused or slow to end is killed when its time is up, and that is a break.
-    pub(super) fn stop_one(&mut self, n: usize) {
-        self.disturb(n);
-        self.gatekeepers[n].process.was_ended = true;
-        self.gatekeepers[n].process.uses_lost |= self.full(n).exists();
+    /// Stops a process by SIGTERM. A paused process is killed at once; one that does not exit before the
+    /// time-out is killed and recorded as an unexpected exit.
+    pub(super) fn stop_process(&mut self, n: usize) {
+        self.mark_disturbed(n);
+        self.gatekeepers[n].trace.was_terminated = true;
+        self.gatekeepers[n].trace.usage_lost |= self.disk_full_marker(n).exists();
         self.signal(n, Signal::SIGTERM);
         let paused = self.is_paused(n);
         let gatekeeper = &mut self.gatekeepers[n];
         let Some(mut child) = gatekeeper.child.take() else { return };
-        let ended = if paused { None } else { ended(&mut child) };
+        let ended = if paused { None } else { wait_for_exit(&mut child) };
         match ended {
             Some(status) if status.success() => {}
-            // Told so soon that it had not yet said that it listens to signals.
-            Some(status) if status.signal().is_some() && gatekeeper.started.elapsed() < STARTS_WITHIN => {}
+            // The signal arrived before the process installed its handlers.
+            Some(status) if status.signal().is_some() && gatekeeper.started.elapsed() < SIGNAL_SETUP_TIME => {
+            }
             Some(status) => {
                 gatekeeper
-                    .process
-                    .ended_badly
-                    .get_or_insert((monotonic_nanos(), format!("told to end, {status}")));
+                    .trace
+                    .unexpected_exit
+                    .get_or_insert((monotonic_nanos(), format!("exited after SIGTERM ({status})")));
             }
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
                 if !paused {
-                    let why = "told to end, and had not after 6 s".to_string();
-                    gatekeeper.process.ended_badly.get_or_insert((monotonic_nanos(), why));
+                    let why = "did not exit within 6 s after SIGTERM".to_string();
+                    gatekeeper.trace.unexpected_exit.get_or_insert((monotonic_nanos(), why));
                 }
             }
         }
     }
 
     pub(super) fn is_paused(&self, n: usize) -> bool {
-        let pauses = self.active.iter().map(|f| &self.faults[*f].kind);
-        pauses.into_iter().any(|k| matches!(k, Kind::Pause { who } if who.contains(&n)))
+        let pauses = self.active_faults.iter().map(|f| &self.faults[*f].kind);
+        pauses.into_iter().any(|k| matches!(k, FaultKind::Pause { targets } if targets.contains(&n)))
     }
 
-    pub(super) fn restarts(&mut self, n: usize) -> Result<(), TrialError> {
+    pub(super) fn restart_process(&mut self, n: usize) -> Result<(), TrialError> {
         if self.gatekeepers[n].child.is_some() {
             return Ok(());
         }
-        self.start(n)?;
+        self.start_process(n)?;
         if self.is_paused(n) {
             self.signal(n, Signal::SIGSTOP);
             return Ok(());
         }
-        // Until it serves nothing is asked of it.
-        self.calm(n);
-        if let Some((_, until)) = self.gatekeepers[n].process.disturbed.last_mut() {
+        // Allows another second for the process to start serving.
+        self.end_disturbance(n);
+        if let Some((_, until)) = self.gatekeepers[n].trace.disturbed_ns.last_mut() {
             *until += 1_000_000_000;
         }
         Ok(())
     }
 
-    pub(super) fn last_words(&self, n: usize, why: &str) -> String {
-        let log = fs::read_to_string(self.folder.join(format!("{}.log", self.name(n)))).unwrap_or_default();
-        format!("{why}; {}", log.lines().last().unwrap_or("it said nothing"))
+    pub(super) fn last_log_line(&self, n: usize, why: &str) -> String {
+        let log = fs::read_to_string(self.dir.join(format!("{}.log", self.name(n)))).unwrap_or_default();
+        format!("{why}; {}", log.lines().last().unwrap_or("its log is empty"))
     }
 
-    pub(super) fn serves(&self, n: usize) -> bool {
-        let addr = self.place.serving(n).into();
+    pub(super) fn is_serving(&self, n: usize) -> bool {
+        let addr = self.addresses.serving_addr(n).into();
         let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(200)) else { return false };
         let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
         exchange(&stream, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m: HttpMessage| m.status() == 200)
     }
 }
 
-pub(super) fn ended(child: &mut Child) -> Option<std::process::ExitStatus> {
+pub(super) fn wait_for_exit(child: &mut Child) -> Option<std::process::ExitStatus> {
     let began = Instant::now();
-    while began.elapsed() < ENDED_WITHIN {
+    while began.elapsed() < EXIT_TIMEOUT {
         if let Ok(Some(status)) = child.try_wait() {
             return Some(status);
         }
-        thread::sleep(TURN);
+        thread::sleep(POLL_INTERVAL);
     }
     None
 }
 
-/// As if the disk had lost the end of the last record. Where there is none, nothing is lost: a head that is cut
-/// short is another thing, and refused at the start.
-pub(super) fn tear(ledger: &Path) -> io::Result<()> {
+/// Cuts the last bytes off a ledger, so that its last record is incomplete. Leaves a ledger without records
+/// unchanged, because a truncated header is rejected at the start.
+pub(super) fn truncate_last_record(ledger: &Path) -> io::Result<()> {
     let bytes = fs::read(ledger)?;
-    let head = 46 + usize::from(bytes.get(9).copied().unwrap_or_default());
-    if bytes.len() <= head {
+    let header_len = 46 + usize::from(bytes.get(9).copied().unwrap_or_default());
+    if bytes.len() <= header_len {
         return Ok(());
     }
     let file = OpenOptions::new().write(true).open(ledger)?;
-    file.set_len(bytes.len().saturating_sub(5).max(head) as u64)
+    file.set_len(bytes.len().saturating_sub(5).max(header_len) as u64)
 }
--- a/crates/fault-injection/src/soak.rs
+++ b/crates/fault-injection/src/soak.rs
@@ -1,6 +1,7 @@
-//! A soak of the system's own programs: controllers and proxies as processes on loopback, clients that keep using their
-//! connections until the process behind them is gone, workers, an operator. Signals, kills, pauses, restarts and changes of the
-//! configuration come in series that overlap, drawn from a seed. [`run`] plays one, and says what broke.
+//! A soak of the system's own programs: controllers and proxies as processes on loopback, clients that keep
+//! using their connections until the process behind them is gone, workers, an operator. Signals, kills,
+//! pauses, restarts and changes of the configuration come in series that overlap, drawn from a seed. [`run`]
+//! plays one, and says what broke.
 //!
 //! Called by `lynxstair soak`. Every process is killed on the way out of here, also after a panic.
 
--- a/crates/fault-injection/src/soak/checker.rs
+++ b/crates/fault-injection/src/soak/checker.rs
@@ -24,8 +24,8 @@
 /// What must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SoakRule {
-    /// A request that was forwarded to a worker ends without a complete answer, or with the proxy's own while its worker
-    /// is at work, and only planned work can be the reason.
+    /// A request that was forwarded to a worker ends without a complete answer, or with the proxy's own while
+    /// its worker is at work, and only planned work can be the reason.
     Lost,
     /// A request that may run once ran more than once.
     Twice,
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak. Each keeps a directory's answer for up to three times its time to live, keeps a connection until the
-//! proxy ends it, and sends several requests behind one another now and then.
+//! Clients of a soak. Each keeps a directory's answer for up to three times its time to live, keeps a
+//! connection until the proxy ends it, and sends several requests behind one another now and then.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/fault-injection/src/soak/driver.rs
+++ b/crates/fault-injection/src/soak/driver.rs
@@ -20,7 +20,8 @@
 const SERVES_WITHIN_S: u64 = 40;
 /// How often due steps and ended processes are looked for.
 const TURN: Duration = Duration::from_millis(5);
-/// A process that was told to end is killed this much after its grace: on a machine that is full it may be late.
+/// A process that was told to end is killed this much after its grace: on a machine that is full it may be
+/// late.
 const KILL_SLACK_S: f64 = 1.0;
 /// How long after the last step the clients go on, in seconds.
 const CALM_S: f64 = 1.0;
--- a/crates/fault-injection/src/soak/flooding.rs
+++ b/crates/fault-injection/src/soak/flooding.rs
@@ -15,8 +15,8 @@
     began: f64,
 }
 
-/// Cold workers that got more requests than they may in some second, from all proxies together. What was sent before that
-/// second, or before the worker was cold, does not count.
+/// Cold workers that got more requests than they may in some second, from all proxies together. What was sent
+/// before that second, or before the worker was cold, does not count.
 pub(super) fn judge_cold_workers(
     spells: &[ColdSpell],
     runs: &[Run],
--- a/crates/fault-injection/src/soak/operator.rs
+++ b/crates/fault-injection/src/soak/operator.rs
@@ -1,5 +1,5 @@
-//! The operator of a soak: changes the configuration, each change on top of the newest one it knows, and repeats a call that got
-//! no clear answer as it was.
+//! The operator of a soak: changes the configuration, each change on top of the newest one it knows, and
+//! repeats a call that got no clear answer as it was.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Calls one controller after the other, following redirects, until the answer is clear. A body, if there is one.
+    /// Calls one controller after the other, following redirects, until the answer is clear. A body, if there
+    /// is one.
     fn call_until_clear(&self, head: &str, body: &str) -> Option<(u16, Vec<u8>)> {
         let began = Instant::now();
         let mut n = self.next_generation.load(Ordering::Relaxed) as usize;
@@ -171,7 +172,8 @@
     }
 }
 
-/// A configuration: the same routes each time, other limits and time-outs, and a route that only this one has.
+/// A configuration: the same routes each time, other limits and time-outs, and a route that only this one
+/// has.
 fn configuration(generation: u64, base: u64) -> String {
     let idle = IDLE_TIMEOUTS_S[generation as usize % IDLE_TIMEOUTS_S.len()];
     let timeout = ROUTE_TIMEOUTS_S[generation as usize % ROUTE_TIMEOUTS_S.len()];
--- a/crates/fault-injection/src/soak/workers.rs
+++ b/crates/fault-injection/src/soak/workers.rs
@@ -1,4 +1,5 @@
-//! Workers of a soak: each serves, sends heartbeats and leaves in order. All of them write down what they ran.
+//! Workers of a soak: each serves, sends heartbeats and leaves in order. All of them write down what they
+//! ran.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -182,7 +183,8 @@
     }
 }
 
-/// How long a request takes: mostly some milliseconds, now and then seconds. The id says it: the same in every play.
+/// How long a request takes: mostly some milliseconds, now and then seconds. The id says it: the same in
+/// every play.
 fn work_of(id: &str) -> Duration {
     let number = id.bytes().fold(7u64, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)));
     Duration::from_millis(match number % 100 {
@@ -227,8 +229,8 @@
     }
 }
 
-/// Calls one controller after the other until one takes it. `calls`: how many calls were made; `body`: of a call, by its
-/// number.
+/// Calls one controller after the other until one takes it. `calls`: how many calls were made; `body`: of a
+/// call, by its number.
 fn tell_any(net: Net, calls: &mut usize, head: &str, body: &dyn Fn(usize) -> String) -> bool {
     (0..super::SoakShape::CONTROLLERS).any(|_| {
         *calls += 1;
