--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the control port, blocking: for command-line tools and for the exporter.
+//! Blocking client of the control port, for command-line tools and the exporter.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
@@ -7,17 +7,18 @@
 use crate::protocol::{MAX_RESPONSE_BYTES, Request, Response};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time-out of each read and each write.
 const IO_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Sends one request and waits for the response: a second for the connection, three for each read and write.
+/// Connects to the control port at `addr`, sends one request and waits for the response.
 ///
 /// # Errors
-/// The member can't be reached, does not answer in time, or sends what this program does not understand.
+/// If the member can't be reached, does not respond in time, or sends a malformed response.
 pub fn request(addr: SocketAddrV4, request: &Request) -> io::Result<Response> {
     exchange(&TcpStream::connect_timeout(&addr.into(), CONNECT_TIMEOUT)?, request, IO_TIMEOUT)
 }
 
-/// The same on a connection that is open.
+/// Sends one request on an open connection. `timeout` applies to each read and each write.
 pub(crate) fn exchange(mut stream: &TcpStream, request: &Request, timeout: Duration) -> io::Result<Response> {
     stream.set_read_timeout(Some(timeout))?;
     stream.set_write_timeout(Some(timeout))?;
@@ -27,7 +28,7 @@
     let mut line = String::new();
     BufReader::new(stream.take(MAX_RESPONSE_BYTES as u64)).read_line(&mut line)?;
     if line.is_empty() {
-        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no answer"));
+        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "connection closed without a response"));
     }
     Ok(serde_json::from_str(&line)?)
 }
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -1,5 +1,5 @@
-//! The fleet file: TOML, read whole and checked before anything is opened. An error names file, line, key and
-//! what would be right.
+//! The fleet file (TOML) and its validation. An error names the file, the line, the key and the valid
+//! values.
 
 mod checks;
 mod error;
@@ -15,20 +15,20 @@
 pub use self::error::ConfigError;
 use self::file::FleetFile;
 
-/// The zone of a member whose file names none.
+/// Zone of a member whose fleet file names none.
 const DEFAULT_ZONE: &str = "hall";
 
-/// The duties that there are.
+/// Names of all duties.
 pub const DUTIES: [&str; 1] = [crate::exporter::DUTY];
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -51,57 +51,57 @@
     pub ends_with_parent: Option<i32>,
 }
 
-/// A fleet file as read and checked.
+/// A validated fleet file.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The fleet; members of another one are not heard.
+    /// Name of the fleet; datagrams of other fleets are ignored.
     pub fleet: Name,
-    /// This member.
+    /// Name of this member.
     pub name: Name,
-    /// Where this member stands: a zone fails as a whole.
+    /// Failure domain of this member.
     pub zone: Name,
-    /// Datagrams among members come here.
+    /// Address of the datagram socket.
     pub bind: SocketAddrV4,
-    /// Where others reach it.
+    /// Address that other members send datagrams to.
     pub advertise: SocketAddrV4,
-    /// Operators connect here, over TCP.
+    /// TCP address of the control port.
     pub control: SocketAddrV4,
-    /// Members that are asked to let this one in.
+    /// Members that this one sends join requests to.
     pub seeds: Vec<SocketAddrV4>,
-    /// The directory of the member's records.
+    /// Data directory of the member.
     pub data: PathBuf,
-    /// The history file, for trials.
+    /// History file, for trials; `None` disables it.
     pub history: Option<PathBuf>,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log: LogFormat,
-    /// Fixes all random choices, for trials; `None`: drawn.
+    /// Seed of all random choices, for trials; `None` for a random seed.
     pub seed: Option<u64>,
-    /// The times of membership.
+    /// Intervals and time-outs of membership.
     pub times: Times,
-    /// Voters and duties; `None`: no duty has an owner in this fleet.
+    /// Voters and duties; `None` if the file names no voters.
     pub duties: Option<DutyConfig>,
-    /// Where usage is exported to; `None`: it is not, and none is recorded.
+    /// Address of the usage sink; `None` if usage is neither recorded nor exported.
     pub sink: Option<SocketAddrV4>,
-    /// What trials switch on.
+    /// Fault injection for trials.
     pub trial: TrialSwitches,
 }
 
-/// The part of a fleet file on duties.
+/// Voters and duties of a fleet file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyConfig {
-    /// The voters, by name.
+    /// Name and address of each initial voter.
     pub voters: Vec<(String, SocketAddrV4)>,
     /// The duties that this member claims.
     pub duties: Vec<String>,
-    /// The times of leases and elections.
+    /// Intervals and time-outs of leases and elections.
     pub times: lynxstair_leases::Times,
 }
 
 impl Config {
-    /// Reads a fleet file. Paths in it are relative to the file.
+    /// Reads and validates a fleet file. Relative paths in it are resolved against its directory.
     ///
     /// # Errors
-    /// The file can't be read or holds what can't be used.
+    /// If the file can't be read or is invalid.
     pub fn read(file: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file).map_err(|e| ConfigError::unreadable(file, &e))?;
         Config::parse(file, &text)
@@ -115,7 +115,7 @@
             Some(addr) => checker.address("advertise", addr)?,
             None if bind.ip().is_unspecified() => {
                 let reason =
-                    format!("missing, and others can't reach {bind}; name an address of this machine");
+                    format!("missing, and others can't reach {bind}; set an address of this machine");
                 return Err(checker.error(parsed.bind.span().start, "advertise", reason));
             }
             None => bind,
@@ -130,7 +130,7 @@
         let duties = checker.duties(&parsed)?;
         let sink = parsed.export.as_ref().map(|e| checker.address("export.sink", &e.sink)).transpose()?;
         if let (Some(export), None) = (&parsed.export, &duties) {
-            let reason = "needs voters: without them nobody owns the duty export".to_string();
+            let reason = "requires voters; without them the duty export has no owner".to_string();
             return Err(checker.error(export.sink.span().start, "export.sink", reason));
         }
         let directory = file.parent().unwrap_or(Path::new("."));
--- a/crates/cluster/src/config/checks.rs
+++ b/crates/cluster/src/config/checks.rs
@@ -1,4 +1,4 @@
-//! Checks on the values of a fleet file. Each error names the key, its line, and what would be right.
+//! Validation of the values in a fleet file. Errors name the key, its line and the valid values.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -10,16 +10,16 @@
 use super::file::{FleetFile, TimesTable};
 use super::{ConfigError, DUTIES, DutyConfig};
 
-/// Bounds of a time of membership, in milliseconds.
-const MEMBERSHIP_TIME_RANGE: (u64, u64) = (10, 600_000);
+/// Valid range of membership intervals and time-outs, in milliseconds.
+const MEMBERSHIP_MS_RANGE: (u64, u64) = (10, 600_000);
 const MAX_MEMBERS_RANGE: (u64, u64) = (2, 100_000);
-/// The longest time of duties, in milliseconds.
-const MAX_DUTY_TIME: u64 = 60_000;
+/// Maximum of duty intervals and time-outs, in milliseconds.
+const MAX_DUTY_MS: u64 = 60_000;
 
-/// Where a time is set: its key, its value, and the field that takes it.
+/// Key of a duration, its value in milliseconds if set, and the field to assign.
 type TimeSetting<'a> = (&'a str, &'a Option<Spanned<u64>>, &'a mut Span);
 
-/// A file and its text, for errors.
+/// Path and text of the file, for errors.
 pub(super) struct Checker<'a> {
     pub file: &'a Path,
     pub text: &'a str,
@@ -36,19 +36,19 @@
 
     pub fn address(&self, key: &str, value: &Spanned<String>) -> Result<SocketAddrV4, ConfigError> {
         let addr: SocketAddrV4 = value.get_ref().parse().map_err(|_| {
-            let reason = format!("{:?} is no address; one looks like \"127.0.0.1:7101\"", value.get_ref());
+            let reason =
+                format!("{:?} is not an address; expected, for example, \"127.0.0.1:7101\"", value.get_ref());
             self.error(value.span().start, key, reason)
         })?;
-        let is_listened_on = key == "bind" || key == "control";
-        if addr.port() == 0 || addr.ip().is_unspecified() && !is_listened_on {
-            let reason =
-                format!("{addr} can't be reached by others; name an address and a port of this machine");
+        let allows_unspecified = key == "bind" || key == "control";
+        if addr.port() == 0 || addr.ip().is_unspecified() && !allows_unspecified {
+            let reason = format!("{addr} can't be reached by others; set a specific address and port");
             return Err(self.error(value.span().start, key, reason));
         }
         Ok(addr)
     }
 
-    /// The part on duties; `None` where the file names no voters.
+    /// Returns voters and duties; `None` if the file names no voters.
     pub fn duties(&self, file: &FleetFile) -> Result<Option<DutyConfig>, ConfigError> {
         let voters = self.voters(file)?;
         let times = self.duty_times(file)?;
@@ -61,14 +61,13 @@
         for voter in &file.voters {
             let name = self.name("voters.name", &voter.name)?.as_str().to_string();
             if voters.iter().any(|(other, _)| *other == name) {
-                let reason = format!("{name:?} is there twice");
+                let reason = format!("{name:?} is listed twice");
                 return Err(self.error(voter.name.span().start, "voters.name", reason));
             }
             voters.push((name, self.address("voters.addr", &voter.addr)?));
         }
         if !matches!(voters.len(), 0 | 1 | 3 | 5) {
-            let reason =
-                format!("{} voters; three or five would be right (one bears no fault)", voters.len());
+            let reason = format!("{} voters; use 3 or 5 (a single voter tolerates no failure)", voters.len());
             return Err(self.error(file.voters[0].name.span().start, "voters", reason));
         }
         Ok(voters)
@@ -84,22 +83,23 @@
             (("ownership.stand_ms", &table.claim_ms, &mut times.claim_interval), 10),
         ];
         for (setting, min) in settings {
-            self.set_time(setting, (min, MAX_DUTY_TIME))?;
+            self.set_time(setting, (min, MAX_DUTY_MS))?;
         }
         if times.lease.nanos() < 3 * times.renew_interval.nanos() {
             let offset = offset_of_first([&table.lease_ms, &table.renew_ms]);
-            let reason = "must be at least three times ownership.renew_ms: two answers may be lost";
+            let reason = "must be at least three times ownership.renew_ms, so that two responses may be lost";
             return Err(self.error(offset, "ownership.lease_ms", reason.to_string()));
         }
         Ok(times)
     }
 
-    /// The duties that this member claims: those of the file, or all.
+    /// Returns the duties that this member claims; all duties if the file names none.
     fn claimed_duties(&self, file: &FleetFile) -> Result<Vec<String>, ConfigError> {
         let Some(duties) = &file.ownership.duties else { return Ok(DUTIES.map(str::to_string).to_vec()) };
         for duty in duties {
             if !DUTIES.contains(&duty.get_ref().as_str()) {
-                let reason = format!("{:?} is no duty; {} are", duty.get_ref(), DUTIES.join(", "));
+                let reason =
+                    format!("{:?} is not a duty; expected one of: {}", duty.get_ref(), DUTIES.join(", "));
                 return Err(self.error(duty.span().start, "ownership.duties", reason));
             }
         }
@@ -119,11 +119,11 @@
             ("times.exchange_ms", &table.exchange_ms, &mut times.exchange_interval),
         ];
         for setting in settings {
-            self.set_time(setting, MEMBERSHIP_TIME_RANGE)?;
+            self.set_time(setting, MEMBERSHIP_MS_RANGE)?;
         }
-        if let Some(most) = &table.most_members {
-            let most = self.in_range("times.most_members", most, MAX_MEMBERS_RANGE)?;
-            times.max_members = most as usize;
+        if let Some(max_members) = &table.most_members {
+            let max_members = self.in_range("times.most_members", max_members, MAX_MEMBERS_RANGE)?;
+            times.max_members = max_members as usize;
         }
         self.check_membership_times(&times, table)?;
         Ok(times)
@@ -132,18 +132,19 @@
     fn check_membership_times(&self, times: &Times, table: &TimesTable) -> Result<(), ConfigError> {
         if times.probe_interval.nanos() < 2 * times.probe_timeout.nanos() {
             let offset = offset_of_first([&table.probe_ms, &table.answer_ms]);
-            let reason = "must be at least twice times.answer_ms: others are asked in what is left";
+            let reason = "must be at least twice times.answer_ms, to leave time for indirect probes";
             return Err(self.error(offset, "times.probe_ms", reason.to_string()));
         }
         if times.isolation_threshold.nanos() < 2 * times.probe_interval.nanos() {
             let offset = offset_of_first([&table.quiet_ms, &table.probe_ms]);
-            let reason = "must be at least twice times.probe_ms: nobody may be heard for one";
+            let reason =
+                "must be at least twice times.probe_ms, since one probe interval may pass without a message";
             return Err(self.error(offset, "times.quiet_ms", reason.to_string()));
         }
         Ok(())
     }
 
-    /// Sets a time, in milliseconds, where the file has one.
+    /// Assigns a duration if the file sets it.
     fn set_time(&self, (key, value, time): TimeSetting, range: (u64, u64)) -> Result<(), ConfigError> {
         if let Some(value) = value {
             *time = Span::from_millis(self.in_range(key, value, range)?);
@@ -156,7 +157,7 @@
     }
 }
 
-/// Where the first of two values that the file has is; 0 where it has neither.
+/// Returns the offset of the first value that is set; 0 if neither is.
 fn offset_of_first(values: [&Option<Spanned<u64>>; 2]) -> usize {
     values.into_iter().flatten().next().map_or(0, |value| value.span().start)
 }
--- a/crates/cluster/src/config/error.rs
+++ b/crates/cluster/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors in TOML files, with the place in the file.
+//! Errors in TOML files, with their position.
 
 use std::fmt;
 use std::io;
@@ -6,21 +6,21 @@
 
 use toml::Spanned;
 
-/// Why a TOML file can't be used.
+/// Error in a TOML file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigError {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// From 1 on; `None` where the file could not be read at all.
+    /// Line number, starting at 1; `None` if the file could not be read.
     pub line: Option<usize>,
-    /// The key, where one is to blame.
+    /// The invalid key; `None` if the error is not about a single key.
     pub key: Option<String>,
-    /// What is wrong, and what would be right.
+    /// Description of the error, with the valid values if known.
     pub reason: String,
 }
 
 impl ConfigError {
-    /// An error at an offset in the file's text, in bytes.
+    /// Creates an error at a byte offset in the text of the file.
     pub fn at(file: &Path, text: &str, offset: usize, key: Option<&str>, reason: impl Into<String>) -> Self {
         let before = &text.as_bytes()[..offset.min(text.len())];
         let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
@@ -28,21 +28,21 @@
         ConfigError { file, line: Some(line), key, reason: reason.into() }
     }
 
-    /// The file could not be read.
+    /// Creates an error for a file that could not be read.
     pub fn unreadable(file: &Path, e: &io::Error) -> Self {
         ConfigError { file: file.to_path_buf(), line: None, key: None, reason: e.to_string() }
     }
 
-    /// The text is not TOML of the expected form.
+    /// Converts a parse error of the `toml` crate.
     pub fn from_toml(file: &Path, text: &str, e: &toml::de::Error) -> Self {
         let offset = e.span().map_or(0, |span| span.start);
         ConfigError::at(file, text, offset, None, e.message())
     }
 
-    /// Returns the value where it is within the bounds, both included.
+    /// Returns the value if it is within the bounds, both inclusive.
     ///
     /// # Errors
-    /// It is not.
+    /// If it is outside of the bounds.
     pub fn check_range<T: PartialOrd + Copy + fmt::Display>(
         (file, text): (&Path, &str),
         key: &str,
--- a/crates/cluster/src/config/file.rs
+++ b/crates/cluster/src/config/file.rs
@@ -1,5 +1,5 @@
-//! The fleet file as TOML has it, before any check. Keys are those of docs/operators/membership.md and
-//! docs/operators/ownership.md; times are in milliseconds.
+//! TOML structure of the fleet file, before validation. The keys are described in
+//! docs/operators/membership.md and docs/operators/ownership.md.
 
 use std::path::PathBuf;
 
--- a/crates/cluster/src/config/tests.rs
+++ b/crates/cluster/src/config/tests.rs
@@ -2,7 +2,7 @@
 
 use super::Config;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 fleet = "kampus"
 name = "g1"
 hall = "h1"
@@ -15,14 +15,14 @@
 "#;
 
 #[test]
-fn bad_files_name_line_key_and_remedy() {
-    let config = Config::parse(Path::new("/etc/f/g1.toml"), GOOD).expect("good");
+fn errors_name_line_key_and_valid_values() {
+    let config = Config::parse(Path::new("/etc/f/g1.toml"), VALID).expect("valid");
     assert_eq!((config.advertise, config.control), (config.bind, config.bind));
     assert_eq!(config.data, Path::new("/etc/f/g1"));
     assert_eq!(config.times.probe_interval.nanos(), 500_000_000);
-    let bad = [
+    let cases = [
         ("\"g1\"\nhall", "\"G 1\"\nhall", "f.toml:3: name: \"G 1\" is no name"),
-        ("127.0.0.1:7101\"\nseeds", "localhost\"\nseeds", "f.toml:5: bind: \"localhost\" is no address"),
+        ("127.0.0.1:7101\"\nseeds", "localhost\"\nseeds", "f.toml:5: bind: \"localhost\" is not an address"),
         ("\"127.0.0.1:7102\"", "\"127.0.0.1:0\"", "f.toml:6: seeds: 127.0.0.1:0 can't be reached"),
         ("127.0.0.1:7101\"\nseeds", "0.0.0.0:7101\"\nseeds", "f.toml:5: advertise: missing"),
         ("probe_ms = 500", "probe_ms = 5", "f.toml:10: times.probe_ms: 5 is not within 10 to 600000"),
@@ -33,12 +33,12 @@
         (
             "data = \"g1\"",
             "data = \"g1\"\nvoters = [{ name = \"g1\", addr = \"127.0.0.1:7101\" }, { name = \"g2\", addr = \"127.0.0.1:7102\" }]",
-            "f.toml:8: voters: 2 voters; three or five",
+            "f.toml:8: voters: 2 voters; use 3 or 5",
         ),
         (
             "[times]",
             "[ownership]\nduties = [\"rule\"]\n[times]",
-            "f.toml:10: ownership.duties: \"rule\" is no duty",
+            "f.toml:10: ownership.duties: \"rule\" is not a duty",
         ),
         (
             "[times]",
@@ -48,9 +48,9 @@
         ("name = \"g1\"", "name = 7", "f.toml:3: invalid type: integer `7`, expected a string"),
         ("hall = \"h1\"", "hall = \"h1", "f.toml:4: "),
     ];
-    for (good, changed, wanted) in bad {
-        assert!(GOOD.contains(good), "{good}");
-        let error = Config::parse(Path::new("f.toml"), &GOOD.replace(good, changed)).expect_err(changed);
-        assert!(error.to_string().contains(wanted), "{changed}: {error}, not {wanted}");
+    for (valid, changed, expected) in cases {
+        assert!(VALID.contains(valid), "{valid}");
+        let error = Config::parse(Path::new("f.toml"), &VALID.replace(valid, changed)).expect_err(changed);
+        assert!(error.to_string().contains(expected), "{changed}: {error}, not {expected}");
     }
 }
--- a/crates/cluster/src/control_port.rs
+++ b/crates/cluster/src/control_port.rs
@@ -1,5 +1,6 @@
-//! The control port's server: an operator sends one request in one line and gets one line back. Connections,
-//! bytes and time are bounded; a request that can't be understood is answered so.
+//! Server of the control port: one request line and one response line per connection. The number of
+//! connections, the request length and the duration are limited. A malformed request is refused with the
+//! parse error.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -19,17 +20,17 @@
 use crate::protocol::{MAX_REQUEST_BYTES, Request, Response};
 use crate::sync::lock;
 
-/// Most connections at once; a further one is closed at once.
+/// Most concurrent connections; further ones are closed without a response.
 const MAX_CONNECTIONS: usize = 16;
-/// From connecting to the last byte of the response.
+/// Longest duration of a connection.
 const CONNECTION_TIMEOUT: Span = Span::from_millis(3_000);
-/// How often the port is looked at while nobody is connected.
-const IDLE_INTERVAL: Span = Span::from_millis(3_600_000);
-const READ_BYTES: usize = 512;
+/// Timer interval while there is no connection.
+const IDLE_TICK_INTERVAL: Span = Span::from_millis(3_600_000);
+const READ_BUFFER_BYTES: usize = 512;
 
 struct Connection {
     io: CoIo<TcpStream>,
-    since: Time,
+    accepted_at: Time,
 }
 
 /// The listening socket and its connections.
@@ -43,6 +44,9 @@
 
 impl ControlPort {
     /// Listens on `addr`.
+    ///
+    /// # Errors
+    /// If the address can't be bound.
     pub fn listen(addr: SocketAddrV4, clock: Clock, ticker: Arc<Ticker>) -> Result<Arc<Self>, StartError> {
         let listener =
             server::listen(addr.into()).map_err(|e| StartError::ControlPort { addr, source: e.source })?;
@@ -50,15 +54,16 @@
         Ok(Arc::new(ControlPort { listener, clock, ticker, connections, next_id }))
     }
 
-    /// Accepts connections and has `handler` answer their requests, for ever. Runs on a coroutine.
+    /// Accepts connections and serves their requests with `handler`. Never returns; runs on a coroutine.
     pub fn serve_all<H>(self: &Arc<Self>, handler: &Arc<H>)
     where
         H: Fn(Request) -> Response + Send + Sync + 'static,
     {
         let admit = |stream| self.admit(handler, stream);
-        server::accept_reporting(&self.listener, admit, |e| warn!(%e, "fleet: control port"));
+        server::accept_reporting(&self.listener, admit, |e| warn!(%e, "fleet: control port: accept failed"));
     }
 
+    /// Starts a coroutine for a connection, or drops the connection if there are too many.
     fn admit<H>(self: &Arc<Self>, handler: &Arc<H>, stream: TcpStream)
     where
         H: Fn(Request) -> Response + Send + Sync + 'static,
@@ -68,27 +73,27 @@
         }
         let Ok(io) = CoIo::new(stream) else { return };
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let connection = Arc::new(Connection { io, since: self.clock.now() });
+        let connection = Arc::new(Connection { io, accepted_at: self.clock.now() });
         lock(&self.connections).insert(id, connection.clone());
-        self.ticker.wake_by(connection.since + CONNECTION_TIMEOUT);
+        self.ticker.wake_by(connection.accepted_at + CONNECTION_TIMEOUT);
         let (port, handler) = (self.clone(), handler.clone());
         let remove = move |_| {
             lock(&port.connections).remove(&id);
         };
-        spawn_then("an operator", move || connection.serve(&*handler), remove);
+        spawn_then("control connection", move || connection.serve(&*handler), remove);
     }
 
-    /// Cuts off connections that took too long.
+    /// Closes connections that exceeded [`CONNECTION_TIMEOUT`].
     pub fn tick(&self, now: Time) {
         let connections = lock(&self.connections);
-        for connection in connections.values().filter(|c| now - c.since >= CONNECTION_TIMEOUT) {
+        for connection in connections.values().filter(|c| now - c.accepted_at >= CONNECTION_TIMEOUT) {
             let _ = connection.io.inner().shutdown(Shutdown::Both);
         }
     }
 
-    /// How long after a tick the next one is due.
+    /// Returns the interval until the next tick.
     pub fn tick_interval(&self) -> Span {
-        if lock(&self.connections).is_empty() { IDLE_INTERVAL } else { CONNECTION_TIMEOUT }
+        if lock(&self.connections).is_empty() { IDLE_TICK_INTERVAL } else { CONNECTION_TIMEOUT }
     }
 }
 
@@ -97,7 +102,7 @@
         let Some(line) = self.read_line() else { return };
         let response = match serde_json::from_slice::<Request>(&line) {
             Ok(request) => handler(request),
-            Err(e) => Response::Refused { reason: format!("not understood: {e}") },
+            Err(e) => Response::Refused { reason: format!("request not understood: {e}") },
         };
         let Ok(mut bytes) = serde_json::to_vec(&response) else { return };
         bytes.push(b'\n');
@@ -105,15 +110,15 @@
         let _ = self.io.inner().shutdown(Shutdown::Write);
     }
 
-    /// The first line; `None` where the connection ends before it does, or it is too long.
+    /// Reads one line; `None` if the connection ends before it is complete or it is too long.
     fn read_line(&self) -> Option<Vec<u8>> {
         let mut line = Vec::new();
-        let mut piece = [0; READ_BYTES];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
-            match (&mut self.io.inner()).read(&mut piece) {
+            match (&mut self.io.inner()).read(&mut buffer) {
                 Ok(0) => return None,
                 Ok(length) => {
-                    line.extend(&piece[..length]);
+                    line.extend(&buffer[..length]);
                     if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
                         line.truncate(end);
                         return Some(line);
--- a/crates/cluster/src/datagrams.rs
+++ b/crates/cluster/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! The socket for datagrams among members, with a limit on how many are taken in a second.
+//! UDP socket for the datagrams between members, with a rate limit on received ones.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -12,15 +12,17 @@
 
 use crate::error::StartError;
 
-/// Most datagrams read in one turn, before other coroutines on the thread have theirs.
-const MAX_PER_TURN: usize = 16;
-/// Most datagrams taken in a second, with a burst of as many. What is over is read and dropped.
-const MAX_PER_SECOND: u64 = 4_000;
-/// Longer than any datagram of the protocols, so that one that is too long is seen to be.
+/// Most datagrams read before yielding to other coroutines of the thread.
+const MAX_DATAGRAMS_PER_TURN: usize = 16;
+/// Rate limit of received datagrams; the burst is one second of datagrams. Excess datagrams are dropped.
+const MAX_DATAGRAMS_PER_SECOND: u64 = 4_000;
+/// One byte more than the longest valid datagram, so that an oversized one is not truncated to a valid
+/// length.
 const BUFFER_BYTES: usize = lynxstair_leases::MAX_DATAGRAM_BYTES + 1;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// The socket. Nothing waits on a send: what can't go at once is dropped and counted, and the protocols repeat.
+/// Non-blocking UDP socket. A datagram that can't be sent at once is dropped and counted; the protocols
+/// retransmit.
 pub(crate) struct DatagramSocket {
     socket: CoIo<UdpSocket>,
     dropped: AtomicU64,
@@ -29,6 +31,9 @@
 
 impl DatagramSocket {
     /// Binds the socket.
+    ///
+    /// # Errors
+    /// If the address can't be bound.
     pub fn bind(addr: SocketAddrV4) -> Result<Self, StartError> {
         let open = || -> io::Result<CoIo<UdpSocket>> {
             let socket = UdpSocket::bind(addr)?;
@@ -39,26 +44,26 @@
         Ok(DatagramSocket { socket, dropped: AtomicU64::new(0), unsent: AtomicU64::new(0) })
     }
 
-    /// Sends now or not at all.
+    /// Sends a datagram, or drops it if it can't be sent at once.
     pub fn send(&self, to: SocketAddrV4, datagram: &[u8]) {
         if self.socket.inner().send_to(datagram, to).is_err() {
             self.unsent.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Datagrams dropped unread, since too many came.
+    /// Returns the number of datagrams dropped by the rate limit.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Datagrams that could not be sent.
+    /// Returns the number of datagrams that could not be sent.
     pub fn unsent(&self) -> u64 {
         self.unsent.load(Ordering::Relaxed)
     }
 
-    /// Hands each datagram to `deliver`, for ever. Runs on a coroutine.
+    /// Passes each received datagram to `deliver`. Never returns; runs on a coroutine.
     pub fn receive_all(&self, clock: Clock, deliver: impl Fn(Time, SocketAddrV4, &[u8])) {
-        // On the heap: a coroutine's stack is small.
+        // On the heap, because coroutine stacks are small.
         let mut buffer = vec![0; BUFFER_BYTES];
         let mut limit = RateLimit::new(clock.now());
         let mut in_turn = 0;
@@ -72,7 +77,7 @@
                         self.dropped.fetch_add(1, Ordering::Relaxed);
                     }
                     in_turn += 1;
-                    if in_turn >= MAX_PER_TURN {
+                    if in_turn >= MAX_DATAGRAMS_PER_TURN {
                         in_turn = 0;
                         yield_now();
                     }
@@ -84,7 +89,7 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    warn!(%e, "fleet: datagrams");
+                    warn!(%e, "fleet: receiving datagrams failed");
                     yield_now();
                 }
             }
@@ -92,7 +97,7 @@
     }
 }
 
-/// A token bucket with a burst of one second's datagrams.
+/// Token bucket with a burst of one second of datagrams.
 struct RateLimit {
     tokens: u64,
     refilled_at: Time,
@@ -100,13 +105,13 @@
 
 impl RateLimit {
     fn new(now: Time) -> Self {
-        RateLimit { tokens: MAX_PER_SECOND, refilled_at: now }
+        RateLimit { tokens: MAX_DATAGRAMS_PER_SECOND, refilled_at: now }
     }
 
     fn take(&mut self, now: Time) -> bool {
-        let earned = (now - self.refilled_at).nanos() * MAX_PER_SECOND / NANOS_PER_SECOND;
+        let earned = (now - self.refilled_at).nanos() * MAX_DATAGRAMS_PER_SECOND / NANOS_PER_SECOND;
         if earned > 0 {
-            self.tokens = (self.tokens + earned).min(MAX_PER_SECOND);
+            self.tokens = (self.tokens + earned).min(MAX_DATAGRAMS_PER_SECOND);
             self.refilled_at = now;
         }
         if self.tokens == 0 {
--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -1,5 +1,5 @@
-//! Duties held under a lease, on sockets: a voter with its records on disk, and this member's own claims.
-//! It decides nothing of who owns what; `crates/leases` does.
+//! Duties held under a lease: runs the voter and the lease holder of `crates/leases`, sends their datagrams
+//! and writes the voter's records to disk.
 
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -22,7 +22,7 @@
 use crate::sync::lock;
 use crate::trial::write_fault;
 
-/// The directory of the voter's records, inside the member's.
+/// Directory of the voter's records, in the data directory of the member.
 const VOTER_DIRECTORY: &str = "voter";
 
 struct State {
@@ -30,31 +30,31 @@
     holder: LeaseHolder,
 }
 
-/// Why a record is not on disk.
+/// Failure to write a record of the voter.
 #[derive(Debug, thiserror::Error)]
 enum WriteError {
     #[error(transparent)]
     Log(lynxstair_record_log::Error),
-    #[error("too many records wait for the disk")]
+    #[error("the write queue is full")]
     QueueFull,
 }
 
-/// The end of a write, by its ticket.
+/// Ticket and result of a finished write.
 type Completion = (u64, Result<(), WriteError>);
 
-/// This member's voter and lease holder.
+/// Voter and lease holder of this member.
 pub(crate) struct Duties {
     state: Mutex<State>,
     outputs: Outputs,
     writer: Writer<u64>,
-    /// What the file amounts to with the records on their way: the writer rewrites the file from it.
+    /// State of the voter including queued records; the writer compacts the file from it.
     persisted: Arc<Mutex<PersistentState>>,
     completions: Arc<Mutex<Vec<Completion>>>,
     disk_error: Mutex<Option<String>>,
 }
 
 impl Duties {
-    /// Opens the voter's records, and starts both state machines and the writer's thread.
+    /// Opens the voter's records and starts the voter, the lease holder and the writer thread.
     pub fn start(
         config: &Config,
         duty_config: &DutyConfig,
@@ -69,20 +69,20 @@
         let persisted = PersistentState::decode(&opened.records)
             .map_err(|source| StartError::UnknownVoterRecord { directory, source })?;
         for repair in &opened.repairs {
-            warn!(?repair, "fleet: a voter's records were mended");
+            warn!(?repair, "fleet: voter records repaired");
         }
         if config.trial.disabled_lease_parts != DisabledParts::default() {
-            let broken = config.trial.disabled_lease_parts;
-            warn!(?broken, "fleet: parts are taken out for a trial; not for service");
+            let disabled = config.trial.disabled_lease_parts;
+            warn!(broken = ?disabled, "fleet: lease safeguards disabled for a trial");
         }
         let has_lost_records = opened.repairs.iter().any(|r| matches!(r, Repair::TornEnd { .. }));
         let now = clock.now();
         let state = State {
             voter: Voter::new(
                 now,
-                voter_start(config, duty_config, identity, persisted.clone(), has_lost_records),
+                voter_config(config, duty_config, identity, persisted.clone(), has_lost_records),
             ),
-            holder: LeaseHolder::new(now, holder_start(config, duty_config, identity)),
+            holder: LeaseHolder::new(now, holder_config(config, duty_config, identity)),
         };
         let persisted = Arc::new(Mutex::new(persisted));
         let completions = Arc::new(Mutex::new(Vec::new()));
@@ -93,13 +93,12 @@
         };
         let rewrite = move || lock(&rewritten).to_records().iter().map(Record::to_bytes).collect();
         let writer = Writer::start(opened.log, Box::new(on_written), Box::new(rewrite))
-            .map_err(|source| StartError::Thread { thread: "a voter's records", source })?;
+            .map_err(|source| StartError::Thread { thread: "voter records", source })?;
         let (state, disk_error) = (Mutex::new(state), Mutex::default());
         Ok(Duties { state, outputs, writer, persisted, completions, disk_error })
     }
 
-    /// Has the state machines do something and carries out what they ask for. The lock is held for the state
-    /// machines only.
+    /// Runs `step` on the state machines, then performs their actions without holding the lock.
     fn update<T>(&self, now: Time, step: impl FnOnce(&mut State) -> T) -> T {
         let (value, actions, deadline) = {
             let mut state = lock(&self.state);
@@ -125,7 +124,7 @@
 
     fn write(&self, ticket: u64, record: &Record) {
         if let Err(e) = lock(&self.persisted).apply(record) {
-            warn!(%e, "fleet: a voter's own record");
+            warn!(%e, "fleet: invalid record from the local voter");
         }
         if !self.writer.append(ticket, record.to_bytes()) {
             lock(&self.completions).push((ticket, Err(WriteError::QueueFull)));
@@ -152,18 +151,18 @@
                 state.holder.on_response(now, number, response)
             }
             Ok(Some(HolderMessage::DutyChanged { duty })) => state.holder.on_duty_changed(now, &duty),
-            // The voter counts what it drops.
+            // The voter counts the datagrams that it drops.
             Ok(None) | Err(_) => {}
         });
     }
 
-    /// The epoch in which an effect of the duty may begin now; `None` without a lease.
-    pub fn may_begin(&self, now: Time, duty: &str) -> Option<Epoch> {
+    /// Returns the epoch of the lease that this member holds on the duty now; `None` without a valid lease.
+    pub fn held_epoch(&self, now: Time, duty: &str) -> Option<Epoch> {
         lock(&self.state).holder.may_begin(now, duty)
     }
 
-    /// An effect was refused: a higher epoch was seen where it was to land.
-    pub fn refused(&self, now: Time, duty: &str, highest_epoch: Epoch) {
+    /// Handles the rejection of a write that was made under an older epoch than `highest_epoch`.
+    pub fn on_fenced(&self, now: Time, duty: &str, highest_epoch: Epoch) {
         self.update(now, |state| state.holder.on_refused(now, duty, highest_epoch));
     }
 
@@ -171,18 +170,19 @@
         self.update(now, |state| state.holder.leave(now));
     }
 
-    /// This member's voter and its claims.
+    /// Returns the state of the local voter and of the duties that this member claims.
     pub fn views(&self, now: Time) -> (VoterView, Vec<DutyView>) {
         let state = lock(&self.state);
         (state.voter.view(now), state.holder.view(now))
     }
 
-    /// Why the last record could not be written; `None`: all are on disk.
+    /// Returns the error of the last write; `None` if it succeeded.
     pub fn disk_error(&self) -> Option<String> {
         lock(&self.disk_error).clone()
     }
 
-    /// Asks the voters on behalf of an operator, who sends the request again while the response is pending.
+    /// Forwards a query, with a command if given, to the voters. Returns `Response::Pending` until they
+    /// reply; the client then sends the request again with the same id.
     pub fn query(&self, now: Time, id: u64, command: Option<&AdminCommand>) -> Response {
         match self.update(now, |state| state.holder.query(now, id, command)) {
             QueryStatus::Pending => Response::Pending,
@@ -192,7 +192,7 @@
     }
 }
 
-fn voter_start(
+fn voter_config(
     config: &Config,
     duty_config: &DutyConfig,
     identity: RunIdentity,
@@ -206,14 +206,14 @@
         initial_voters: duty_config.voters.clone(),
         state,
         has_lost_records,
-        // An identity that is drawn again after the records were lost must be another one.
+        // Includes `run`, so that a voter that lost its records draws a new identity even with a fixed seed.
         seed: identity.seed ^ u64::from(identity.run) << 32,
         times: duty_config.times,
         disabled: config.trial.disabled_lease_parts,
     }
 }
 
-fn holder_start(config: &Config, duty_config: &DutyConfig, identity: RunIdentity) -> HolderConfig {
+fn holder_config(config: &Config, duty_config: &DutyConfig, identity: RunIdentity) -> HolderConfig {
     HolderConfig {
         fleet: config.fleet.as_str().to_string(),
         name: config.name.as_str().to_string(),
@@ -226,7 +226,7 @@
     }
 }
 
-/// What the voters answered, as an operator is told.
+/// Converts a response of the voters into one of the control port.
 fn to_response(response: lynxstair_leases::Response) -> Response {
     use lynxstair_leases::Response as VoterResponse;
     match response {
@@ -237,7 +237,7 @@
             voters: voters.into_iter().map(voter_status).collect(),
             leader,
         },
-        _ => Response::Unknown { reason: "an answer to something else".to_string() },
+        _ => Response::Unknown { reason: "unexpected response from the voters".to_string() },
     }
 }
 
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the control side can't start.
+//! Start-up errors of the cluster node.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -7,79 +7,79 @@
 use crate::membership_records::UnknownRecord;
 use crate::usage_log::UsageLogError;
 
-/// Why the control side can't start: what could not be had, and the cause.
+/// Error when a cluster node can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The system gave no random numbers.
-    #[error("no chance to be had: {0}")]
+    /// The operating system provided no random numbers.
+    #[error("can't get random numbers: {0}")]
     Randomness(#[source] rand::rngs::SysError),
-    /// The datagram socket.
-    #[error("datagrams on {addr}: {source}")]
+    /// The datagram socket can't be bound.
+    #[error("can't bind datagram socket to {addr}: {source}")]
     DatagramSocket {
-        /// The address it was to be bound to.
+        /// Address to bind to.
         addr: SocketAddrV4,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The control port.
-    #[error("control port on {addr}: {source}")]
+    /// The control port can't be opened.
+    #[error("can't listen on control port {addr}: {source}")]
     ControlPort {
-        /// The address it was to listen on.
+        /// Address to listen on.
         addr: SocketAddrV4,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The timer.
-    #[error("timer: {0}")]
+    /// The timer can't be created.
+    #[error("can't create timer: {0}")]
     Timer(#[source] io::Error),
-    /// A thread; its name.
-    #[error("the thread for {thread}: {source}")]
+    /// A thread can't be started.
+    #[error("can't start thread for {thread}: {source}")]
     Thread {
-        /// What the thread is for.
+        /// Task of the thread.
         thread: &'static str,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The records of membership can't be opened.
-    #[error("records: {0}")]
+    /// The membership records can't be opened.
+    #[error("membership records: {0}")]
     MembershipRecords(#[source] lynxstair_record_log::Error),
-    /// The records of membership hold one that this program does not know.
-    #[error("records: {}: {source}", directory.display())]
+    /// The membership records contain one of an unknown kind.
+    #[error("membership records: {}: {source}", directory.display())]
     UnknownMembershipRecord {
-        /// Where they are.
+        /// Directory of the records.
         directory: PathBuf,
-        /// Which one.
+        /// The record and the decoding error.
         source: UnknownRecord,
     },
-    /// The records of the voter can't be opened.
-    #[error("voter's records: {0}")]
+    /// The voter records can't be opened.
+    #[error("voter records: {0}")]
     VoterRecords(#[source] lynxstair_record_log::Error),
-    /// The records of the voter hold one that can't be understood.
-    #[error("voter's records: {}: {source}", directory.display())]
+    /// The voter records contain one that can't be decoded.
+    #[error("voter records: {}: {source}", directory.display())]
     UnknownVoterRecord {
-        /// Where they are.
+        /// Directory of the records.
         directory: PathBuf,
-        /// Which one, and why.
+        /// The record and the decoding error.
         source: lynxstair_leases::RecordError,
     },
-    /// The history file.
+    /// The history file can't be opened, or its thread can't be started.
     #[error("history {}: {source}", path.display())]
     History {
-        /// The file.
+        /// Path of the history file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The machine's monotonic clock.
-    #[error("clock: {0}")]
+    /// The monotonic clock can't be read.
+    #[error("can't read monotonic clock: {0}")]
     Clock(#[source] nix::Error),
-    /// The usage log.
+    /// The usage log can't be opened.
     #[error(transparent)]
     UsageLog(#[from] UsageLogError),
-    /// For trials: the kernel refused to tie this process to its parent.
+    /// For trials: the parent death signal can't be set.
     #[error("trial.ends_with_parent: {0}")]
     ParentDeathSignal(#[source] nix::Error),
-    /// For trials: the parent had ended already.
-    #[error("trial.ends_with_parent: the one that started this has ended")]
+    /// For trials: the parent process had ended before the signal was set.
+    #[error("trial.ends_with_parent: the parent process has ended")]
     ParentEnded,
 }
--- a/crates/cluster/src/exporter.rs
+++ b/crates/cluster/src/exporter.rs
@@ -1,9 +1,9 @@
-//! The duty `export`: while this member owns it, it fetches batches of usage from all members and sends them to
-//! the sink.
+//! The duty `export`: while this member owns it, it fetches batches of usage from all members and sends them
+//! to the sink.
 //!
-//! It has a thread of its own, as it waits for a sink that may be slow or gone; no request waits for it. It begins
-//! a write only while its lease lasts. A pause between that check and the write can still let a write come too
-//! late; the sink then refuses it by its epoch.
+//! It runs on a separate thread, since its I/O with the sink and the members blocks. It checks its lease
+//! before each write to the sink. If the process is paused between check and write, the lease may have moved
+//! to another owner; the sink then rejects the write by its epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -29,19 +29,19 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(150);
 const MEMBER_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const MEMBER_IO_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Most batches of one member in a round, so that none keeps the others waiting.
+/// Most batches of one member in a round, so that one member can't delay the export of the others.
 const MAX_BATCHES_PER_ROUND: usize = 32;
-/// The delay after a failed call to the sink; doubled with each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+/// Back-off after the first failed call to the sink; doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What the exporter did, for the history that trials judge.
+/// Event of the exporter in the history.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case", tag = "event")]
 pub(crate) enum Event {
-    /// A write is about to begin.
+    /// The exporter is about to pause before a write, as set for a trial.
     Begins { duty: String, epoch: u64, stream: String, number: u64 },
-    /// A write ended; without a reply where none came.
+    /// A write to the sink ended; `reply` is `None` if it failed without a decodable reply.
     Effect {
         duty: String,
         epoch: u64,
@@ -50,22 +50,23 @@
         #[serde(rename = "says")]
         reply: Option<BatchReply>,
     },
-    /// Batches between the two numbers are neither at the sink nor at the gatekeeper.
+    /// The batches from `expected` up to, but excluding, `offered` are neither at the sink nor at the
+    /// gatekeeper.
     Gap {
         stream: String,
         #[serde(rename = "wanted")]
         expected: u64,
         offered: u64,
     },
-    /// A member could not be asked: what it holds is not known.
+    /// A member could not be queried, so its pending usage is unknown.
     Unknown {
         member: String,
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The member answers again.
+    /// The member can be queried again.
     Known { member: String },
-    /// The sink was told whether a stream is complete.
+    /// The completeness of a stream was reported to the sink.
     #[serde(rename = "marked")]
     StatusSent {
         stream: String,
@@ -76,11 +77,11 @@
     },
 }
 
-/// Why a member's batches could not be exported.
+/// Failure to export the batches of a member.
 enum MemberError {
-    /// The sink failed: the round ends.
+    /// The sink failed; ends the round.
     Sink(SinkError),
-    /// The member could not be asked: the round goes on with the next one.
+    /// The member could not be queried; the round continues with the next member.
     Unavailable(String),
 }
 
@@ -90,11 +91,11 @@
     }
 }
 
-/// What comes after a batch that a member offered.
-enum Next {
-    /// The member is asked for another one.
+/// Next step after a batch of a member.
+enum NextStep {
+    /// Fetch another batch from the same member.
     FetchMore,
-    /// Enough of this member for this round.
+    /// Continue with the next member.
     EndMember,
 }
 
@@ -103,30 +104,31 @@
     progress: ExportProgress,
     rng: Pcg64Mcg,
     backoff: Duration,
+    /// End of the back-off.
     not_before: Instant,
-    /// Members that could not be asked, since this owner began.
+    /// Members whose last query failed.
     unavailable: BTreeSet<String>,
-    /// By member, the stream that it said it keeps.
+    /// Current stream of each member, by name, as reported by the member.
     streams: BTreeMap<String, StreamId>,
-    /// For trials: a pause between the check of the lease and the write.
-    stall: Duration,
-    /// The pause was made in this round; once is enough.
-    has_stalled: bool,
+    /// For trials: pause between the lease check and the write.
+    pause: Duration,
+    /// Set once the pause was made in this round.
+    has_paused: bool,
 }
 
 impl Exporter {
-    /// Starts the exporter's thread.
-    pub fn start(node: Arc<ClusterNode>, sink: SocketAddrV4, seed: u64, stall: Duration) -> io::Result<()> {
+    /// Starts the exporter thread.
+    pub fn start(node: Arc<ClusterNode>, sink: SocketAddrV4, seed: u64, pause: Duration) -> io::Result<()> {
         let mut exporter = Exporter {
             sink: SinkClient::new(sink),
             progress: ExportProgress::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            backoff: FIRST_BACKOFF,
+            backoff: INITIAL_BACKOFF,
             not_before: Instant::now(),
             unavailable: BTreeSet::new(),
             streams: BTreeMap::new(),
-            stall,
-            has_stalled: false,
+            pause,
+            has_paused: false,
         };
         let run = move || {
             loop {
@@ -138,45 +140,46 @@
     }
 
     fn poll(&mut self, node: &ClusterNode) {
-        let Some(epoch) = node.may_begin(DUTY) else { return };
+        let Some(epoch) = node.held_epoch(DUTY) else { return };
         if Instant::now() < self.not_before {
             return;
         }
         self.progress.begin_epoch(epoch.0);
-        self.has_stalled = false;
+        self.has_paused = false;
         match self.run_round(node, epoch) {
-            Ok(()) => self.backoff = FIRST_BACKOFF,
-            Err(SinkError::Fenced { highest_epoch }) => node.refused(DUTY, Epoch(highest_epoch)),
+            Ok(()) => self.backoff = INITIAL_BACKOFF,
+            Err(SinkError::Fenced { highest_epoch }) => node.on_fenced(DUTY, Epoch(highest_epoch)),
             Err(e) => self.back_off(&e),
         }
     }
 
-    fn back_off(&mut self, why: &SinkError) {
-        let alone_ms = self.backoff.as_millis() as u64;
-        warn!(%why, sink = %self.sink.addr(), alone_ms, "fleet: export waits");
-        // With jitter: owners and sinks that come back together do not meet at once.
+    fn back_off(&mut self, reason: &SinkError) {
+        let backoff_ms = self.backoff.as_millis() as u64;
+        warn!(why = %reason, sink = %self.sink.addr(), alone_ms = backoff_ms, "fleet: export: sink failed; backing off");
+        // Jitter avoids synchronized retries.
         self.not_before = Instant::now() + self.backoff.mul_f64(self.rng.random_range(0.5..1.0));
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Asks each member once, then tells the sink which streams became complete or incomplete.
+    /// Exports the batches of each member, then reports streams that became complete or incomplete to the
+    /// sink.
     fn run_round(&mut self, node: &ClusterNode, epoch: Epoch) -> Result<(), SinkError> {
         if !self.progress.has_sink_positions() {
             let (positions, incomplete) = self.sink.positions(epoch)?;
             self.progress.set_sink_positions(positions.into_iter().collect(), incomplete);
         }
-        for (name, addr) in node.members() {
-            if node.may_begin(DUTY) != Some(epoch) {
+        for (name, addr) in node.present_members() {
+            if node.held_epoch(DUTY) != Some(epoch) {
                 return Ok(());
             }
             match self.export_member(node, epoch, &name, addr) {
-                Ok(()) => self.member_available(node, name),
-                Err(MemberError::Unavailable(reason)) => self.member_unavailable(node, name, reason),
+                Ok(()) => self.mark_available(node, name),
+                Err(MemberError::Unavailable(reason)) => self.mark_unavailable(node, name, reason),
                 Err(MemberError::Sink(e)) => return Err(e),
             }
         }
         for status in self.progress.finish_round() {
-            if node.may_begin(DUTY) != Some(epoch) {
+            if node.held_epoch(DUTY) != Some(epoch) {
                 return Ok(());
             }
             self.send_status(node, epoch, &status)?;
@@ -184,16 +187,16 @@
         Ok(())
     }
 
-    fn member_available(&mut self, node: &ClusterNode, member: String) {
+    fn mark_available(&mut self, node: &ClusterNode, member: String) {
         if self.unavailable.remove(&member) {
-            info!(%member, "fleet: export: known again");
+            info!(%member, "fleet: export: pending usage of member known again");
             node.record_event(&Event::Known { member });
         }
     }
 
-    fn member_unavailable(&mut self, node: &ClusterNode, member: String, reason: String) {
+    fn mark_unavailable(&mut self, node: &ClusterNode, member: String, reason: String) {
         if self.unavailable.insert(member.clone()) {
-            warn!(%member, why = %reason, "fleet: export: what it holds is unknown");
+            warn!(%member, why = %reason, "fleet: export: pending usage of member unknown");
             node.record_event(&Event::Unknown { member, reason });
         }
     }
@@ -207,13 +210,14 @@
         self.sink.send_status(epoch, status)?;
         self.progress.status_stored(status);
         let stream = stream_name(&status.stream);
-        warn!(%stream, known = status.complete, why = %status.reason, "fleet: export: the sink is told");
+        warn!(%stream, known = status.complete, why = %status.reason, "fleet: export: stream status sent to sink");
         let (complete, last_pending_milli_units) = (status.complete, status.last_pending_milli_units);
         node.record_event(&Event::StatusSent { stream, complete, last_pending_milli_units });
         Ok(())
     }
 
-    /// Exports what one member has, up to the bound of a round. `addr`: `None` for this member itself.
+    /// Exports up to [`MAX_BATCHES_PER_ROUND`] batches of one member. `addr` is `None` for this member
+    /// itself.
     fn export_member(
         &mut self,
         node: &ClusterNode,
@@ -234,10 +238,10 @@
             }
             match fetched.batch {
                 Some(batch) => match self.export_batch(node, epoch, &batch)? {
-                    Next::FetchMore => {}
-                    Next::EndMember => return Ok(()),
+                    NextStep::FetchMore => {}
+                    NextStep::EndMember => return Ok(()),
                 },
-                // It was asked for another stream than it keeps: it is asked again for the one it does.
+                // The request named another stream than the member keeps; the next one names the right one.
                 None if is_other_stream => {}
                 None => return Ok(()),
             }
@@ -245,25 +249,30 @@
         Ok(())
     }
 
-    fn export_batch(&mut self, node: &ClusterNode, epoch: Epoch, batch: &Batch) -> Result<Next, SinkError> {
+    fn export_batch(
+        &mut self,
+        node: &ClusterNode,
+        epoch: Epoch,
+        batch: &Batch,
+    ) -> Result<NextStep, SinkError> {
         if !self.progress.is_next(batch) {
-            let Some(gap) = self.progress.gap(&batch.stream) else { return Ok(Next::FetchMore) };
+            let Some(gap) = self.progress.gap(&batch.stream) else { return Ok(NextStep::FetchMore) };
             let (stream, wanted, offered) = (stream_name(&batch.stream), gap.expected, gap.offered);
-            warn!(%stream, wanted, offered, "fleet: export: the sink was set back; batches are missing");
+            warn!(%stream, wanted, offered, "fleet: export: batches missing; was the sink restored?");
             node.record_event(&Event::Gap { stream, expected: wanted, offered });
-            return Ok(Next::EndMember);
+            return Ok(NextStep::EndMember);
         }
-        // The last check before the effect. Whatever comes between it and the write is the sink's to refuse.
-        if node.may_begin(DUTY) != Some(epoch) {
-            return Ok(Next::EndMember);
+        // The lease may still move between this check and the write; the sink then rejects the write.
+        if node.held_epoch(DUTY) != Some(epoch) {
+            return Ok(NextStep::EndMember);
         }
-        if !self.stall.is_zero() && !std::mem::replace(&mut self.has_stalled, true) {
+        if !self.pause.is_zero() && !std::mem::replace(&mut self.has_paused, true) {
             let (duty, stream, number) = (DUTY.to_string(), stream_name(&batch.stream), batch.number);
             node.record_event(&Event::Begins { duty, epoch: epoch.0, stream, number });
-            thread::sleep(self.stall);
+            thread::sleep(self.pause);
         }
         self.send_batch(node, epoch, batch)?;
-        Ok(Next::FetchMore)
+        Ok(NextStep::FetchMore)
     }
 
     fn send_batch(&mut self, node: &ClusterNode, epoch: Epoch, batch: &Batch) -> Result<(), SinkError> {
@@ -290,38 +299,37 @@
     format!("{}/{:016x}", stream.gatekeeper, stream.directory_id)
 }
 
-/// What a member answered.
+/// Response of a member to a usage request.
 struct FetchedBatch {
-    /// The stream that it keeps.
+    /// The stream that the member keeps.
     stream: StreamId,
     batch: Option<Arc<Batch>>,
-    /// Thousandths of a unit that the sink does not have yet.
+    /// Usage that is not at the sink yet, in thousandths of a unit.
     pending_milli_units: u64,
 }
 
-/// A member's next batch.
+/// Fetches the next batch of a member.
 fn fetch_batch(
     node: &ClusterNode,
     addr: Option<SocketAddrV4>,
     request: Request,
 ) -> Result<FetchedBatch, MemberError> {
     let response = match addr {
-        None => node.answer(request),
-        Some(addr) => {
-            ask_member(node.source(), addr, &request).map_err(|e| MemberError::Unavailable(e.to_string()))?
-        }
+        None => node.handle_request(request),
+        Some(addr) => call_member(node.bind_ip(), addr, &request)
+            .map_err(|e| MemberError::Unavailable(e.to_string()))?,
     };
     match response {
         Response::Usage { stream, batch, pending_milli_units } => {
             Ok(FetchedBatch { stream, batch, pending_milli_units })
         }
-        _ => Err(MemberError::Unavailable("keeps no uses".to_string())),
+        _ => Err(MemberError::Unavailable("the member keeps no usage log".to_string())),
     }
 }
 
-/// Asks another member from the address that this one's datagrams come from, so that what cuts the path between
-/// the two cuts these connections as well.
-fn ask_member(source: Ipv4Addr, addr: SocketAddrV4, request: &Request) -> io::Result<Response> {
+/// Sends a request to another member. Binds to the IP address of the datagram socket, so that a network
+/// filter between two members blocks these connections together with the datagrams.
+fn call_member(source: Ipv4Addr, addr: SocketAddrV4, request: &Request) -> io::Result<Response> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     if !source.is_unspecified() {
         socket.bind(&SocketAddrV4::new(source, 0).into())?;
--- a/crates/cluster/src/history.rs
+++ b/crates/cluster/src/history.rs
@@ -1,4 +1,4 @@
-//! The history: what this member did, as JSON lines, for trials to judge. Written by a thread of its own.
+//! Event history of this member, as JSON lines, for the checks of trials. A separate thread writes the file.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -14,14 +14,13 @@
 
 use crate::error::StartError;
 
-/// Most lines that wait to be written; what is over is left out.
-const MAX_WAITING: usize = 8_192;
+/// Most lines in the write queue; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 8_192;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
 #[derive(Serialize)]
 struct Line<'a, E: Serialize> {
-    /// The machine's monotonic clock, in nanoseconds: the same for all processes on it, whatever the wall clock
-    /// says.
+    /// Monotonic clock of the machine in nanoseconds, comparable between its processes.
     #[serde(rename = "mono")]
     monotonic_nanos: u64,
     #[serde(rename = "who")]
@@ -31,26 +30,29 @@
     event: &'a E,
 }
 
-/// The history, or nothing where the fleet file names no file for one.
+/// The history; records nothing if the fleet file names no history file.
 pub(crate) struct History(Option<HistoryFile>);
 
 struct HistoryFile {
     lines: SyncSender<Vec<u8>>,
     member: Name,
     run: u32,
-    /// The machine's monotonic clock at `opened_at`, in nanoseconds.
+    /// Monotonic clock of the machine at `opened_at`, in nanoseconds.
     monotonic_nanos: u64,
     opened_at: Time,
 }
 
 impl History {
-    /// Opens the file and starts its thread; without a path it records nothing.
+    /// Opens the file and starts the thread that writes it. Without a path, nothing is recorded.
+    ///
+    /// # Errors
+    /// If the file can't be opened, the thread can't be started or the clock can't be read.
     pub fn open(path: Option<&Path>, clock: Clock, member: Name, run: u32) -> Result<Self, StartError> {
         let Some(path) = path else { return Ok(History(None)) };
         let failed = |source| StartError::History { path: path.to_path_buf(), source };
         let file = OpenOptions::new().create(true).append(true).open(path).map_err(failed)?;
-        let (lines, waiting) = sync_channel::<Vec<u8>>(MAX_WAITING);
-        let write = move || waiting.iter().for_each(|line| write_line(&file, &line));
+        let (lines, queue) = sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
+        let write = move || queue.iter().for_each(|line| write_line(&file, &line));
         thread::Builder::new().name("history".to_string()).spawn(write).map_err(failed)?;
         let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).map_err(StartError::Clock)?;
         let monotonic_nanos = monotonic.tv_sec() as u64 * NANOS_PER_SECOND + monotonic.tv_nsec() as u64;
@@ -69,7 +71,7 @@
     }
 }
 
-/// One write for each line: a kill leaves whole lines, and at most the last one cut.
+/// Writes a line with one call, so that a kill can truncate only the last line.
 fn write_line(mut file: &File, line: &[u8]) {
     let _ = file.write_all(line);
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,24 +1,24 @@
-//! The control side of a gatekeeper on sockets: membership over datagrams, duties held under a lease, the control
-//! port, and the records of both on disk.
+//! Cluster node of a gatekeeper: membership over UDP, duties held under a lease, the usage log and its
+//! export, and the control port.
 //!
-//! It runs only where the gatekeeper is started with `--fleet FILE`; without it no socket, thread or file is
-//! opened. Requests never wait for it: it shares the coroutine thread in short turns, and what waits for a disk
-//! or a sink has a thread of its own. Who is a member and who owns a duty is decided in `crates/membership` and
-//! `crates/leases`, which do no I/O.
+//! A gatekeeper starts it only with `--fleet FILE`; otherwise no socket, thread or file is opened. Its
+//! coroutines share one thread with the request path and yield often. Blocking disk and sink I/O runs on
+//! separate threads. The membership and lease protocols are in `crates/membership` and `crates/leases`,
+//! which do no I/O.
 //!
 //! | file | content |
 //! | --- | --- |
-//! | `config.rs` and below | the fleet file, its checks and errors |
-//! | `node.rs` | [`ClusterNode`]: everything together, and the answers to operators |
-//! | `datagrams.rs` | the socket and its rate limit |
-//! | `membership.rs`, `membership_records.rs` | the membership state machine with its records on disk |
-//! | `duties.rs` | voter and lease holder with their records on disk |
+//! | `config.rs`, `config/` | the fleet file, its validation and errors |
+//! | `node.rs` | [`ClusterNode`]: owns all parts and handles control requests |
+//! | `datagrams.rs` | the UDP socket and its rate limit |
+//! | `membership.rs`, `membership_records.rs` | the membership state machine and its records on disk |
+//! | `duties.rs` | the voter with its records on disk, and the lease holder |
 //! | `exporter.rs`, `sink_client.rs` | the duty `export` |
-//! | `usage_log.rs` | usage on disk until a sink has it |
-//! | `outputs.rs` | where the state machines' effects go: socket, history, timer |
-//! | `control_port.rs`, `client.rs`, `protocol.rs` | the control port's server, client and messages |
-//! | `logging.rs`, `history.rs` | log lines; the history that trials judge |
-//! | `trial.rs` | what trials switch on |
+//! | `usage_log.rs` | usage records, stored until a sink has them |
+//! | `outputs.rs` | socket, history and timer, shared by the state machines |
+//! | `control_port.rs`, `client.rs`, `protocol.rs` | server, client and messages of the control port |
+//! | `logging.rs`, `history.rs` | log lines; the event history that trials check |
+//! | `trial.rs` | fault injection for trials |
 #![deny(unsafe_code)]
 
 mod client;
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -1,7 +1,7 @@
-//! The membership state machine with its datagrams and its records on disk.
+//! Runs the membership state machine: sends its datagrams and writes its records to disk.
 //!
-//! A member tells others of its new incarnation only once that is on disk: a restart must not bear the number of
-//! an earlier life. While the disk fails, the record is retried and the member stays silent.
+//! A member announces a new incarnation only after its record is on disk, so that no restart reuses an
+//! incarnation number. A failed write of that record is retried, and the member is not announced until then.
 
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -21,31 +21,33 @@
 use crate::sync::lock;
 use crate::trial::write_fault;
 
-/// After so long a record that could not be written is tried again.
+/// Delay before a failed write is retried.
 const WRITE_RETRY_INTERVAL: Span = Span::from_millis(500);
 
-/// The end of a write that the state machine waits for.
+/// Incarnation and result of a finished write of its record.
 type Completion = (Incarnation, Result<(), Error>);
 
 #[derive(Default)]
 struct DiskState {
-    /// Why records can't be written, while they can't.
+    /// Error of the last write of an incarnation; `None` if it succeeded.
     error: Option<String>,
+    /// Time of the next attempt and the record to write.
     retry: Option<(Time, Record)>,
 }
 
+/// Membership of this node.
 pub(crate) struct MembershipService {
     membership: Mutex<Membership>,
     outputs: Outputs,
     writer: Writer<Option<Incarnation>>,
-    /// What the file amounts to with the records on their way: the writer rewrites the file from it.
+    /// Stored state including queued records; the writer compacts the file from it.
     records: Arc<Mutex<MembershipRecords>>,
     completions: Arc<Mutex<Vec<Completion>>>,
     disk: Mutex<DiskState>,
 }
 
 impl MembershipService {
-    /// Opens the records, and starts the state machine and the writer's thread.
+    /// Opens the records and starts the state machine and the writer thread.
     pub fn start(
         config: &Config,
         clock: Clock,
@@ -64,25 +66,23 @@
         let completions = Arc::new(Mutex::new(Vec::new()));
         let (rewritten, completed, ticker) = (records.clone(), completions.clone(), outputs.ticker.clone());
         let on_written =
-            move |waiting: Option<Incarnation>, result: Result<(), Error>| match (waiting, result) {
+            move |awaited: Option<Incarnation>, result: Result<(), Error>| match (awaited, result) {
                 (Some(incarnation), result) => {
                     lock(&completed).push((incarnation, result));
                     ticker.wake_now();
                 }
-                // Nobody waits for it, so nobody retries it: the next one that is waited for shows whether the disk
-                // works again.
-                (None, Err(e)) => error!(%e, "fleet: a record was not written"),
+                // Only incarnation records are retried.
+                (None, Err(e)) => error!(%e, "fleet: membership record not written"),
                 (None, Ok(())) => {}
             };
         let writer =
             Writer::start(opened.log, Box::new(on_written), Box::new(move || lock(&rewritten).encode()))
-                .map_err(|source| StartError::Thread { thread: "records", source })?;
+                .map_err(|source| StartError::Thread { thread: "membership records", source })?;
         let (membership, disk) = (Mutex::new(membership), Mutex::default());
         Ok(MembershipService { membership, outputs, writer, records, completions, disk })
     }
 
-    /// Has the state machine do something and carries out what it asks for. The lock is held for the state
-    /// machine only.
+    /// Runs `step` on the state machine, then performs its actions without holding the lock.
     fn update(&self, now: Time, step: impl FnOnce(&mut Membership)) {
         let (actions, deadline) = {
             let mut membership = lock(&self.membership);
@@ -90,12 +90,12 @@
             (membership.take_actions(), membership.next_deadline())
         };
         for action in actions {
-            self.carry_out(now, action);
+            self.perform(now, action);
         }
         self.outputs.wake_by(deadline);
     }
 
-    fn carry_out(&self, now: Time, action: Action) {
+    fn perform(&self, now: Time, action: Action) {
         match action {
             Action::Send { to, datagram } => self.outputs.send(to, &datagram),
             Action::Write(record) => self.write(now, record),
@@ -107,21 +107,21 @@
     }
 
     fn write(&self, now: Time, record: Record) {
-        let waiting = match &record {
+        let awaited = match &record {
             Record::Began { incarnation } => Some(*incarnation),
             _ => None,
         };
         lock(&self.records).apply(record.clone());
-        if !self.writer.append(waiting, encode(&record)) && waiting.is_some() {
-            self.retry_later(now, record, "too many records wait for the disk".to_string());
+        if !self.writer.append(awaited, encode(&record)) && awaited.is_some() {
+            self.retry_later(now, record, "the write queue is full".to_string());
         }
     }
 
-    fn retry_later(&self, now: Time, record: Record, why: String) {
-        error!(%why, "fleet: not on disk; this member tells nobody of itself until it is");
+    fn retry_later(&self, now: Time, record: Record, reason: String) {
+        error!(why = %reason, "fleet: incarnation not written; not announcing this member until it is");
         let at = now + WRITE_RETRY_INTERVAL;
         let mut disk = lock(&self.disk);
-        disk.error = Some(why);
+        disk.error = Some(reason);
         disk.retry = Some((at, record));
         self.outputs.ticker.wake_by(at);
     }
@@ -131,7 +131,7 @@
             match result {
                 Ok(()) => {
                     if lock(&self.disk).error.take().is_some() {
-                        info!("fleet: records are written again");
+                        info!("fleet: membership records are written again");
                     }
                     self.update(now, |membership| membership.on_written(now, incarnation));
                 }
@@ -171,7 +171,7 @@
         lock(&self.membership).view(now)
     }
 
-    /// Why the last record could not be written; `None`: all are on disk.
+    /// Returns the error of the last incarnation write; `None` if it succeeded.
     pub fn disk_error(&self) -> Option<String> {
         lock(&self.disk).error.clone()
     }
@@ -201,8 +201,8 @@
 fn log_repair(repair: &Repair) {
     match repair {
         Repair::TornEnd { number, bytes } => {
-            warn!(number, bytes, "fleet: a record that was not written whole is cut off");
+            warn!(number, bytes, "fleet: truncated an incomplete membership record");
         }
-        Repair::Leftover => warn!("fleet: records that were being written anew are as before"),
+        Repair::Leftover => warn!("fleet: discarded an unfinished rewrite of the membership records"),
     }
 }
--- a/crates/cluster/src/membership_records.rs
+++ b/crates/cluster/src/membership_records.rs
@@ -1,38 +1,41 @@
-//! What the records of a member amount to: read at the start, and written anew when the file grows long.
+//! Membership state on disk: replayed from its records at start-up and used to compact the file.
 
 use std::collections::BTreeMap;
 
 use lynxstair_membership::{Incarnation, KnownMember, Notice, Record};
 
-/// A record that this program does not know; a newer one wrote it.
+/// Error for a record of an unknown kind, for instance one written by a newer version.
 #[derive(Debug, thiserror::Error)]
-#[error("record {number} is of a kind this program does not know: {source}")]
+#[error("record {number} is of an unknown kind: {source}")]
 pub struct UnknownRecord {
     number: usize,
     source: serde_json::Error,
 }
 
-/// Everything that membership keeps on disk.
+/// Membership state that is kept on disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct MembershipRecords {
     pub last_incarnation: Option<Incarnation>,
     pub known_members: Vec<KnownMember>,
-    /// The last notice of each member.
+    /// Latest notice about each member, by name.
     notices: BTreeMap<String, Notice>,
 }
 
 impl MembershipRecords {
-    /// Decodes the records of a file, in their order.
+    /// Replays the records of a file in order.
+    ///
+    /// # Errors
+    /// If a record can't be decoded.
     pub fn decode(records: &[Vec<u8>]) -> Result<Self, UnknownRecord> {
-        let mut all = MembershipRecords::default();
+        let mut state = MembershipRecords::default();
         for (number, bytes) in (1..).zip(records) {
             let record = serde_json::from_slice(bytes).map_err(|source| UnknownRecord { number, source })?;
-            all.apply(record);
+            state.apply(record);
         }
-        Ok(all)
+        Ok(state)
     }
 
-    /// Takes in one more record.
+    /// Applies one record.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Began { incarnation } => {
@@ -49,7 +52,7 @@
         self.notices.values().cloned().collect()
     }
 
-    /// The fewest records that amount to the same.
+    /// Returns the smallest list of records that replays to this state.
     pub fn encode(&self) -> Vec<Vec<u8>> {
         let began = self.last_incarnation.map(|incarnation| Record::Began { incarnation });
         let known = Record::Members { known: self.known_members.clone() };
@@ -58,7 +61,7 @@
     }
 }
 
-/// A record as it is stored.
+/// Encodes a record as JSON.
 pub(crate) fn encode(record: &Record) -> Vec<u8> {
     serde_json::to_vec(record).expect("a record is plain data")
 }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,4 +1,4 @@
-//! The control side of one gatekeeper: one socket for datagrams, one timer, one control port.
+//! The cluster node of a gatekeeper: starts all parts, dispatches datagrams and handles control requests.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -30,20 +30,21 @@
 use crate::trial::{end_with_parent, write_fault};
 use crate::usage_log::UsageLog;
 
-/// The directory of the usage log, inside the member's.
+/// Directory of the usage log, in the data directory of the member.
 const USAGE_DIRECTORY: &str = "uses";
-const TIMER_STEP: Span = Span::from_millis(1);
+const TIMER_RESOLUTION: Span = Span::from_millis(1);
 
-/// What tells two processes of one member apart, and seeds their random choices.
+/// Random numbers drawn when the process starts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunIdentity {
-    /// Drawn at each start of the process.
+    /// Distinguishes this process from others of the same member.
     pub run: u32,
+    /// Seed of all random choices; a configured seed takes precedence.
     pub seed: u64,
 }
 
 impl RunIdentity {
-    /// The run differs from start to start, also where the seed is configured.
+    /// Draws a new `run` at each start, even if the seed is configured.
     fn draw(configured_seed: Option<u64>) -> Result<Self, StartError> {
         let run = random()? as u32;
         let seed = configured_seed.map_or_else(random, Ok)?;
@@ -55,15 +56,15 @@
     SysRng.try_next_u64().map_err(StartError::Randomness)
 }
 
-/// The control side of one gatekeeper.
+/// Cluster node of a gatekeeper.
 pub struct ClusterNode {
     config: Config,
     clock: Clock,
     outputs: Outputs,
     membership: MembershipService,
-    /// Where the fleet has voters.
+    /// `None` if the fleet file names no voters.
     duties: Option<Duties>,
-    /// Where usage is exported.
+    /// `None` if the fleet file names no sink.
     usage_log: Option<Arc<UsageLog>>,
     control_port: Arc<ControlPort>,
     /// Flushes the log when dropped.
@@ -71,10 +72,11 @@
 }
 
 impl ClusterNode {
-    /// Opens all it needs and starts its coroutines and threads. The caller has configured the coroutine runtime.
+    /// Opens sockets and files and starts the coroutines and threads. The coroutine runtime must be
+    /// configured before the call.
     ///
     /// # Errors
-    /// A socket, the records or a thread can't be had.
+    /// If a socket, a file or a thread can't be opened or started.
     pub fn start(config: Config) -> Result<Arc<Self>, StartError> {
         if let Some(parent) = config.trial.ends_with_parent {
             end_with_parent(parent)?;
@@ -86,7 +88,10 @@
         let control_port = ControlPort::listen(config.control, clock, outputs.ticker.clone())?;
         let membership = MembershipService::start(&config, clock, outputs.clone(), identity)?;
         if config.trial.disabled_membership_parts != Default::default() {
-            warn!(broken = ?config.trial.disabled_membership_parts, "fleet: parts are taken out for a trial; not for service");
+            warn!(
+                broken = ?config.trial.disabled_membership_parts,
+                "fleet: membership safeguards disabled for a trial"
+            );
         }
         let start_duties =
             |duty_config| Duties::start(&config, duty_config, clock, outputs.clone(), identity);
@@ -103,8 +108,8 @@
             _log: log,
         });
         if let Some(sink) = node.config.sink {
-            let stall = Duration::from_millis(node.config.trial.export_pause_ms);
-            Exporter::start(node.clone(), sink, identity.seed, stall)
+            let pause = Duration::from_millis(node.config.trial.export_pause_ms);
+            Exporter::start(node.clone(), sink, identity.seed, pause)
                 .map_err(|source| StartError::Thread { thread: "export", source })?;
         }
         node.spawn_coroutines();
@@ -121,13 +126,12 @@
         spawn("cluster timer", move || node.run_timer());
         let node = self.clone();
         spawn("cluster control port", move || {
-            let answering = node.clone();
-            node.control_port.serve_all(&Arc::new(move |request| answering.answer(request)));
+            let handler = node.clone();
+            node.control_port.serve_all(&Arc::new(move |request| handler.handle_request(request)));
         });
     }
 
-    /// Tells the other members that this one leaves. Nobody waits for it: the gatekeeper ends when its requests
-    /// are answered.
+    /// Announces to the other members that this one leaves, without waiting for an acknowledgement.
     pub fn leave(&self) {
         let now = self.clock.now();
         self.membership.leave(now);
@@ -137,42 +141,44 @@
         self.outputs.ticker.wake_now();
     }
 
-    /// Where the usage of succeeded requests is recorded; `None`: usage is not exported.
+    /// Returns the log for the usage of succeeded requests; `None` if usage is not exported.
     pub fn usage_log(&self) -> Option<Arc<UsageLog>> {
         self.usage_log.clone()
     }
 
-    /// The epoch in which an effect of the duty may begin now; `None` without a lease.
-    pub(crate) fn may_begin(&self, duty: &str) -> Option<Epoch> {
+    /// Returns the epoch of the lease that this member holds on the duty now; `None` without a valid lease.
+    pub(crate) fn held_epoch(&self, duty: &str) -> Option<Epoch> {
         let now = self.clock.now();
-        self.duties.as_ref().and_then(|duties| duties.may_begin(now, duty))
+        self.duties.as_ref().and_then(|duties| duties.held_epoch(now, duty))
     }
 
-    /// An effect was refused: a higher epoch was seen where it was to land.
-    pub(crate) fn refused(&self, duty: &str, highest_epoch: Epoch) {
+    /// Handles the rejection of a write that was made under an older epoch than `highest_epoch`.
+    pub(crate) fn on_fenced(&self, duty: &str, highest_epoch: Epoch) {
         if let Some(duties) = &self.duties {
-            duties.refused(self.clock.now(), duty, highest_epoch);
+            duties.on_fenced(self.clock.now(), duty, highest_epoch);
         }
     }
 
-    /// All members that are present as seen from here, and last this one, which has no address.
-    pub(crate) fn members(&self) -> Vec<(String, Option<SocketAddrV4>)> {
+    /// Returns the members that are present in this member's view, then this member itself without an
+    /// address.
+    pub(crate) fn present_members(&self) -> Vec<(String, Option<SocketAddrV4>)> {
         let view = self.membership.view(self.clock.now());
         let others = view.members.iter().filter(|member| member.state.is_present());
         let others = others.map(|member| (member.name.as_str().to_string(), Some(member.addr)));
         others.chain([(self.config.name.as_str().to_string(), None)]).collect()
     }
 
-    /// The address that this member's datagrams come from.
-    pub(crate) fn source(&self) -> Ipv4Addr {
+    /// Returns the IP address that the datagram socket is bound to.
+    pub(crate) fn bind_ip(&self) -> Ipv4Addr {
         *self.config.bind.ip()
     }
 
+    /// Records an event in the history.
     pub(crate) fn record_event<E: Serialize>(&self, event: &E) {
         self.outputs.record_event(self.clock.now(), event);
     }
 
-    /// Where a member is, as seen from here.
+    /// Returns the address of a member; `None` if it is not present in this member's view.
     fn address_of(&self, now: Time, name: &Name) -> Option<SocketAddrV4> {
         if *name == self.config.name {
             return Some(self.config.advertise);
@@ -203,8 +209,8 @@
         }
     }
 
-    /// Answers an operator, or another member's exporter.
-    pub(crate) fn answer(&self, request: Request) -> Response {
+    /// Handles a request of an operator or of an exporter.
+    pub(crate) fn handle_request(&self, request: Request) -> Response {
         let now = self.clock.now();
         match request {
             Request::Status => self.status(now),
@@ -213,7 +219,7 @@
                 Response::Done
             }
             Request::ShutOut { name, .. } if name == self.config.name => {
-                refusal("a member can't shut out itself; ask another, or have it leave")
+                refusal("a member can't shut out itself; send the request to another member, or use leave")
             }
             Request::ShutOut { name, reason } => {
                 self.membership.shut_out(now, &name, &reason);
@@ -224,12 +230,12 @@
                 Response::Done
             }
             Request::Usage { stream, stored_up_to } => match &self.usage_log {
-                Some(usage_log) => usage_log.answer(stream.as_ref(), stored_up_to),
-                None => refusal("no use is kept here"),
+                Some(usage_log) => usage_log.usage_response(stream.as_ref(), stored_up_to),
+                None => refusal("this member keeps no usage log"),
             },
             request => match &self.duties {
-                Some(duties) => self.answer_on_duties(now, duties, request),
-                None => refusal("the fleet file names no voters: no duty has an owner"),
+                Some(duties) => self.handle_duty_request(now, duties, request),
+                None => refusal("the fleet file names no voters, so no duty has an owner"),
             },
         }
     }
@@ -245,7 +251,7 @@
         }
     }
 
-    fn answer_on_duties(&self, now: Time, duties: &Duties, request: Request) -> Response {
+    fn handle_duty_request(&self, now: Time, duties: &Duties, request: Request) -> Response {
         match request {
             Request::LocalRoles => {
                 let (voter, views) = duties.views(now);
@@ -260,12 +266,12 @@
             Request::Depose { id, duty } => duties.query(now, id, Some(&AdminCommand::Depose { duty })),
             Request::ReplaceVoter { id, old, new } => {
                 let Some(addr) = self.address_of(now, &new) else {
-                    return refusal(&format!("{new} is not there, as seen from here"));
+                    return refusal(&format!("{new} is not present in this member's view of the fleet"));
                 };
                 let (old, new) = (old.as_str().to_string(), new.as_str().to_string());
                 duties.query(now, id, Some(&AdminCommand::ReplaceVoter { old, new, addr }))
             }
-            _ => refusal("not understood"),
+            _ => refusal("unsupported request"),
         }
     }
 }
@@ -276,7 +282,7 @@
 
 fn open_outputs(config: &Config, clock: Clock, identity: RunIdentity) -> Result<Outputs, StartError> {
     let socket = DatagramSocket::bind(config.bind)?;
-    let ticker = Ticker::new(clock, TIMER_STEP).map_err(StartError::Timer)?;
+    let ticker = Ticker::new(clock, TIMER_RESOLUTION).map_err(StartError::Timer)?;
     let history = History::open(config.history.as_deref(), clock, config.name.clone(), identity.run)?;
     Ok(Outputs { socket: Arc::new(socket), history: Arc::new(history), ticker: Arc::new(ticker) })
 }
--- a/crates/cluster/src/outputs.rs
+++ b/crates/cluster/src/outputs.rs
@@ -1,4 +1,4 @@
-//! Where the effects of the state machines go.
+//! Outputs of the state machines.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::datagrams::DatagramSocket;
 use crate::history::History;
 
-/// Shared by membership and duties.
+/// Socket, history and timer, shared by membership and duties.
 #[derive(Clone)]
 pub(crate) struct Outputs {
     pub socket: Arc<DatagramSocket>,
@@ -27,7 +27,7 @@
         self.history.record(now, event);
     }
 
-    /// Has the timer tick at `deadline` at the latest.
+    /// Makes the timer fire at `deadline` at the latest; does nothing without a deadline.
     pub fn wake_by(&self, deadline: Option<Time>) {
         if let Some(deadline) = deadline {
             self.ticker.wake_by(deadline);
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -1,6 +1,6 @@
-//! The protocol of the control port: one line of JSON each way, then the connection ends.
+//! Protocol of the control port: one JSON line each way per connection.
 //!
-//! The names on the wire are older than those of the code; `serde(rename)` keeps them.
+//! Some names on the wire differ from those in the code; see the `serde(rename)` attributes.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,118 +10,119 @@
 use lynxstair_membership::{Name, View};
 use serde::{Deserialize, Serialize};
 
-/// Longest request, in bytes.
+/// Maximum length of a request, in bytes.
 pub const MAX_REQUEST_BYTES: usize = 4_096;
-/// Longest response, in bytes: 3,000 members take about a quarter of it.
+/// Maximum length of a response, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// A request to a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "ask", deny_unknown_fields)]
 pub enum Request {
-    /// The member's view of the fleet.
+    /// Returns the member's view of the fleet.
     Status,
-    /// The member tells others that it leaves, and takes part no more. It goes on serving.
+    /// Makes the member leave the fleet. It continues to serve requests.
     Leave,
-    /// Shuts a member out until it is let in again.
+    /// Excludes a member until it is readmitted by [`Request::LetIn`].
     ShutOut {
         /// The member's name.
         name: Name,
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Lets a member in that is shut out.
+    /// Readmits an excluded member.
     LetIn {
         /// The member's name.
         name: Name,
     },
-    /// The owners of all duties, confirmed by a majority of the voters. Sent again with the same id while the
-    /// response is [`Response::Pending`].
+    /// Returns the owners of all duties, confirmed by a majority of the voters. The client repeats the
+    /// request with the same id while the response is [`Response::Pending`].
     Owners {
-        /// Chosen by the operator.
+        /// Request id chosen by the client; identifies repeated requests.
         id: u64,
     },
-    /// The member's own part in duties and among the voters; it asks nobody.
+    /// Returns the member's local state as voter and duty holder, without contacting the voters.
     #[serde(rename = "own")]
     LocalRoles,
-    /// The first batch of usage after `stored_up_to`; those up to it are deleted. Without a stream and with 0 it
-    /// only asks which stream the member keeps.
+    /// Fetches the first usage batch after `stored_up_to` and deletes the batches up to it. If `stream` is not
+    /// the member's stream, deletes nothing and returns only the id of that stream.
     #[serde(rename = "uses")]
     Usage {
-        /// The stream.
+        /// The expected stream; `None` if not known yet.
         stream: Option<StreamId>,
-        /// The last batch that the sink has; 0: none.
+        /// Number of the last batch that the sink has; 0 if it has none.
         #[serde(rename = "had")]
         stored_up_to: u64,
     },
-    /// The owner of a duty gives it up to another member. Takes effect once for each id, as do the two below;
-    /// sent again with the same id while the response is [`Response::Pending`].
+    /// Transfers a duty from its owner to another member. Takes effect once per id, as do
+    /// [`Request::Depose`] and [`Request::ReplaceVoter`]; repeated with the same id while the response is
+    /// [`Response::Pending`].
     HandOver {
-        /// Chosen by the operator.
+        /// Request id chosen by the client; identifies repeated requests.
         id: u64,
         /// The duty's name.
         duty: String,
-        /// The member that is to have it.
+        /// Name of the next owner.
         to: Name,
     },
-    /// A duty is taken from its owner.
+    /// Revokes a duty from its owner.
     Depose {
-        /// Chosen by the operator.
+        /// Request id chosen by the client; identifies repeated requests.
         id: u64,
         /// The duty's name.
         duty: String,
     },
-    /// Another member becomes a voter in the place of one.
+    /// Replaces a voter by another member.
     #[serde(rename = "replace")]
     ReplaceVoter {
-        /// Chosen by the operator.
+        /// Request id chosen by the client; identifies repeated requests.
         id: u64,
-        /// The voter that goes.
+        /// Name of the voter to remove.
         old: Name,
-        /// The member that takes its place.
+        /// Name of the member to add as a voter.
         new: Name,
     },
 }
 
-/// A duty, as confirmed by a majority of the voters.
+/// Status of a duty, confirmed by a majority of the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DutyStatus {
     /// The duty's name.
     pub duty: String,
-    /// The owner's name; `None`: nobody owns it.
+    /// Name of the owner; `None` if the duty has no owner.
     pub owner: Option<String>,
-    /// Of the owner, or of the last one.
+    /// Epoch of the current or last owner.
     pub epoch: Epoch,
-    /// Milliseconds since 1970 by the clock of the voter that granted it.
+    /// Time of the grant in Unix milliseconds, by the clock of the voter that granted it.
     pub since_unix_ms: u64,
-    /// The voter that led when it was granted.
+    /// Name of the voter that led when it was granted.
     pub granted_by: String,
-    /// The member that the duty is being handed over to.
+    /// Next owner in a hand-over that is not finished; `None` otherwise.
     #[serde(rename = "meant_for")]
     pub reserved_for: Option<String>,
-    /// Length of the state that is stored with the duty.
+    /// Length of the state stored with the duty, in bytes.
     pub state_bytes: usize,
 }
 
-/// A voter, as confirmed by a majority of the voters.
+/// A voter, confirmed by a majority of the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterStatus {
     /// The member's name.
     pub name: String,
-    /// Chosen by the operator.
+    /// Id drawn by the voter when its records begin.
     pub id: u64,
-    /// Where it is reached.
+    /// Address that other members send to.
     pub addr: SocketAddrV4,
 }
 
-/// Requests whose usage was to be recorded since the start; on the wire a pair of numbers.
+/// Counts of requests to record in the usage log since the start; serialized as a pair of numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct UsageCounts {
-    /// All of them.
+    /// Requests to record.
     pub total: u64,
-    /// How many of them are recorded nowhere, for want of room.
+    /// Requests that were dropped because the log or its memory buffer was full.
     pub unrecorded: u64,
 }
 
@@ -137,77 +138,77 @@
     }
 }
 
-/// A member's response.
+/// A response of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "answer")]
 pub enum Response {
-    /// To [`Request::Status`].
+    /// Response to [`Request::Status`].
     Status {
         /// The fleet's name.
         fleet: Name,
-        /// Version of the program.
+        /// Version of the gatekeeper program.
         version: String,
-        /// Members and links as this member sees them.
+        /// The member's view of the fleet.
         view: Box<View>,
-        /// Why the last record could not be written; `None`: all are on disk.
+        /// Error of the last incarnation write; `None` if it succeeded.
         #[serde(rename = "disk")]
         disk_error: Option<String>,
-        /// Datagrams that were dropped unread, since too many came.
+        /// Datagrams dropped by the rate limit.
         #[serde(rename = "unread")]
         datagrams_dropped: u64,
-        /// Datagrams that could not be sent.
+        /// Datagrams that failed to be sent.
         #[serde(rename = "unsent")]
         datagrams_unsent: u64,
     },
-    /// The request has taken effect.
+    /// The request took effect.
     Done,
-    /// The request is refused.
+    /// The request was refused.
     #[serde(rename = "no")]
     Refused {
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// To [`Request::LocalRoles`].
+    /// Response to [`Request::LocalRoles`].
     #[serde(rename = "own")]
     LocalRoles {
-        /// Its voter.
+        /// The local voter.
         voter: VoterView,
-        /// By duty.
+        /// The duties that the member claims.
         duties: Vec<DutyView>,
-        /// Why the voter's last record could not be written; `None`: all are on disk.
+        /// Error of the voter's last write; `None` if it succeeded.
         #[serde(rename = "disk")]
         disk_error: Option<String>,
-        /// How much of its usage is recorded.
+        /// Counts of requests to record in the usage log.
         #[serde(rename = "uses", default)]
         usage: UsageCounts,
     },
-    /// To [`Request::Owners`].
+    /// Response to [`Request::Owners`].
     Owners {
-        /// By duty.
+        /// All duties.
         duties: Vec<DutyStatus>,
         /// All voters.
         voters: Vec<VoterStatus>,
-        /// The voter that led.
+        /// Leader of the voters.
         leader: String,
     },
-    /// To [`Request::Usage`].
+    /// Response to [`Request::Usage`].
     #[serde(rename = "uses")]
     Usage {
-        /// The stream.
+        /// The stream that the member keeps.
         stream: StreamId,
-        /// The batch, where one is sealed.
+        /// The next batch; `None` if there is none or the request named another stream.
         batch: Option<Arc<Batch>>,
-        /// Thousandths of a unit that the sink does not have yet, this batch included.
+        /// Usage that is not at the sink yet, including this batch, in thousandths of a unit.
         #[serde(rename = "held_milli", default)]
         pending_milli_units: u64,
     },
-    /// Not known yet: send the request again.
+    /// The voters have not replied yet; the client repeats the request.
     #[serde(rename = "waits")]
     Pending,
-    /// No majority was reached; why, as far as it is known.
+    /// The outcome is unknown, for instance because no majority of the voters was reached.
     Unknown {
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
--- a/crates/cluster/src/sink_client.rs
+++ b/crates/cluster/src/sink_client.rs
@@ -1,5 +1,5 @@
-//! Calls to a sink: one HTTP request on a connection of its own, with time limits. docs/operators/sink.md has
-//! the protocol.
+//! HTTP client of the usage sink. Each call opens a new connection and has time-outs. The protocol is
+//! described in docs/operators/sink.md.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
@@ -13,30 +13,30 @@
 use crate::protocol::MAX_RESPONSE_BYTES;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// For each read and each write.
+/// Time-out of each read and each write.
 const IO_TIMEOUT: Duration = Duration::from_millis(1_000);
 const STATUS_OK: u16 = 200;
 const STATUS_CONFLICT: u16 = 409;
 
-/// Why a call to the sink did not do what it was for.
+/// Failure of a call to the sink.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SinkError {
-    /// The sink saw a higher epoch: the caller owns the duty no longer.
-    #[error("a later epoch was seen: {highest_epoch}")]
+    /// The sink has seen a higher epoch: another member owns the duty.
+    #[error("the sink has seen a higher epoch: {highest_epoch}")]
     Fenced { highest_epoch: u64 },
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("no whole answer")]
+    #[error("incomplete HTTP response")]
     IncompleteResponse,
-    #[error("answers {0}")]
+    #[error("HTTP status {0}")]
     Status(u16),
-    #[error("not understood: {0}")]
+    #[error("malformed JSON: {0}")]
     Malformed(#[source] serde_json::Error),
-    #[error("{0:?}")]
+    #[error("batch rejected: {0:?}")]
     Rejected(BatchReply),
 }
 
-/// How far the sink is, and which streams it holds for incomplete.
+/// Position of each stream at the sink, and the streams that it has marked as incomplete.
 pub(crate) type SinkPositions = (Vec<(StreamId, StreamPosition)>, Vec<StreamId>);
 
 struct HttpResponse {
@@ -44,7 +44,7 @@
     body: Vec<u8>,
 }
 
-/// A sink at an address.
+/// Client of the sink at one address.
 pub(crate) struct SinkClient {
     addr: SocketAddrV4,
 }
@@ -58,20 +58,20 @@
         self.addr
     }
 
-    /// Asks how far the sink is. The sink refuses every lower epoch from then on.
+    /// Fetches the positions of the sink. The sink rejects lower epochs from then on.
     pub fn positions(&self, epoch: Epoch) -> Result<SinkPositions, SinkError> {
         let response = self.call("GET", &format!("/duties/{DUTY}?epoch={}", epoch.0), b"")?;
         decode(&accepted(&response)?.body)
     }
 
-    /// Sends a batch.
+    /// Sends a batch. Replies that reject the batch are `Ok` as well.
     pub fn send_batch(&self, epoch: Epoch, batch: &Batch) -> Result<BatchReply, SinkError> {
         let body = serde_json::to_vec(batch).map_err(SinkError::Malformed)?;
         let response = self.call("POST", &format!("/duties/{DUTY}/batches?epoch={}", epoch.0), &body)?;
         decode(&response.body)
     }
 
-    /// Tells whether a stream is complete.
+    /// Reports whether a stream is complete.
     pub fn send_status(&self, epoch: Epoch, status: &StreamStatus) -> Result<(), SinkError> {
         let body = serde_json::to_vec(status).map_err(SinkError::Malformed)?;
         let response = self.call("POST", &format!("/duties/{DUTY}/marks?epoch={}", epoch.0), &body)?;
@@ -92,7 +92,7 @@
     }
 }
 
-/// The response where its status is 200.
+/// Returns the response if its status is 200.
 fn accepted(response: &HttpResponse) -> Result<&HttpResponse, SinkError> {
     match response.status {
         STATUS_OK => Ok(response),
@@ -108,7 +108,7 @@
     serde_json::from_slice(body).map_err(SinkError::Malformed)
 }
 
-/// `None` where the response ended before it was whole, or is none.
+/// Reads a response; `None` if it is malformed, too long or incomplete.
 fn read_response(stream: &TcpStream) -> Option<HttpResponse> {
     let mut reader = BufReader::new(stream.take(MAX_RESPONSE_BYTES as u64));
     let mut status_line = String::new();
@@ -120,7 +120,7 @@
     Some(HttpResponse { status, body })
 }
 
-/// Reads the headers to their end.
+/// Reads all headers; `None` without a valid content length of at most [`MAX_RESPONSE_BYTES`].
 fn read_content_length(reader: &mut impl BufRead) -> Option<usize> {
     let mut length = None;
     loop {
--- a/crates/cluster/src/sync.rs
+++ b/crates/cluster/src/sync.rs
@@ -1,8 +1,8 @@
-//! Locking that outlives a panic elsewhere.
+//! Locking that ignores mutex poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks, also where a thread panicked while it held the lock: every holder here leaves the data whole.
+/// Locks a mutex, also if it is poisoned: every critical section in this crate keeps the data consistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/cluster/src/trial.rs
+++ b/crates/cluster/src/trial.rs
@@ -1,4 +1,4 @@
-//! What trials switch on in a process; never in service.
+//! Fault injection for trials; off in production.
 
 use std::io;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use crate::config::Config;
 use crate::error::StartError;
 
-/// Has the kernel kill this process when `parent`, which started it, ends: a killed trial leaves nothing running.
+/// Makes the kernel kill this process when `parent` ends, so that a killed trial leaves no process running.
 pub(crate) fn end_with_parent(parent: i32) -> Result<(), StartError> {
     set_pdeathsig(Signal::SIGKILL).map_err(StartError::ParentDeathSignal)?;
-    // Where the parent ended before that call, another process is the parent by now.
+    // If the parent ended before the call above, this process has another parent by now and gets no signal.
     if getppid().as_raw() != parent {
         return Err(StartError::ParentEnded);
     }
     Ok(())
 }
 
-/// A disk that is full while the file of the trial's settings exists.
+/// Returns a fault that fails writes as on a full disk while the configured file exists.
 pub(crate) fn write_fault(config: &Config) -> Option<WriteFault> {
     let path = config.trial.disk_full_while.clone()?;
     Some(Arc::new(move || match path.exists() {
--- a/crates/cluster/src/usage_log.rs
+++ b/crates/cluster/src/usage_log.rs
@@ -1,11 +1,12 @@
-//! The usage log: the units this gatekeeper let through, durable until a sink has them.
+//! The usage log: units of succeeded requests of this gatekeeper, stored until a sink has them.
 //!
-//! Records are appended to the open segment of a directory of their own. A thread seals segments; the owner of
-//! the duty `export` reads the sealed ones as batches, and they are deleted once the sink has them.
+//! Records are appended to an open segment file. A thread seals segments; the owner of the duty `export`
+//! fetches sealed segments as batches, and a segment is deleted once the sink has its batch.
 //!
-//! [`UsageLog::record`] runs on the coroutine thread, before a succeeded response is handed to its client: one
-//! write of 32 bytes to an open file, so that a kill after it loses nothing that a client was told. What may wait
-//! for a disk (a new file, a sync, reading, deleting) runs on the log's thread.
+//! [`UsageLog::record`] runs on the coroutine thread before a success is sent to the client. It writes one
+//! record of 32 bytes to an open file, so that the usage of an acknowledged request survives a kill of the
+//! process. Operations that may block on the disk (opening, syncing, reading and deleting files) run on the
+//! thread of the log.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -26,25 +27,25 @@
 use crate::protocol::{Response, UsageCounts};
 use crate::sync::lock;
 
-/// How often the open segment is sealed, where it holds anything.
+/// Interval at which the open segment is sealed if it has records.
 const SEAL_INTERVAL: Duration = Duration::from_millis(500);
-/// Most records that failed to be written and go into one segment.
+/// Most records with a failed write that are retried in one segment.
 const MAX_RETRIED_PER_SEGMENT: usize = MAX_SUMS_PER_BATCH;
-/// Most sealed batches in memory; the rest stays on disk until there is room.
+/// Most sealed batches kept in memory.
 const MAX_BATCHES_IN_MEMORY: usize = 64;
-/// Most records that wait in memory for a failing disk. What is over is counted as unrecorded.
+/// Most records kept in memory while the disk fails. Further ones are dropped and counted as unrecorded.
 const MAX_UNWRITTEN: usize = 65_536;
-/// Most bytes of sealed segments on disk: about two million requests. What is over is counted as unrecorded.
+/// Size of the sealed segments on disk above which requests are only counted as unrecorded.
 const MAX_BYTES_ON_DISK: u64 = 64 << 20;
-/// The file that holds the directory's id.
+/// File with the id of the directory.
 const DIRECTORY_ID_FILE: &str = "folder";
-/// Ending of a segment's file name.
+/// Suffix of segment file names.
 const SEGMENT_SUFFIX: &str = ".uses";
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// Why a usage log can't be opened.
+/// Failure to open a usage log.
 #[derive(Debug, thiserror::Error)]
-#[error("uses: {}: {cause}", directory.display())]
+#[error("usage log {}: {cause}", directory.display())]
 pub struct UsageLogError {
     directory: PathBuf,
     #[source]
@@ -64,9 +65,9 @@
     file: File,
     number: u64,
     records: u64,
-    /// Units of its records, and of those that wait, in thousandths.
+    /// Sum of the written and unwritten records, in thousandths of a unit.
     milli_units: u64,
-    /// Records whose write failed, oldest first.
+    /// Records with a failed write, oldest first.
     unwritten: Vec<[u8; USAGE_RECORD_BYTES]>,
 }
 
@@ -79,25 +80,30 @@
 
 #[derive(Default)]
 struct Sealed {
-    /// Read ahead for the export, by number.
+    /// Batches read into memory for the export, by number.
     batches: BTreeMap<u64, Arc<Batch>>,
+    /// Segments on disk, by number.
     on_disk: BTreeMap<u64, SealedSegment>,
-    /// The sink has all batches up to this number.
+    /// Number of the last batch that the sink has; 0 if it has none.
     stored_up_to: u64,
 }
 
-/// What one gatekeeper has that is not at the sink yet.
+/// Usage of one gatekeeper that is not at the sink yet.
 pub struct UsageLog {
     stream: StreamId,
     directory: PathBuf,
     open: Mutex<OpenSegment>,
     sealed: Mutex<Sealed>,
     write_fault: Option<WriteFault>,
+    /// Set while writes to the disk fail.
     is_failing: AtomicBool,
+    /// Set while the sealed segments exceed [`MAX_BYTES_ON_DISK`].
     is_full: AtomicBool,
+    /// Calls of [`UsageLog::record`].
     total: AtomicU64,
+    /// Those of which nothing was recorded.
     unrecorded: AtomicU64,
-    /// Thousandths of a unit that the sink does not have yet.
+    /// Usage that is not at the sink yet, in thousandths of a unit.
     pending_milli_units: AtomicU64,
 }
 
@@ -105,14 +111,14 @@
     directory.join(format!("{number:012}{SEGMENT_SUFFIX}"))
 }
 
-/// Opens a segment and syncs the directory, so that the file's name survives a power cut.
+/// Opens a segment and syncs the directory, so that the directory entry survives a power failure.
 fn open_segment(directory: &Path, number: u64) -> io::Result<File> {
     let file = OpenOptions::new().create(true).append(true).open(segment_path(directory, number))?;
     File::open(directory)?.sync_all()?;
     Ok(file)
 }
 
-/// Writes the id of a new directory, by a rename: the file is there whole or not at all.
+/// Writes the id of a new directory, atomically by a rename.
 fn write_directory_id(directory: &Path, id: u64) -> io::Result<()> {
     let new_file = directory.join(format!("{DIRECTORY_ID_FILE}.next"));
     let mut file = File::create(&new_file)?;
@@ -122,7 +128,7 @@
     File::open(directory)?.sync_all()
 }
 
-/// The id of the directory; `new_id` where it has none yet.
+/// Reads the id of the directory; assigns `new_id` if it has none yet.
 fn directory_id(directory: &Path, new_id: u64) -> Result<u64, UsageLogFault> {
     match fs::read_to_string(directory.join(DIRECTORY_ID_FILE)) {
         Ok(text) => u64::from_str_radix(text.trim(), 16).map_err(|_| UsageLogFault::DamagedDirectoryId),
@@ -134,7 +140,7 @@
     }
 }
 
-/// The segments that an earlier process left.
+/// Finds the segments of earlier processes.
 fn find_segments(directory: &Path, stream: &StreamId) -> io::Result<BTreeMap<u64, SealedSegment>> {
     let mut segments = BTreeMap::new();
     for entry in fs::read_dir(directory)?.flatten() {
@@ -149,11 +155,11 @@
 }
 
 impl UsageLog {
-    /// Opens the log in `directory`, which is created where it does not exist, and starts its thread. `new_id`
-    /// becomes the id of a new directory.
+    /// Opens the log in `directory` and starts its thread. Creates the directory with the id `new_id` if it
+    /// does not exist.
     ///
     /// # Errors
-    /// The directory can't be read or written, or no thread can be started.
+    /// If the directory can't be read or written, or the thread can't be started.
     pub(crate) fn start(
         directory: &Path,
         gatekeeper: &str,
@@ -175,7 +181,7 @@
         let directory_id = directory_id(directory, new_id)?;
         let stream = StreamId { gatekeeper: gatekeeper.to_string(), directory_id };
         let on_disk = find_segments(directory, &stream)?;
-        // The last segment is never deleted before the next one is there, so no number is given twice.
+        // The last segment is deleted only after the next one exists, so segment numbers are never reused.
         let number = on_disk.keys().next_back().map_or(1, |last| last + 1);
         let file = open_segment(directory, number)?;
         let pending = on_disk.values().map(|segment| segment.milli_units).sum();
@@ -196,10 +202,10 @@
 
     fn start_thread(self) -> Result<Arc<Self>, UsageLogFault> {
         let log = Arc::new(self);
-        let on_thread = log.clone();
+        let thread_log = log.clone();
         let run = move || {
             loop {
-                on_thread.maintain();
+                thread_log.maintain();
                 thread::sleep(SEAL_INTERVAL);
             }
         };
@@ -207,7 +213,7 @@
         Ok(log)
     }
 
-    /// Records the usage of a succeeded request. Called before the response goes to the client.
+    /// Records the usage of a succeeded request. Must be called before the response is sent to the client.
     pub fn record(&self, now: Time, tenant: u64, operation: u8, units: f32) {
         self.total.fetch_add(1, Ordering::Relaxed);
         if self.is_full.load(Ordering::Relaxed) {
@@ -222,11 +228,13 @@
         }
     }
 
-    /// Appends a record to the open segment, or to those that wait for the disk; false where there is no room.
+    /// Appends a record to the open segment, or keeps it in memory if the disk fails. Returns `false` if
+    /// [`MAX_UNWRITTEN`] records are already kept.
     fn append(&self, bytes: [u8; USAGE_RECORD_BYTES], milli_units: u64) -> bool {
         let mut open = lock(&self.open);
         let may_write = !self.is_failing.load(Ordering::Relaxed) && self.inject_fault().is_ok();
-        // Nothing is written past a record that waits: a failed write may have left a partial one in the file.
+        // No write while earlier records are unwritten: the failed write may have left a partial record in
+        // the file.
         if may_write && open.unwritten.is_empty() && open.file.write_all(&bytes).is_ok() {
             open.records += 1;
         } else {
@@ -245,27 +253,27 @@
         self.write_fault.as_ref().map_or(Ok(()), |fault| fault())
     }
 
-    /// Answers the exporter: the next batch where it asks for this log's stream.
-    pub(crate) fn answer(&self, stream: Option<&StreamId>, stored_up_to: u64) -> Response {
+    /// Returns the response to an exporter, with the next batch if `stream` is the stream of this log.
+    pub(crate) fn usage_response(&self, stream: Option<&StreamId>, stored_up_to: u64) -> Response {
         let is_this_stream = stream == Some(&self.stream);
         let batch = if is_this_stream { self.next_batch(stored_up_to) } else { None };
         let pending_milli_units = self.pending_milli_units();
         Response::Usage { stream: self.stream.clone(), batch, pending_milli_units }
     }
 
-    /// The first sealed batch after `stored_up_to`. The sink has all batches up to that one: they are deleted.
+    /// Returns the first sealed batch in memory after `stored_up_to`, and marks those up to it for deletion.
     fn next_batch(&self, stored_up_to: u64) -> Option<Arc<Batch>> {
         let mut sealed = lock(&self.sealed);
         sealed.stored_up_to = sealed.stored_up_to.max(stored_up_to);
         sealed.batches.range(stored_up_to + 1..).next().map(|(_, batch)| batch.clone())
     }
 
-    /// Thousandths of a unit that the sink does not have yet.
+    /// Returns the usage that is not at the sink yet, in thousandths of a unit.
     fn pending_milli_units(&self) -> u64 {
         self.pending_milli_units.load(Ordering::Relaxed)
     }
 
-    /// How many requests were to be recorded, and how many were not.
+    /// Returns the number of requests to record and of those that were dropped.
     pub(crate) fn counts(&self) -> UsageCounts {
         UsageCounts {
             total: self.total.load(Ordering::Relaxed),
@@ -273,28 +281,30 @@
         }
     }
 
+    /// Seals the open segment, deletes exported segments and reads sealed ones into memory.
     fn maintain(&self) {
         if let Err(e) = self.seal() {
             if !self.is_failing.swap(true, Ordering::Relaxed) {
-                error!(%e, "fleet: uses can't be written; they wait in memory");
+                error!(%e, "fleet: usage can't be written; keeping it in memory");
             }
             return;
         }
         if self.is_failing.swap(false, Ordering::Relaxed) {
-            info!("fleet: uses are written again");
+            info!("fleet: usage is written to disk again");
         }
         self.delete_stored();
         self.read_ahead();
     }
 
-    /// The number of the open segment where it is to be sealed.
+    /// Returns the number of the open segment if it has records or writes are failing.
     fn segment_to_seal(&self) -> Option<u64> {
         let open = lock(&self.open);
         let has_records = open.records > 0 || !open.unwritten.is_empty();
         (has_records || self.is_failing.load(Ordering::Relaxed)).then_some(open.number)
     }
 
-    /// Ends the open segment, with records that wait for the disk at its end, and opens the next one.
+    /// Opens the next segment, then appends unwritten records to the previous one and syncs it. If that
+    /// fails, the unwritten records are kept for the next segment.
     fn seal(&self) -> io::Result<()> {
         self.inject_fault()?;
         let Some(number) = self.segment_to_seal() else { return Ok(()) };
@@ -308,25 +318,26 @@
             let milli_units = std::mem::take(&mut open.milli_units);
             (std::mem::replace(&mut open.file, next_file), unwritten, milli_units)
         };
-        // Nothing may return between the drain above and here: what was drained is put back below.
-        let mut whole_bytes = None;
-        if let Err(e) = finish_segment(&file, &unwritten, &mut whole_bytes) {
-            if let Some(bytes) = whole_bytes {
+        // There must be no early return between the drain above and the error branch, which puts the records
+        // back.
+        let mut complete_bytes = None;
+        if let Err(e) = finish_segment(&file, &unwritten, &mut complete_bytes) {
+            if let Some(bytes) = complete_bytes {
                 let _ = file.set_len(bytes);
             }
-            let segment = SealedSegment { bytes: whole_bytes.unwrap_or_default(), milli_units: 0 };
+            let segment = SealedSegment { bytes: complete_bytes.unwrap_or_default(), milli_units: 0 };
             lock(&self.sealed).on_disk.insert(number, segment);
             let mut open = lock(&self.open);
             open.unwritten.splice(0..0, unwritten);
             open.milli_units += milli_units;
             return Err(e);
         }
-        let bytes = whole_bytes.unwrap_or_default() + (unwritten.len() * USAGE_RECORD_BYTES) as u64;
+        let bytes = complete_bytes.unwrap_or_default() + (unwritten.len() * USAGE_RECORD_BYTES) as u64;
         lock(&self.sealed).on_disk.insert(number, SealedSegment { bytes, milli_units });
         Ok(())
     }
 
-    /// Deletes the segments that the sink has.
+    /// Deletes the segments up to the last batch that the sink has.
     fn delete_stored(&self) {
         let stored: BTreeMap<u64, SealedSegment> = {
             let mut sealed = lock(&self.sealed);
@@ -350,11 +361,12 @@
         let unrecorded = self.counts().unrecorded;
         let is_full = held > MAX_BYTES_ON_DISK;
         if self.is_full.swap(is_full, Ordering::Relaxed) != is_full {
-            warn!(held, is_full, unrecorded, "fleet: the room for uses on disk; is the sink down?");
+            warn!(held, is_full, unrecorded, "fleet: usage log crossed its size limit; is the sink down?");
         }
     }
 
-    /// The next segment to be read into memory, where there is room for one.
+    /// Returns the number of the next segment to read; `None` if there is none or the memory limit is
+    /// reached.
     fn segment_to_read(&self) -> Option<u64> {
         let sealed = lock(&self.sealed);
         if sealed.batches.len() >= MAX_BATCHES_IN_MEMORY {
@@ -369,31 +381,31 @@
             let content = match fs::read(segment_path(&self.directory, number)) {
                 Ok(content) => content,
                 Err(e) => {
-                    error!(number, %e, "fleet: uses can't be read");
+                    error!(number, %e, "fleet: usage segment can't be read");
                     return;
                 }
             };
             let batch = Batch::from_segment(self.stream.clone(), number, &content);
             if batch.unreadable_records > 0 {
-                let unread = batch.unreadable_records;
-                error!(number, unread, "fleet: uses that can't be read; the export says so");
+                let unreadable = batch.unreadable_records;
+                error!(number, unread = unreadable, "fleet: usage segment has unreadable records");
             }
             lock(&self.sealed).batches.insert(number, Arc::new(batch));
         }
     }
 }
 
-/// Cuts off a partial record, appends those that waited, and syncs. `whole_bytes` is set to the length before
-/// them as soon as it is known.
+/// Truncates a partial record, appends `unwritten` and syncs. Sets `complete_bytes` to the length without
+/// the appended records as soon as it is known.
 fn finish_segment(
     mut file: &File,
     unwritten: &[[u8; USAGE_RECORD_BYTES]],
-    whole_bytes: &mut Option<u64>,
+    complete_bytes: &mut Option<u64>,
 ) -> io::Result<()> {
     let bytes = file.metadata()?.len();
-    let whole = bytes - bytes % USAGE_RECORD_BYTES as u64;
-    *whole_bytes = Some(whole);
-    file.set_len(whole)?;
+    let complete = bytes - bytes % USAGE_RECORD_BYTES as u64;
+    *complete_bytes = Some(complete);
+    file.set_len(complete)?;
     file.write_all(&unwritten.concat())?;
     file.sync_all()
 }
--- a/crates/cluster/src/usage_log/tests.rs
+++ b/crates/cluster/src/usage_log/tests.rs
@@ -11,7 +11,7 @@
     Time::from_nanos(0) + NOW
 }
 
-/// A log without its thread: the test calls `maintain` itself.
+/// Opens a log without its thread; the test calls `maintain`.
 fn open(directory: &Path, write_fault: Option<WriteFault>) -> UsageLog {
     UsageLog::open(directory, "g1", 7, write_fault).expect("opens")
 }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn sealed_records_outlast_a_restart_and_numbers_are_not_reused() {
+fn sealed_records_survive_a_restart_and_numbers_are_not_reused() {
     let directory = tempfile::tempdir().expect("a directory");
     let log = open(directory.path(), None);
     log.record(now(), TENANT, 1, 1.5);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn batches_that_the_sink_has_are_deleted() {
+fn exported_batches_are_deleted() {
     let directory = tempfile::tempdir().expect("a directory");
     let log = open(directory.path(), None);
     for _ in 0..3 {
@@ -57,11 +57,11 @@
 }
 
 #[test]
-fn records_wait_for_a_disk_that_fails_and_none_is_lost() {
+fn records_are_kept_in_memory_while_the_disk_fails() {
     let directory = tempfile::tempdir().expect("a directory");
     let is_full = Arc::new(AtomicBool::new(true));
-    let seen = is_full.clone();
-    let fault: WriteFault = Arc::new(move || match seen.load(Ordering::Relaxed) {
+    let fault_is_full = is_full.clone();
+    let fault: WriteFault = Arc::new(move || match fault_is_full.load(Ordering::Relaxed) {
         true => Err(ErrorKind::StorageFull.into()),
         false => Ok(()),
     });
@@ -80,7 +80,7 @@
 #[test]
 fn a_damaged_directory_id_is_an_error() {
     let directory = tempfile::tempdir().expect("a directory");
-    fs::write(directory.path().join(DIRECTORY_ID_FILE), "no number").expect("writes");
+    fs::write(directory.path().join(DIRECTORY_ID_FILE), "not a number").expect("writes");
     let error = UsageLog::start(directory.path(), "g1", 7, None).err().expect("damaged");
     assert!(error.to_string().ends_with("file `folder` is damaged"), "{error}");
 }
