--- a/crates/fakes/src/config.rs
+++ b/crates/fakes/src/config.rs
@@ -1,4 +1,4 @@
-//! Boot configurations of a gatekeeper among fakes.
+//! Boot configurations of a gatekeeper that uses the fakes.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
            "probes":true,"retryAfter":true,"secondCopies":true},
  "rules":{"fall":2000000000,"fallMultiple":2,"startCapacity":0.2,"stopSendingWithin":250000000,"warmWithin":10000000000}}"#;
 
-/// The configuration of the gatekeeper n0. `known`: the list of workers that it starts with.
+/// Returns the configuration of a gatekeeper named `n0`. `known` is the initial list of workers, as JSON.
 pub fn gatekeeper_config(
     listen: SocketAddr,
     known: &str,
@@ -21,7 +21,7 @@
     named_gatekeeper_config("n0", listen, known, counter, discovery)
 }
 
-/// The configuration of any gatekeeper.
+/// Returns the configuration of the gatekeeper `name`. `known` is the initial list of workers, as JSON.
 pub fn named_gatekeeper_config(
     name: &str,
     listen: SocketAddr,
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -1,4 +1,4 @@
-//! Counters: one that gives a scripted response, one that counts.
+//! Fake counters: one with a fixed response, one that adds up the requested amounts.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -7,30 +7,30 @@
 use std::sync::{Arc, Mutex};
 
 use crate::message::HttpMessage;
-use crate::{listener, lock, ok_response, serve};
+use crate::{bind_listener, lock, ok_response, serve};
 
-/// A counter and what it saw.
+/// A running counter and what it received.
 pub struct Counter {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// The request lines that it received.
+    /// Request lines received.
     pub request_lines: Arc<Mutex<Vec<String>>>,
-    /// Connections that ended.
+    /// Number of connections that ended.
     pub connections_closed: Arc<AtomicU32>,
 }
 
-/// A counter that always gives the same total; `None`: it never responds.
+/// Starts a counter that always responds with the same total, or never responds if `None`.
 pub fn start_counter(total: Option<f64>) -> Counter {
     start_counter_with_response(total.map(|total| ok_response(&total.to_string())))
 }
 
-/// A counter that always gives the same response; `None`: it never responds.
+/// Starts a counter that always sends the same response, or never responds if `None`.
 pub fn start_counter_with_response(response: Option<String>) -> Counter {
-    let (on, addr) = listener();
+    let (listener, addr) = bind_listener();
     let counter = Counter { addr, request_lines: Arc::default(), connections_closed: Arc::default() };
     let (request_lines, connections_closed) =
         (counter.request_lines.clone(), counter.connections_closed.clone());
-    serve(on, move |stream| {
+    serve(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some(message) = HttpMessage::read(&mut reader) {
             lock(&request_lines).push(message.start_line);
@@ -43,15 +43,16 @@
     counter
 }
 
-/// A counter that adds, as the protocol's page has it. It forgets nothing: the names of later windows differ.
+/// Starts a counter that adds up the requested amounts. It never expires a counter; later windows have other
+/// names.
 pub fn start_adding_counter() -> Counter {
-    let (on, addr) = listener();
+    let (listener, addr) = bind_listener();
     let counter = Counter { addr, request_lines: Arc::default(), connections_closed: Arc::default() };
     let totals: Mutex<HashMap<String, f64>> = Mutex::default();
     let connections_closed = counter.connections_closed.clone();
-    serve(on, move |stream| {
-        let Ok(reading) = stream.try_clone() else { return };
-        let mut reader = BufReader::new(reading);
+    serve(listener, move |stream| {
+        let Ok(read_half) = stream.try_clone() else { return };
+        let mut reader = BufReader::new(read_half);
         while let Some(message) = HttpMessage::read(&mut reader) {
             let response = match add(&totals, &message.start_line) {
                 Some(total) => ok_response(&total.to_string()),
@@ -66,7 +67,7 @@
     counter
 }
 
-/// Adds what `POST /counters/NAME?by=AMOUNT` asks for; returns the total.
+/// Handles `POST /counters/NAME?by=AMOUNT`. Returns the new total; `None` if the request line is invalid.
 fn add(totals: &Mutex<HashMap<String, f64>>, start_line: &str) -> Option<f64> {
     let (name, rest) = start_line.strip_prefix("POST /counters/")?.split_once("?by=")?;
     let amount: f64 = rest.split('&').next()?.parse().ok()?;
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,17 +1,16 @@
-//! Peers of the programs for tests and trials, on loopback, with scripted faults: workers, counters, discovery, a
-//! sink for exported usage, and a load of clients. Written from the protocol's page; they share no code with the
-//! programs.
+//! Fake peers of the programs for tests and trials, on loopback, with scripted faults: workers, counters,
+//! discovery, a usage sink, and a load generator. Their HTTP code is independent of the programs under test.
 //!
-//! Plain threads and blocking reads: they run in tests and command-line tools, never in a program of the system.
+//! They use threads and blocking I/O, and run only in tests and command-line tools.
 //!
 //! | file | content |
 //! | --- | --- |
-//! | `message.rs` | HTTP/1.1 as the fakes read and write it |
-//! | `worker.rs` | workers that follow a script |
+//! | `message.rs` | minimal HTTP/1.1 messages |
+//! | `worker.rs` | workers with scripted responses |
 //! | `counter.rs`, `discovery.rs`, `sink.rs` | the other peers of a gatekeeper |
-//! | `load.rs` | clients, and a record of what they and the workers saw |
-//! | `config.rs` | the gatekeeper's boot configuration |
-//! | `wait.rs` | waiting for what a process does |
+//! | `load.rs` | load generator that records what clients and workers observe |
+//! | `config.rs` | boot configurations of a gatekeeper |
+//! | `wait.rs` | polling with a time-out |
 #![forbid(unsafe_code)]
 
 mod config;
@@ -36,7 +35,7 @@
 pub use wait::{WAIT_TIMEOUT, wait_until};
 pub use worker::{WorkerAction, WorkerLog, start_worker};
 
-/// Serves each connection on a thread of its own.
+/// Accepts connections on a new thread and handles each one on its own thread.
 fn serve(listener: TcpListener, handle: impl Fn(TcpStream) + Send + Sync + 'static) {
     let handle = Arc::new(handle);
     thread::spawn(move || {
@@ -47,12 +46,13 @@
     });
 }
 
-/// An address of loopback on which nobody listens.
+/// Returns a loopback address with a port that was free just now.
 pub fn unused_address() -> SocketAddr {
-    listener().1
+    bind_listener().1
 }
 
-fn listener() -> (TcpListener, SocketAddr) {
+/// Listens on a free loopback port.
+fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
     (listener, addr)
@@ -62,7 +62,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A 200 with a body.
+/// Formats a 200 response with a body.
 fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -1,5 +1,5 @@
-//! A load of clients on several gatekeepers, with workers, a counter and discovery of their own, and a record of
-//! all that was sent and received. One worker may be drained_worker meanwhile.
+//! Load generator for several gatekeepers, with its own workers, counter and discovery service. Records all
+//! requests and attempts. One worker can be drained during the load.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,105 +14,106 @@
 use crate::counter::start_adding_counter;
 use crate::discovery::{Discovery, start_discovery, worker_entry};
 use crate::message::{HttpMessage, tenant_request_text};
-use crate::{Counter, listener, lock, ok_response, serve};
+use crate::{Counter, bind_listener, lock, ok_response, serve};
 
-/// How long a client waits for a response, in milliseconds.
+/// Time-out that clients send with a request, in milliseconds.
 const CLIENT_TIMEOUT_MS: u32 = 800;
-/// For so much longer it looks for one that comes too late.
-const LATE_RESPONSE_MS: u64 = 1_200;
+/// Time that clients wait for a late response after the time-out, in milliseconds.
+const LATE_RESPONSE_WAIT_MS: u64 = 1_200;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A client looks so often whether it is to stop.
+/// Longest time before a client checks whether to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const CLIENTS_PER_GATEKEEPER: usize = 4;
-const TENANTS: u64 = 7;
+const TENANT_COUNT: u64 = 7;
 const FIRST_TENANT: u64 = 0xb4d6_5521;
-/// Clients begin at so many different parts of their interval, so that not all requests come at once.
-const START_OFFSETS: u64 = 97;
+/// Number of different start times of clients within their request interval.
+const START_OFFSET_COUNT: u64 = 97;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// The machine's monotonic clock, in nanoseconds: the same for all processes on it.
+/// Returns the monotonic clock of the machine, in nanoseconds. It is the same for all processes.
 pub fn monotonic_nanos() -> u64 {
     let now = clock_gettime(ClockId::CLOCK_MONOTONIC);
     now.map_or(0, |now| now.tv_sec() as u64 * NANOS_PER_SECOND + now.tv_nsec() as u64)
 }
 
-/// What became of a request, as its client saw it.
+/// Outcome of a request, as observed by its client.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestOutcome {
-    /// The request's id.
+    /// Request id.
     pub id: u64,
-    /// The gatekeeper that it was sent to.
+    /// Name of the gatekeeper that the request was sent to.
     pub gatekeeper: String,
-    /// The tenant's key.
+    /// Tenant key.
     #[serde(rename = "customer")]
     pub tenant: u64,
-    /// `get` or `put`.
+    /// Operation: `get` or `put`.
     pub operation: &'static str,
-    /// By [`monotonic_nanos`].
+    /// Time before sending, by [`monotonic_nanos`].
     #[serde(rename = "sent")]
     pub sent_at: u64,
-    /// By [`monotonic_nanos`].
+    /// Time of the response or failure, by [`monotonic_nanos`].
     #[serde(rename = "ended")]
     pub ended_at: u64,
-    /// `None`: no response, for `reason`.
+    /// HTTP status; `None` if there was no response.
     pub status: Option<u16>,
-    /// `broke off`, `crossed`, `closed`, `none` or `reset`; empty with a status.
+    /// Reason for a missing response: `broke off`, `crossed`, `closed`, `none` or `reset`; empty with a
+    /// status.
     #[serde(rename = "why")]
     pub reason: &'static str,
-    /// Bytes that followed the response.
+    /// Number of bytes received after the response.
     #[serde(rename = "extra")]
     pub extra_bytes: usize,
 }
 
-/// An attempt as its worker received it. The worker runs each.
+/// An attempt received, and run, by a worker.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ReceivedAttempt {
-    /// The request's id.
+    /// Request id.
     pub id: u64,
-    /// Index of the worker.
+    /// Number of the worker.
     pub worker: usize,
-    /// By [`monotonic_nanos`].
+    /// Time of receipt, by [`monotonic_nanos`].
     #[serde(rename = "at")]
     pub received_at: u64,
 }
 
-/// All that happened.
+/// Recorded requests and attempts.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// What clients saw.
+    /// Outcomes observed by clients.
     pub outcomes: Mutex<Vec<RequestOutcome>>,
-    /// What workers saw.
+    /// Attempts received by workers.
     pub attempts: Mutex<Vec<ReceivedAttempt>>,
-    /// The worker that was drained_worker, and when all were told.
+    /// Number of the drained worker, and the time when its draining was published, by [`monotonic_nanos`].
     pub drained_worker: Mutex<Option<(usize, u64)>>,
 }
 
-/// How much load there is.
+/// Size of the load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Over all gatekeepers.
+    /// Request rate over all gatekeepers.
     pub requests_per_second: f64,
-    /// How many workers.
+    /// Number of workers.
     pub workers: usize,
 }
 
-/// The peers, and the clients while they run.
+/// A running load: fake peers and, once started, clients.
 pub struct Load {
     plan: LoadPlan,
-    /// Where the workers listen.
+    /// Addresses of the workers.
     pub workers: Vec<SocketAddr>,
-    /// The counter.
+    /// Counter for the gatekeepers.
     pub counter: Counter,
-    /// The list of workers.
+    /// Discovery service for the gatekeepers.
     pub discovery: Discovery,
-    /// What happened so far.
+    /// Requests and attempts recorded so far.
     pub traffic: Arc<Traffic>,
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts the peers; no client yet.
+    /// Starts the peers without clients.
     pub fn new(plan: LoadPlan) -> Self {
         let traffic = Arc::new(Traffic::default());
         let workers = (0..plan.workers).map(|number| start_worker(number, traffic.clone())).collect();
@@ -127,14 +128,14 @@
         }
     }
 
-    /// The list of workers as a boot configuration holds it.
+    /// Returns the worker list in the format of a boot configuration.
     pub fn worker_list(&self) -> String {
         let entry = |(number, addr): (usize, &SocketAddr)| worker_entry(number, *addr, "SERVING");
         let entries: Vec<_> = self.workers.iter().enumerate().map(entry).collect();
         format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, entries.join(","))
     }
 
-    /// Starts clients for each of these gatekeepers.
+    /// Starts clients for each gatekeeper, given by name and address.
     pub fn start_clients(&mut self, gatekeepers: &[(String, SocketAddr)]) {
         let next_id = Arc::new(AtomicU64::new(1));
         let clients = (gatekeepers.len() * CLIENTS_PER_GATEKEEPER) as f64;
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Tells all gatekeepers that the first worker drains.
+    /// Publishes to all gatekeepers that the first worker is draining.
     pub fn drain_first_worker(&self) {
         let entry = worker_entry(0, self.workers[0], "DRAINING");
         let update = format!(r#"{{"revision":8,"complete":false,"members":[{entry}]}}"#);
@@ -165,7 +166,7 @@
         *lock(&self.traffic.drained_worker) = Some((0, monotonic_nanos()));
     }
 
-    /// Stops the clients, each after its request.
+    /// Stops the clients; each one finishes its current request.
     pub fn stop_clients(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
@@ -180,12 +181,12 @@
     }
 }
 
-/// A worker that runs every attempt and records it.
+/// Starts a worker that records each attempt and responds 200. Returns its address.
 fn start_worker(number: usize, traffic: Arc<Traffic>) -> SocketAddr {
-    let (on, addr) = listener();
-    serve(on, move |stream| {
-        let Ok(reading) = stream.try_clone() else { return };
-        let mut reader = BufReader::new(reading);
+    let (listener, addr) = bind_listener();
+    serve(listener, move |stream| {
+        let Ok(read_half) = stream.try_clone() else { return };
+        let mut reader = BufReader::new(read_half);
         while let Some(message) = HttpMessage::read(&mut reader) {
             if let Ok(id) = u64::from_str_radix(message.header("request-id"), 16) {
                 let received_at = monotonic_nanos();
@@ -205,7 +206,7 @@
     gatekeeper: String,
     addr: SocketAddr,
     number: u64,
-    /// Between two requests.
+    /// Interval between requests.
     interval: Duration,
     next_id: Arc<AtomicU64>,
     traffic: Arc<Traffic>,
@@ -215,7 +216,7 @@
 impl Client {
     fn run(&self) {
         let mut connection: Option<Connection> = None;
-        let offset = (self.number % START_OFFSETS) as f64 / START_OFFSETS as f64;
+        let offset = (self.number % START_OFFSET_COUNT) as f64 / START_OFFSET_COUNT as f64;
         let mut due = Instant::now() + self.interval.mul_f64(offset);
         while !self.stop.load(Ordering::SeqCst) {
             let now = Instant::now();
@@ -223,32 +224,32 @@
                 thread::sleep((due - now).min(STOP_CHECK_INTERVAL));
                 continue;
             }
-            // Requests that could not be sent in time are not made up for.
+            // Requests that are overdue are skipped, not sent later.
             due = (due + self.interval).max(now);
             self.send_request(&mut connection);
         }
     }
 
     fn connect(&self) -> Option<Connection> {
-        let timeout = Duration::from_millis(u64::from(CLIENT_TIMEOUT_MS) + LATE_RESPONSE_MS);
+        let timeout = Duration::from_millis(u64::from(CLIENT_TIMEOUT_MS) + LATE_RESPONSE_WAIT_MS);
         let stream = TcpStream::connect_timeout(&self.addr, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(timeout)).ok()?;
         Some(BufReader::new(stream))
     }
 
-    /// Sends one request and records what became of it. The connection is kept where it may be used again.
-    fn send_request(&self, kept: &mut Option<Connection>) {
+    /// Sends one request and records its outcome. Keeps the connection in `reusable` if it may be reused.
+    fn send_request(&self, reusable: &mut Option<Connection>) {
         let id = self.next_id.fetch_add(1, Ordering::SeqCst);
         let operation = if id.is_multiple_of(3) { "put" } else { "get" };
-        let is_reused = kept.is_some();
-        let Some(mut connection) = kept.take().or_else(|| self.connect()) else { return };
-        let tenant = FIRST_TENANT + id % TENANTS;
+        let is_reused = reusable.is_some();
+        let Some(mut connection) = reusable.take().or_else(|| self.connect()) else { return };
+        let tenant = FIRST_TENANT + id % TENANT_COUNT;
         let request =
             tenant_request_text(tenant, operation, "wide", &format!("{id:016x}"), CLIENT_TIMEOUT_MS);
         let sent_at = monotonic_nanos();
         if connection.get_mut().write_all(request.as_bytes()).is_err() {
-            // Not sent: the connection had ended.
+            // The request was not sent, because the connection had ended.
             return;
         }
         let mut outcome = RequestOutcome {
@@ -267,7 +268,7 @@
                 outcome.status = Some(response.status());
                 outcome.extra_bytes = connection.buffer().len();
                 if response.header("connection") != "close" {
-                    *kept = Some(connection);
+                    *reusable = Some(connection);
                 }
             }
             Err(reason) => outcome.reason = reason,
@@ -277,8 +278,8 @@
     }
 }
 
-/// The response, or why there is none. A reused connection that the gatekeeper closed as the request was sent is
-/// `crossed`, not an error of either side.
+/// Waits for the response. The error is the reason for a missing one: `crossed` if the gatekeeper closed a
+/// reused connection while the request was being sent, which neither side can avoid.
 fn receive(connection: &mut Connection, is_reused: bool) -> Result<HttpMessage, &'static str> {
     match wait_for_first_byte(connection.get_ref()) {
         Ok(1..) => HttpMessage::read(connection).ok_or("broke off"),
@@ -290,11 +291,11 @@
     }
 }
 
-/// Returns 0 where the connection was closed.
+/// Blocks until a byte arrives. Returns 0 if the connection was closed.
 fn wait_for_first_byte(stream: &TcpStream) -> io::Result<usize> {
     loop {
         match stream.peek(&mut [0]) {
-            // A paused machine interrupts a read that has a time limit.
+            // A read with a time-out is interrupted when the machine is paused.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             peeked => return peeked,
         }
--- a/crates/fakes/src/message.rs
+++ b/crates/fakes/src/message.rs
@@ -1,28 +1,28 @@
-//! HTTP/1.1 as the fakes read and write it: blocking, and no more of it than the protocol's page needs.
+//! Minimal blocking HTTP/1.1 for the fakes.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 
-/// The tenant of [`request_text`].
+/// Tenant key in [`request_text`].
 const DEFAULT_TENANT: u64 = 0xb4d6_5521;
 
-/// A request or a response as it was read.
+/// A received request or response.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     /// The request line or status line.
     pub start_line: String,
-    /// By name in lower case.
+    /// Header values by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The body.
+    /// Body of the message.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// Reads a message; `None` at the end of the connection.
+    /// Reads a message; `None` if the connection ends before the message is complete.
     ///
     /// # Panics
-    /// The content length is no number.
+    /// If the content length is not a number.
     pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
         let start_line = read_line(from)?;
         let mut headers = HashMap::new();
@@ -37,18 +37,18 @@
         Some(HttpMessage { start_line, headers, body })
     }
 
-    /// A header; empty where there is none.
+    /// Returns the value of a header; empty if the header is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The status; 0 where this is no response.
+    /// Returns the status code; 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 }
 
-/// A line without its end; `None` at the end of the connection.
+/// Reads a line without its line ending; `None` at the end of the connection.
 fn read_line(from: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     from.read_line(&mut line).ok().filter(|bytes| *bytes > 0)?;
@@ -56,18 +56,18 @@
     Some(line)
 }
 
-/// Writes a request and reads the response; `None`: the connection ended before it was whole.
+/// Sends a request and reads the response; `None` if the connection ends before the response is complete.
 pub fn exchange(mut stream: &TcpStream, request: &str) -> Option<HttpMessage> {
     stream.write_all(request.as_bytes()).ok()?;
     HttpMessage::read(&mut BufReader::new(stream))
 }
 
-/// A request. The operation `get` is idempotent, `put` is not.
+/// Formats a request of the default tenant. The operation `get` is idempotent, `put` is not.
 pub fn request_text(operation: &str, plan: &str, id: &str, timeout_ms: u32) -> String {
     tenant_request_text(DEFAULT_TENANT, operation, plan, id, timeout_ms)
 }
 
-/// A request of any tenant.
+/// Formats a request of the given tenant.
 pub fn tenant_request_text(tenant: u64, operation: &str, plan: &str, id: &str, timeout_ms: u32) -> String {
     let (method, length, body) = match operation {
         "get" => ("GET", "", ""),
--- a/crates/fakes/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -1,5 +1,4 @@
-//! A sink for exported usage, over HTTP, with records on disk. docs/operators/sink.md has the protocol, so that
-//! others can write one.
+//! Fake usage sink over HTTP, with records on disk. The protocol is described in docs/operators/sink.md.
 
 use std::io::{BufReader, Write};
 use std::net::SocketAddr;
@@ -13,9 +12,9 @@
 
 use crate::load::monotonic_nanos;
 use crate::message::HttpMessage;
-use crate::{listener, lock, serve};
+use crate::{bind_listener, lock, serve};
 
-/// What a sink stores.
+/// Record in the file of a sink.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 enum Record {
@@ -35,28 +34,28 @@
     },
 }
 
-/// A batch that a sink received, and its reply.
+/// A batch received by a sink, and the reply.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReceivedBatch {
-    /// By [`monotonic_nanos`].
+    /// Time of receipt by [`monotonic_nanos`].
     #[serde(rename = "at")]
     pub received_at: u64,
-    /// The caller's epoch.
+    /// Epoch of the exporter.
     pub epoch: u64,
-    /// The batch.
+    /// The received batch.
     pub batch: Batch,
-    /// The reply.
+    /// Reply of the sink.
     #[serde(rename = "says")]
     pub reply: BatchReply,
 }
 
-/// Why a sink can't be opened.
+/// Failure to open a sink.
 #[derive(Debug, thiserror::Error)]
 pub enum SinkOpenError {
-    /// Its file can't be read.
+    /// The file can't be opened or read.
     #[error(transparent)]
     Log(#[from] lynxstair_record_log::Error),
-    /// A record in it is not understood.
+    /// A record can't be decoded.
     #[error(transparent)]
     Record(#[from] serde_json::Error),
 }
@@ -83,7 +82,7 @@
         Ok(Inner { state, log: opened.log, received: Vec::new() })
     }
 
-    /// Stores a record. The error is the response to the caller.
+    /// Writes a record to disk. The error is the response to the exporter.
     fn append(&mut self, record: &Record) -> Result<(), HttpResponse> {
         let bytes = serde_json::to_vec(record).unwrap_or_default();
         self.log.append(&bytes).map(|_| ()).map_err(|e| HttpResponse::new(500, e.to_string()))
@@ -94,26 +93,26 @@
     }
 }
 
-/// A sink on loopback, and the faults it is to have.
+/// A sink on loopback, with faults that a test can inject.
 pub struct Sink {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
-    /// It closes each connection without a response.
+    /// Whether the sink closes connections without handling requests.
     pub is_down: Arc<AtomicBool>,
-    /// So many further responses are lost; what was asked for is done.
+    /// Number of further requests that are handled without sending the response.
     pub responses_to_lose: Arc<AtomicU32>,
-    /// For trials: it accepts lower epochs than it saw.
+    /// For trials: whether requests with a lower epoch than the highest seen are accepted.
     pub accepts_stale_epochs: Arc<AtomicBool>,
 }
 
 impl Sink {
-    /// Opens a sink with the records in its directory.
+    /// Opens a sink with the records in `directory` and starts serving.
     ///
     /// # Errors
-    /// They can't be read.
+    /// If the records can't be read.
     pub fn open(directory: &Path) -> Result<Sink, SinkOpenError> {
-        let (on, addr) = listener();
+        let (listener, addr) = bind_listener();
         let sink = Sink {
             addr,
             inner: Arc::new(Mutex::new(Inner::open(directory)?)),
@@ -123,17 +122,18 @@
         };
         let inner = sink.inner.clone();
         let (is_down, responses_to_lose) = (sink.is_down.clone(), sink.responses_to_lose.clone());
-        let accepts_stale_epochs = sink.accepts_stale_epochs.clone();
-        serve(on, move |stream| {
-            let Ok(reading) = stream.try_clone() else { return };
-            let mut reader = BufReader::new(reading);
+        let accept_stale = sink.accepts_stale_epochs.clone();
+        serve(listener, move |stream| {
+            let Ok(read_half) = stream.try_clone() else { return };
+            let mut reader = BufReader::new(read_half);
             while let Some(message) = HttpMessage::read(&mut reader) {
                 if is_down.load(Ordering::SeqCst) {
                     return;
                 }
                 let response =
-                    answer(&mut lock(&inner), &message, accepts_stale_epochs.load(Ordering::SeqCst));
-                if take_one(&responses_to_lose) || (&stream).write_all(response.encode().as_bytes()).is_err()
+                    handle_request(&mut lock(&inner), &message, accept_stale.load(Ordering::SeqCst));
+                if try_decrement(&responses_to_lose)
+                    || (&stream).write_all(response.encode().as_bytes()).is_err()
                 {
                     return;
                 }
@@ -142,31 +142,31 @@
         Ok(sink)
     }
 
-    /// Goes on from another directory: from a copy of its records as they were earlier.
+    /// Replaces the state of the running sink by the records in `directory`, for instance an older copy.
     ///
     /// # Errors
-    /// They can't be read.
+    /// If the records can't be read.
     pub fn restore(&self, directory: &Path) -> Result<(), SinkOpenError> {
         let received = self.received();
         *lock(&self.inner) = Inner { received, ..Inner::open(directory)? };
         Ok(())
     }
 
-    /// Streams of which something may be missing.
+    /// Returns the status of the streams that are marked as incomplete.
     pub fn incomplete_streams(&self) -> Vec<StreamStatus> {
         lock(&self.inner).state.incomplete.values().cloned().collect()
     }
 
-    /// All batches received since it was opened.
+    /// Returns all batches received since the sink was opened.
     pub fn received(&self) -> Vec<ReceivedBatch> {
         lock(&self.inner).received.clone()
     }
 }
 
-/// Counts down; false where nothing was left.
-fn take_one(left: &AtomicU32) -> bool {
+/// Decrements a counter. Returns `false` if it was 0.
+fn try_decrement(counter: &AtomicU32) -> bool {
     let decrement = |n: u32| n.checked_sub(1);
-    left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
+    counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
 }
 
 struct HttpResponse {
@@ -189,33 +189,27 @@
     }
 }
 
-fn answer(inner: &mut Inner, message: &HttpMessage, accepts_stale_epochs: bool) -> HttpResponse {
-    let mut words = message.start_line.split(' ');
-    let (method, target) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
+fn handle_request(inner: &mut Inner, message: &HttpMessage, accept_stale: bool) -> HttpResponse {
+    let mut parts = message.start_line.split(' ');
+    let (method, target) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let epoch = query.strip_prefix("epoch=").and_then(|epoch| epoch.parse::<u64>().ok());
     let Some(epoch) = epoch else { return HttpResponse::new(400, "no epoch") };
     let result = match (method, path) {
-        ("GET", "/duties/export") => positions(inner, epoch, accepts_stale_epochs),
-        ("POST", "/duties/export/batches") => {
-            receive_batch(inner, epoch, &message.body, accepts_stale_epochs)
-        }
-        ("POST", "/duties/export/marks") => receive_status(inner, epoch, &message.body, accepts_stale_epochs),
+        ("GET", "/duties/export") => positions(inner, epoch, accept_stale),
+        ("POST", "/duties/export/batches") => receive_batch(inner, epoch, &message.body, accept_stale),
+        ("POST", "/duties/export/marks") => receive_status(inner, epoch, &message.body, accept_stale),
         _ => Err(HttpResponse::new(404, "nothing here")),
     };
     result.unwrap_or_else(|response| response)
 }
 
-/// Tells how far it is; a lower epoch than this is refused from then on.
-fn positions(
-    inner: &mut Inner,
-    epoch: u64,
-    accepts_stale_epochs: bool,
-) -> Result<HttpResponse, HttpResponse> {
+/// Returns the stream positions. Lower epochs are rejected from then on.
+fn positions(inner: &mut Inner, epoch: u64, accept_stale: bool) -> Result<HttpResponse, HttpResponse> {
     if epoch > inner.state.highest_epoch {
         inner.append(&Record::Epoch { epoch })?;
     }
-    if !inner.state.observe_epoch(epoch) && !accepts_stale_epochs {
+    if !inner.state.observe_epoch(epoch) && !accept_stale {
         return Err(inner.fenced());
     }
     let positions: Vec<_> = inner.state.positions.iter().collect();
@@ -227,10 +221,10 @@
     inner: &mut Inner,
     epoch: u64,
     body: &[u8],
-    accepts_stale_epochs: bool,
+    accept_stale: bool,
 ) -> Result<HttpResponse, HttpResponse> {
     let batch: Batch = serde_json::from_slice(body).map_err(|_| HttpResponse::new(400, "no batch"))?;
-    let checked_epoch = if accepts_stale_epochs { inner.state.highest_epoch.max(epoch) } else { epoch };
+    let checked_epoch = if accept_stale { inner.state.highest_epoch.max(epoch) } else { epoch };
     let reply = inner.state.check(checked_epoch, &batch);
     if reply == (BatchReply::Accepted { already_stored: false }) {
         inner.append(&Record::Batch { epoch, batch: batch.clone() })?;
@@ -251,10 +245,10 @@
     inner: &mut Inner,
     epoch: u64,
     body: &[u8],
-    accepts_stale_epochs: bool,
+    accept_stale: bool,
 ) -> Result<HttpResponse, HttpResponse> {
     let status: StreamStatus = serde_json::from_slice(body).map_err(|_| HttpResponse::new(400, "no mark"))?;
-    if epoch < inner.state.highest_epoch && !accepts_stale_epochs {
+    if epoch < inner.state.highest_epoch && !accept_stale {
         return Err(inner.fenced());
     }
     inner.append(&Record::Status { epoch, status: status.clone() })?;
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers that handle each attempt as a script says.
+//! Fake workers that handle each attempt as scripted.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
@@ -9,55 +9,55 @@
 use std::time::Duration;
 
 use crate::message::HttpMessage;
-use crate::{listener, lock, serve};
+use crate::{bind_listener, lock, serve};
 
-/// How much of a response a truncated one has, in bytes.
-const TRUNCATED_BYTES: usize = 60;
+/// Length of a truncated response, in bytes.
+const TRUNCATED_RESPONSE_BYTES: usize = 60;
 
-/// What a worker does with one attempt.
+/// Scripted handling of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerAction {
     /// Responds 200.
     Succeed,
-    /// Responds 200 after so many milliseconds.
+    /// Responds 200 after the given number of milliseconds.
     SucceedAfterMs(u64),
     /// Responds 200 with a chunked body.
     SucceedChunked,
-    /// Responds 200 and closes the connection at once, without having announced it.
+    /// Responds 200 and closes the connection without a `Connection: close` header.
     SucceedAndClose,
     /// Responds 500.
     Fail,
-    /// Responds 503 with the mark that the request never ran.
+    /// Responds 503 with the header `Not-Started: 1`, which states that the request was not run.
     RejectUnstarted,
-    /// Responds 503 without that mark.
+    /// Responds 503 without that header.
     RejectBusy,
     /// Closes the connection without a response.
     Reset,
-    /// Closes the connection within a response.
+    /// Closes the connection after the first bytes of a response.
     Truncate,
     /// Never responds.
     Hang,
 }
 
-/// What all workers of a test saw.
+/// What the workers of a test received.
 #[derive(Default)]
 pub struct WorkerLog {
-    /// The attempts, each with the number of the worker that received it.
+    /// Attempts, each with the number of the worker that received it.
     pub attempts: Mutex<Vec<(usize, HttpMessage)>>,
-    /// Connections accepted.
+    /// Number of connections accepted.
     pub connections: AtomicU32,
-    /// Connections that ended.
+    /// Number of connections that ended.
     pub connections_closed: AtomicU32,
 }
 
 impl WorkerLog {
-    /// The attempts of one request, in the order in which they came.
+    /// Returns the attempts of one request in order of arrival.
     pub fn attempts_of(&self, id: &str) -> Vec<(usize, HttpMessage)> {
-        let is_of = |(_, message): &&(usize, HttpMessage)| message.header("request-id") == id;
-        lock(&self.attempts).iter().filter(is_of).cloned().collect()
+        let is_same_request = |(_, message): &&(usize, HttpMessage)| message.header("request-id") == id;
+        lock(&self.attempts).iter().filter(is_same_request).cloned().collect()
     }
 
-    /// Adds an attempt; returns how many of its request came before it.
+    /// Adds an attempt. Returns the number of earlier attempts of the same request.
     fn add(&self, worker: usize, id: &str, message: HttpMessage) -> usize {
         let mut attempts = lock(&self.attempts);
         let earlier = attempts.iter().filter(|(_, message)| message.header("request-id") == id).count();
@@ -66,13 +66,13 @@
     }
 }
 
-/// By request id, what is done with its attempts in turn; what is not in it succeeds.
+/// Actions for the successive attempts of each request, by request id. Other attempts succeed.
 type Script = HashMap<String, Vec<WorkerAction>>;
 
-/// A worker that follows a script. Returns where it listens.
+/// Starts a worker that follows `script`. Returns its address.
 pub fn start_worker(number: usize, log: Arc<WorkerLog>, script: Arc<Mutex<Script>>) -> SocketAddr {
-    let (on, addr) = listener();
-    serve(on, move |stream| {
+    let (listener, addr) = bind_listener();
+    serve(listener, move |stream| {
         log.connections.fetch_add(1, Ordering::SeqCst);
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some(message) = HttpMessage::read(&mut reader) {
@@ -89,7 +89,7 @@
     addr
 }
 
-/// Returns whether the connection goes on.
+/// Performs an action. Returns `false` if the connection must be closed.
 fn perform(action: WorkerAction, id: &str, mut stream: &TcpStream, reader: &mut impl Read) -> bool {
     let body = format!("answer to {id}");
     let ok =
@@ -116,11 +116,11 @@
         WorkerAction::RejectBusy => write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
         WorkerAction::Reset => false,
         WorkerAction::Truncate => {
-            write(&ok("")[..TRUNCATED_BYTES]);
+            write(&ok("")[..TRUNCATED_RESPONSE_BYTES]);
             false
         }
         WorkerAction::Hang => {
-            // Until the other side closes.
+            // Blocks until the client closes the connection or sends more.
             let _ = reader.read(&mut [0]);
             false
         }
