--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -157,13 +157,13 @@
     }
 
     /// Returns the epoch of the lease that this member holds on the duty now; `None` without a valid lease.
-    pub fn held_epoch(&self, now: Time, duty: &str) -> Option<Epoch> {
-        lock(&self.state).holder.may_begin(now, duty)
+    pub fn leased_epoch(&self, now: Time, duty: &str) -> Option<Epoch> {
+        lock(&self.state).holder.leased_epoch(now, duty)
     }
 
     /// Handles the rejection of a write that was made under an older epoch than `highest_epoch`.
     pub fn on_fenced(&self, now: Time, duty: &str, highest_epoch: Epoch) {
-        self.update(now, |state| state.holder.on_refused(now, duty, highest_epoch));
+        self.update(now, |state| state.holder.on_fenced(now, duty, highest_epoch));
     }
 
     pub fn leave(&self, now: Time) {
--- a/crates/cluster/src/exporter.rs
+++ b/crates/cluster/src/exporter.rs
@@ -140,7 +140,7 @@
     }
 
     fn poll(&mut self, node: &ClusterNode) {
-        let Some(epoch) = node.held_epoch(DUTY) else { return };
+        let Some(epoch) = node.leased_epoch(DUTY) else { return };
         if Instant::now() < self.not_before {
             return;
         }
@@ -169,7 +169,7 @@
             self.progress.set_sink_positions(positions.into_iter().collect(), incomplete);
         }
         for (name, addr) in node.present_members() {
-            if node.held_epoch(DUTY) != Some(epoch) {
+            if node.leased_epoch(DUTY) != Some(epoch) {
                 return Ok(());
             }
             match self.export_member(node, epoch, &name, addr) {
@@ -179,7 +179,7 @@
             }
         }
         for status in self.progress.finish_round() {
-            if node.held_epoch(DUTY) != Some(epoch) {
+            if node.leased_epoch(DUTY) != Some(epoch) {
                 return Ok(());
             }
             self.send_status(node, epoch, &status)?;
@@ -263,7 +263,7 @@
             return Ok(NextStep::EndMember);
         }
         // The lease may still move between this check and the write; the sink then rejects the write.
-        if node.held_epoch(DUTY) != Some(epoch) {
+        if node.leased_epoch(DUTY) != Some(epoch) {
             return Ok(NextStep::EndMember);
         }
         if !self.pause.is_zero() && !std::mem::replace(&mut self.has_paused, true) {
--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -27,12 +27,12 @@
 /// Logs a membership event.
 pub(crate) fn log_membership(event: &Event) {
     match event {
-        Event::Began { identity } => {
+        Event::IncarnationStarted { identity } => {
             info!(
                 name = %identity.name,
                 incarnation = identity.incarnation.0,
                 addr = %identity.addr,
-                "fleet: incarnation began"
+                "fleet: incarnation started"
             );
         }
         Event::Phase { from, to, reason } => info!(?from, ?to, why = %reason, "fleet: phase changed"),
@@ -43,8 +43,8 @@
             _ => info!(%name, %addr, ?from, ?to, incarnation = incarnation.0, why = ?reason, "fleet: member"),
         },
         Event::Paused { ms } => warn!(ms, "fleet: process was paused"),
-        Event::DoubtBegan { reason } => warn!(why = ?reason, "fleet: local health in doubt"),
-        Event::DoubtEnded { ms } => info!(ms, "fleet: local health confirmed"),
+        Event::HealthDegraded { reason } => warn!(why = ?reason, "fleet: local health degraded"),
+        Event::HealthRecovered { ms } => info!(ms, "fleet: local health recovered"),
         Event::Link { to, state } => info!(%to, ?state, "fleet: link state changed"),
         Event::JoinRefused { name, addr, reason } => warn!(%name, %addr, why = %reason, "fleet: join denied"),
     }
@@ -62,9 +62,11 @@
         Event::Granted { duty, owner, epoch, .. } => info!(%duty, %owner, epoch = epoch.0, "fleet: granted"),
         Event::Released { duty, owner, epoch } => info!(%duty, %owner, epoch = epoch.0, "fleet: released"),
         Event::Voters { names } => info!(names = %names.join(", "), "fleet: voters changed"),
-        Event::Owns { duty, epoch } => info!(%duty, epoch = epoch.0, "fleet: this member owns the duty"),
-        Event::OwnsNoMore { duty, epoch, reason } => {
-            info!(%duty, epoch = epoch.0, why = %reason, "fleet: this member no longer owns the duty");
+        Event::OwnershipAcquired { duty, epoch } => {
+            info!(%duty, epoch = epoch.0, "fleet: ownership acquired")
+        }
+        Event::OwnershipLost { duty, epoch, reason } => {
+            info!(%duty, epoch = epoch.0, why = %reason, "fleet: ownership lost");
         }
     }
 }
--- a/crates/cluster/src/membership_records.rs
+++ b/crates/cluster/src/membership_records.rs
@@ -38,7 +38,7 @@
     /// Applies one record.
     pub fn apply(&mut self, record: Record) {
         match record {
-            Record::Began { incarnation } => {
+            Record::IncarnationStarted { incarnation } => {
                 self.last_incarnation = self.last_incarnation.max(Some(incarnation));
             }
             Record::Members { known } => self.known_members = known,
@@ -54,10 +54,10 @@
 
     /// Returns the smallest list of records that replays to this state.
     pub fn encode(&self) -> Vec<Vec<u8>> {
-        let began = self.last_incarnation.map(|incarnation| Record::Began { incarnation });
+        let started = self.last_incarnation.map(|incarnation| Record::IncarnationStarted { incarnation });
         let known = Record::Members { known: self.known_members.clone() };
         let notices = self.notices().into_iter().map(|notice| Record::Notice { notice });
-        began.into_iter().chain([known]).chain(notices).map(|record| encode(&record)).collect()
+        started.into_iter().chain([known]).chain(notices).map(|record| encode(&record)).collect()
     }
 }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -147,9 +147,9 @@
     }
 
     /// Returns the epoch of the lease that this member holds on the duty now; `None` without a valid lease.
-    pub(crate) fn held_epoch(&self, duty: &str) -> Option<Epoch> {
+    pub(crate) fn leased_epoch(&self, duty: &str) -> Option<Epoch> {
         let now = self.clock.now();
-        self.duties.as_ref().and_then(|duties| duties.held_epoch(now, duty))
+        self.duties.as_ref().and_then(|duties| duties.leased_epoch(now, duty))
     }
 
     /// Handles the rejection of a write that was made under an older epoch than `highest_epoch`.
--- a/crates/record-log/src/error.rs
+++ b/crates/record-log/src/error.rs
@@ -1,77 +1,77 @@
-//! Why a log can't be opened or written.
+//! Errors of opening, reading and writing a log.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::format::{MAX_RECORD, VERSION};
+use crate::format::{MAX_RECORD_BYTES, VERSION};
 
-/// Why a log can't be opened or written.
+/// Error of opening or writing a log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Another process has the folder open, and may be about to end.
+    /// Another process has the directory open. A retry succeeds once that process has ended.
     #[error("{}: another process has this folder open", .0.display())]
     InUse(PathBuf),
-    /// The folder holds the records of somebody else.
-    #[error("{}: the records are those of {found}, not of {wanted}; name another folder", file.display())]
+    /// The directory holds the records of another owner.
+    #[error("{}: the records are those of {found}, not of {wanted}; choose another folder", path.display())]
     OtherOwner {
-        /// The file.
-        file: PathBuf,
-        /// Whose records it holds.
+        /// Path of the file.
+        path: PathBuf,
+        /// Owner recorded in the file.
         found: String,
-        /// Whose were asked for.
+        /// Owner passed to `RecordLog::open`.
         wanted: String,
     },
-    /// The file is not as it was written. Trying again does not help.
+    /// The file is corrupted. A retry does not help.
     #[error(
-        "{}: damaged at byte {at}, in record {number}: {what}; put the file aside or bring it back from a copy",
-        file.display()
+        "{}: damaged at byte {offset}, in record {number}: {reason}; move the file away or restore a backup",
+        path.display()
     )]
     Damaged {
-        /// The file.
-        file: PathBuf,
-        /// Where, in bytes.
-        at: u64,
-        /// In which record; 0 in the head of the file.
+        /// Path of the file.
+        path: PathBuf,
+        /// Offset of the damage, in bytes.
+        offset: u64,
+        /// Number of the damaged record; 0 for the header of the file.
         number: u64,
-        /// What is wrong.
-        what: &'static str,
+        /// Kind of damage.
+        reason: &'static str,
     },
-    /// A newer program wrote the file.
-    #[error("{}: written by a newer program (layout {found}, this one knows {VERSION})", file.display())]
-    Newer {
-        /// The file.
-        file: PathBuf,
-        /// The version of its layout.
+    /// A newer version of the program wrote the file.
+    #[error("{}: written by a newer version (layout {found}, supported up to {VERSION})", path.display())]
+    UnsupportedVersion {
+        /// Path of the file.
+        path: PathBuf,
+        /// Layout version of the file.
         found: u8,
     },
-    /// The disk is full. Trying again helps once there is room.
+    /// The disk is full. A retry succeeds once there is room.
     #[error("{}: the disk is full", .0.display())]
-    Full(PathBuf),
-    /// A record is too long, in bytes.
-    #[error("a record of {0} bytes is longer than {MAX_RECORD}")]
-    TooLong(usize),
-    /// The system refuses to read or write. Trying again may help.
-    #[error("{}: {source}", file.display())]
+    DiskFull(PathBuf),
+    /// A record of this many bytes is too long.
+    #[error("a record of {0} bytes is longer than the maximum of {MAX_RECORD_BYTES} bytes")]
+    RecordTooLong(usize),
+    /// The operating system reported an error. A retry may succeed.
+    #[error("{}: {source}", path.display())]
     Io {
-        /// The file or folder.
-        file: PathBuf,
-        /// Why.
+        /// Path of the file or directory.
+        path: PathBuf,
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl Error {
-    /// For `map_err`: the error of an operation on a file.
-    pub(crate) fn io(file: &Path) -> impl FnOnce(io::Error) -> Error + use<> {
-        let file = file.to_path_buf();
+    /// Returns a function for `map_err` that converts the error of an operation on `path`.
+    pub(crate) fn io(path: &Path) -> impl FnOnce(io::Error) -> Error + use<> {
+        let path = path.to_path_buf();
         move |source| match source.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Error::Full(file),
-            _ => Error::Io { file, source },
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Error::DiskFull(path),
+            _ => Error::Io { path, source },
         }
     }
 
-    /// Whether a later try may succeed once there is room on the disk.
-    pub fn is_full(&self) -> bool {
-        matches!(self, Error::Full(_))
+    /// Returns `true` if the disk is full.
+    pub fn is_disk_full(&self) -> bool {
+        matches!(self, Error::DiskFull(_))
     }
 }
