--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -62,11 +62,9 @@
         Event::Granted { duty, owner, epoch, .. } => info!(%duty, %owner, epoch = epoch.0, "fleet: granted"),
         Event::Released { duty, owner, epoch } => info!(%duty, %owner, epoch = epoch.0, "fleet: released"),
         Event::Voters { names } => info!(names = %names.join(", "), "fleet: voters changed"),
-        Event::OwnershipAcquired { duty, epoch } => {
-            info!(%duty, epoch = epoch.0, "fleet: ownership acquired")
-        }
+        Event::OwnershipAcquired { duty, epoch } => info!(%duty, epoch = epoch.0, "fleet: duty acquired"),
         Event::OwnershipLost { duty, epoch, reason } => {
-            info!(%duty, epoch = epoch.0, why = %reason, "fleet: ownership lost");
+            info!(%duty, epoch = epoch.0, why = %reason, "fleet: duty lost");
         }
     }
 }
--- a/crates/cluster/src/usage_log.rs
+++ b/crates/cluster/src/usage_log.rs
@@ -49,11 +49,11 @@
 pub struct UsageLogError {
     directory: PathBuf,
     #[source]
-    cause: UsageLogFault,
+    cause: OpenError,
 }
 
 #[derive(Debug, thiserror::Error)]
-enum UsageLogFault {
+enum OpenError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("file `folder` is damaged")]
@@ -129,9 +129,9 @@
 }
 
 /// Reads the id of the directory; assigns `new_id` if it has none yet.
-fn directory_id(directory: &Path, new_id: u64) -> Result<u64, UsageLogFault> {
+fn directory_id(directory: &Path, new_id: u64) -> Result<u64, OpenError> {
     match fs::read_to_string(directory.join(DIRECTORY_ID_FILE)) {
-        Ok(text) => u64::from_str_radix(text.trim(), 16).map_err(|_| UsageLogFault::DamagedDirectoryId),
+        Ok(text) => u64::from_str_radix(text.trim(), 16).map_err(|_| OpenError::DamagedDirectoryId),
         Err(e) if e.kind() == io::ErrorKind::NotFound => {
             write_directory_id(directory, new_id)?;
             Ok(new_id)
@@ -176,7 +176,7 @@
         gatekeeper: &str,
         new_id: u64,
         write_fault: Option<WriteFault>,
-    ) -> Result<Self, UsageLogFault> {
+    ) -> Result<Self, OpenError> {
         fs::create_dir_all(directory)?;
         let directory_id = directory_id(directory, new_id)?;
         let stream = StreamId { gatekeeper: gatekeeper.to_string(), directory_id };
@@ -200,7 +200,7 @@
         })
     }
 
-    fn start_thread(self) -> Result<Arc<Self>, UsageLogFault> {
+    fn start_thread(self) -> Result<Arc<Self>, OpenError> {
         let log = Arc::new(self);
         let thread_log = log.clone();
         let run = move || {
