--- a/crates/emulator/src/core/checker.rs
+++ b/crates/emulator/src/core/checker.rs
@@ -1,5 +1,5 @@
-//! Checker that know only what callers saw: answers to orders, reads and heartbeats, and what requests through an edge
-//! showed to be in force there. They know nothing of leaders, terms or disks.
+//! Checks on what clients observe: answers to commands, reads and heartbeats, and the effects of the
+//! configuration that is active at a proxy. They use no internal state such as leaders, terms or disks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,198 +7,225 @@
 
 use super::linearizability::{Call, CallInput, CallOutput, Version, check_linearizability};
 
-/// As the operators' bounds of a small site.
-pub(crate) const CONTACT: Span = Span::from_millis(5_000);
-pub(crate) const CONVERGE: Span = Span::from_millis(2_500);
-pub(crate) const REVOKE: Span = Span::from_millis(5_000);
-pub(crate) const EVACUATE: Span = Span::from_millis(5_000);
-pub(crate) const DRAIN: Span = Span::from_millis(2_500);
-/// An order waits no longer for its acknowledgement in one stretch in which the core is settled.
-pub(crate) const ACK: Span = Span::from_millis(4_000);
-/// Whoever was told nothing for so long waits no longer, and what it asked for comes into force no more once the
-/// next order on the same matter is acknowledged.
-const GIVEN_UP: Span = Span::from_millis(1_100);
-
+/// Time after a fault within which the controllers have a leader and proxies are in contact with it, as
+/// in the operators' settings of a small site. The same holds for the next four limits.
+pub(crate) const CONTACT_TIME: Span = Span::from_millis(5_000);
+/// Time within which a change reaches the proxies.
+pub(crate) const CONVERGENCE_TIME: Span = Span::from_millis(2_500);
+/// Longest time for which a revoked key may work.
+pub(crate) const REVOCATION_TIME: Span = Span::from_millis(5_000);
+/// Time within which an evacuation takes effect.
+pub(crate) const EVACUATION_TIME: Span = Span::from_millis(5_000);
+/// Time within which a draining worker receives no more requests.
+pub(crate) const DRAIN_TIME: Span = Span::from_millis(2_500);
+/// Longest time until a definite answer while the core is settled.
+pub(crate) const ACK_TIMEOUT: Span = Span::from_millis(4_000);
+/// Time after which a call without an answer is abandoned. Its command takes no effect once a later
+/// command for the same zone is acknowledged.
+const CALL_LIFETIME: Span = Span::from_millis(1_100);
+
+/// Checked property. The core is settled if no fault began, ended or was active for `CONTACT_TIME` and a
+/// majority of the controllers is connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Check {
-    /// Orders and reads of the configuration can be told from those of one store at one place.
+    /// Changes and reads of the configuration are linearizable.
     Linearizable,
-    /// What was acknowledged is in the configuration that is read back at the end, or was built upon.
+    /// The configuration read at the end is not older than the newest acknowledged one.
     Lasting,
-    /// An edge goes back to an older version within its instance.
+    /// A proxy process never returns to an older generation.
     Backwards,
-    /// Something is in force that was refused, that nobody sent, or next to another under its number.
+    /// Every observed version was sent and not rejected, and is the only one of its generation.
     InForce,
-    /// An edge serves tenants by a version that was replaced longer ago than a key may still work.
+    /// A proxy serves no tenants with a version that was replaced more than `REVOCATION_TIME` ago.
     Revoked,
-    /// In calm times an edge acts on an older version than what was acknowledged a while ago.
+    /// While the core is settled, a proxy uses the newest version acknowledged `CONVERGENCE_TIME` ago, or
+    /// a newer one.
     Converges,
-    /// A worker whose heartbeats are acknowledged is not sent to, in calm times.
+    /// While the core is settled, a worker whose heartbeats are acknowledged receives requests.
     Promised,
-    /// A worker that was told that it leaves is still sent to, in calm times; or one that is dead.
+    /// While the core is settled, a worker receives no requests `DRAIN_TIME` after its drain was
+    /// acknowledged, or long after it ended.
     Drained,
-    /// A zone's last order is not in force, in calm times and at the end.
+    /// While the core is settled, the last command for a zone is in effect `EVACUATION_TIME` after its
+    /// acknowledgement.
     Evacuated,
-    /// An order waits too long for a clear answer in a calm time.
+    /// While the core is settled, a call gets a definite answer within `ACK_TIMEOUT`.
     Acknowledged,
-    /// Once all is calm there is a way forward within `contact-s`: orders, reads, heartbeats, edges.
+    /// After the end of all faults, commands, reads and heartbeats are answered and proxies are up to date.
     WayForward,
 }
 
-/// What one judge says.
+/// Violation of a checked property.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
+    /// The violated property.
     pub judge: Check,
-    /// Since the scenario began.
+    /// Time since the start of the scenario.
     pub at: Span,
+    /// Description of the observation.
     pub what: String,
 }
 
-/// One sending of an order about a zone.
+/// One attempt of a command for a zone.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneCall {
     pub zone: usize,
+    /// `true` for the start of an evacuation, `false` for its end.
     pub empties: bool,
     pub sent_at: Time,
     pub acked_at: Option<Time>,
 }
 
+/// Recorded history of a simulation, with the violations found.
 pub(crate) struct Checker {
     began_at: Time,
-    pub store: Vec<Call>,
-    pub zones: Vec<ZoneCall>,
-    refused: BTreeSet<u32>,
-    sent: BTreeSet<u32>,
-    /// Versions that were acknowledged, and when.
-    pub acked: Vec<(Time, Version)>,
-    /// Versions that an edge or a read showed.
-    shown: BTreeMap<u64, u32>,
-    /// The last version that each instance of an edge showed.
-    edges: BTreeMap<(usize, u64), u64>,
-    pub broken: Vec<Broken>,
+    /// Changes and reads of the configuration.
+    pub calls: Vec<Call>,
+    pub zone_calls: Vec<ZoneCall>,
+    rejected_marks: BTreeSet<u32>,
+    sent_marks: BTreeSet<u32>,
+    /// Acknowledged versions, with the time of the answer.
+    pub acknowledged: Vec<(Time, Version)>,
+    /// Mark of the version first observed for each generation.
+    observed: BTreeMap<u64, u32>,
+    /// Last generation observed at each proxy process.
+    proxy_generations: BTreeMap<(usize, u64), u64>,
+    pub violations: Vec<Broken>,
 }
 
 impl Checker {
     pub fn new(began_at: Time) -> Checker {
         Checker {
             began_at,
-            store: Vec::new(),
-            zones: Vec::new(),
-            refused: BTreeSet::new(),
-            sent: BTreeSet::new(),
-            acked: Vec::new(),
-            shown: BTreeMap::new(),
-            edges: BTreeMap::new(),
-            broken: Vec::new(),
+            calls: Vec::new(),
+            zone_calls: Vec::new(),
+            rejected_marks: BTreeSet::new(),
+            sent_marks: BTreeSet::new(),
+            acknowledged: Vec::new(),
+            observed: BTreeMap::new(),
+            proxy_generations: BTreeMap::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Each judge speaks once.
-    pub fn breaks(&mut self, now: Time, judge: Check, what: impl FnOnce() -> String) {
-        if !self.broken.iter().any(|b| b.judge == judge) {
-            self.broken.push(Broken { judge, at: now - self.began_at, what: what() });
+    /// Records a violation, only the first one of each property.
+    pub fn report(&mut self, now: Time, check: Check, what: impl FnOnce() -> String) {
+        if !self.violations.iter().any(|v| v.judge == check) {
+            self.violations.push(Broken { judge: check, at: now - self.began_at, what: what() });
         }
     }
 
-    pub fn sends(&mut self, now: Time, input: CallInput) -> usize {
+    /// Records the sending of a call and returns its index.
+    pub fn record_call(&mut self, now: Time, input: CallInput) -> usize {
         if let CallInput::Change { mark, .. } = input {
-            self.sent.insert(mark);
+            self.sent_marks.insert(mark);
         }
-        self.store.push(Call { sent_at: now, answered_at: now, input, output: CallOutput::Nothing });
-        self.store.len() - 1
+        self.calls.push(Call { sent_at: now, answered_at: now, input, output: CallOutput::Nothing });
+        self.calls.len() - 1
     }
 
-    pub fn told(&mut self, now: Time, call: usize, output: CallOutput) {
-        let call = &mut self.store[call];
+    pub fn record_output(&mut self, now: Time, call: usize, output: CallOutput) {
+        let call = &mut self.calls[call];
         (call.answered_at, call.output) = (now, output);
         match (call.input, output) {
             (CallInput::Change { number, mark, .. }, CallOutput::Taken) => {
-                self.acked.push((now, (number, mark)))
+                self.acknowledged.push((now, (number, mark)))
             }
             (CallInput::Change { mark, .. }, CallOutput::Refused) => {
-                self.refused.insert(mark);
+                self.rejected_marks.insert(mark);
             }
-            (_, CallOutput::Holds(Some(version))) => self.shows(now, "a read", version),
+            (_, CallOutput::Holds(Some(version))) => self.observe_version(now, "a read", version),
             _ => {}
         }
     }
 
-    fn shows(&mut self, now: Time, where_: &str, (number, mark): Version) {
-        let first = *self.shown.entry(number).or_insert(mark);
+    fn observe_version(&mut self, now: Time, source: &str, (number, mark): Version) {
+        let first = *self.observed.entry(number).or_insert(mark);
         if first != mark {
-            let what = || format!("{where_} shows {mark} under {number}, where {first} was shown");
-            self.breaks(now, Check::InForce, what);
+            let what = || format!("{source} shows {mark} for generation {number}, which was {first} before");
+            self.report(now, Check::InForce, what);
         }
-        if !self.sent.contains(&mark) {
-            self.breaks(now, Check::InForce, || format!("{where_} shows {mark}, which nobody sent"));
+        if !self.sent_marks.contains(&mark) {
+            self.report(now, Check::InForce, || format!("{source} shows {mark}, which was never sent"));
         }
     }
 
-    /// What requests through an edge showed. `in_touch`: it is calm, and this edge was in touch all the while.
-    pub fn edge(
+    /// Checks what requests through a proxy process show. `is_in_contact` is `true` if the core is
+    /// settled and the proxy was connected all that time.
+    pub fn observe_proxy(
         &mut self,
         now: Time,
-        edge: (usize, u64),
-        shown: Option<Version>,
-        serves: bool,
-        in_touch: bool,
+        proxy: (usize, u64),
+        active: Option<Version>,
+        serves_tenants: bool,
+        is_in_contact: bool,
     ) {
-        let number = shown.map_or(0, |(n, _)| n);
-        if let Some(version) = shown {
-            self.shows(now, "an edge", version);
+        let generation = active.map_or(0, |(n, _)| n);
+        if let Some(version) = active {
+            self.observe_version(now, "a proxy", version);
         }
-        let last = self.edges.entry(edge).or_default();
-        let before = std::mem::replace(last, number);
-        if number < before {
-            self.breaks(now, Check::Backwards, || format!("edge {} goes from {before} to {number}", edge.0));
+        let last = self.proxy_generations.entry(proxy).or_default();
+        let previous = std::mem::replace(last, generation);
+        if generation < previous {
+            self.report(now, Check::Backwards, || {
+                format!("proxy {} goes back from {previous} to {generation}", proxy.0)
+            });
         }
         let newest = |before: Time| {
-            let old = self.acked.iter().filter(|(at, _)| *at <= before);
-            old.map(|(_, (n, _))| *n).max().unwrap_or(0)
+            let acknowledged = self.acknowledged.iter().filter(|(at, _)| *at <= before);
+            acknowledged.map(|(_, (n, _))| *n).max().unwrap_or(0)
         };
-        let (revoked, settled) = (newest(now.saturating_sub(REVOKE)), newest(now.saturating_sub(CONVERGE)));
-        if serves && number < revoked {
-            let what = || format!("edge {} serves by {number}, {revoked} was acknowledged long ago", edge.0);
-            self.breaks(now, Check::Revoked, what);
+        let (revoked_below, converged) =
+            (newest(now.saturating_sub(REVOCATION_TIME)), newest(now.saturating_sub(CONVERGENCE_TIME)));
+        if serves_tenants && generation < revoked_below {
+            let what = || {
+                format!(
+                    "proxy {} serves with {generation}, though {revoked_below} was acknowledged long ago",
+                    proxy.0
+                )
+            };
+            self.report(now, Check::Revoked, what);
         }
-        if in_touch && number < settled {
-            let what = || format!("edge {} acts on {number}, {settled} was acknowledged", edge.0);
-            self.breaks(now, Check::Converges, what);
+        if is_in_contact && generation < converged {
+            let what = || format!("proxy {} uses {generation}, though {converged} was acknowledged", proxy.0);
+            self.report(now, Check::Converges, what);
         }
     }
 
-    /// What each zone must be, by the orders: None where that is not certain.
-    pub fn zone(&self, zone: usize, before: Time) -> Option<bool> {
-        let of: Vec<&ZoneCall> = self.zones.iter().filter(|c| c.zone == zone).collect();
+    /// Returns whether a zone must be evacuated, by the commands acknowledged up to `before`. `None` if
+    /// that is not certain.
+    pub fn expected_evacuation(&self, zone: usize, before: Time) -> Option<bool> {
+        let calls: Vec<&ZoneCall> = self.zone_calls.iter().filter(|c| c.zone == zone).collect();
         let last =
-            of.iter().filter(|c| c.acked_at.is_some_and(|at| at <= before)).max_by_key(|c| c.acked_at)?;
-        // A sending of the other order whose caller may still have waited when this one was sent: either may be last.
-        let is_before =
-            |c: &&&ZoneCall| c.acked_at.map_or(c.sent_at + GIVEN_UP < last.sent_at, |at| at < last.sent_at);
-        let certain = of.iter().filter(|c| c.empties != last.empties).all(|c| is_before(&c));
-        certain.then_some(last.empties)
+            calls.iter().filter(|c| c.acked_at.is_some_and(|at| at <= before)).max_by_key(|c| c.acked_at)?;
+        // An opposite command that was still open when this one was sent may be applied after it.
+        let is_before = |c: &&&ZoneCall| {
+            c.acked_at.map_or(c.sent_at + CALL_LIFETIME < last.sent_at, |at| at < last.sent_at)
+        };
+        let is_certain = calls.iter().filter(|c| c.empties != last.empties).all(|c| is_before(&c));
+        is_certain.then_some(last.empties)
     }
 
-    /// At the end: the configuration as it was read back, where it could be, and the history as a whole.
-    pub fn end(&mut self, now: Time, read: Option<Option<Version>>) {
-        let newest = self.acked.iter().map(|(_, v)| *v).max();
+    /// Final checks, on the complete history. `read` is the result of the last read, if there is one.
+    pub fn check_history(&mut self, now: Time, read: Option<Option<Version>>) {
+        let newest = self.acknowledged.iter().map(|(_, v)| *v).max();
         if let (Some(newest), Some(read)) = (newest, read)
             && read.is_none_or(|r| r.0 < newest.0)
         {
-            self.breaks(now, Check::Lasting, || {
-                format!("{newest:?} was acknowledged, {read:?} is read back")
+            self.report(now, Check::Lasting, || {
+                format!("{newest:?} was acknowledged, but {read:?} was read at the end")
             });
         }
-        let refused = self.shown.iter().find(|(_, mark)| self.refused.contains(mark));
-        if let Some((number, mark)) = refused.map(|(n, m)| (*n, *m)) {
-            self.breaks(now, Check::InForce, || {
-                format!("{mark} is in force under {number}, and was refused")
+        let rejected = self.observed.iter().find(|(_, mark)| self.rejected_marks.contains(mark));
+        if let Some((number, mark)) = rejected.map(|(n, m)| (*n, *m)) {
+            self.report(now, Check::InForce, || {
+                format!("{mark} was observed for generation {number}, but had been rejected")
             });
         }
-        if let Err(call) = check_linearizability(&self.store) {
+        if let Err(call) = check_linearizability(&self.calls) {
             let at = call.sent_at - self.began_at;
-            self.breaks(now, Check::Linearizable, || {
-                format!("{:?}, sent at {:.3} s, was told {:?}", call.input, at.secs(), call.output)
+            self.report(now, Check::Linearizable, || {
+                format!("{:?}, sent at {:.3} s, got {:?}", call.input, at.secs(), call.output)
             });
         }
     }
--- a/crates/emulator/src/core/deliberate_fault.rs
+++ b/crates/emulator/src/core/deliberate_fault.rs
@@ -1,32 +1,34 @@
-//! DeliberateFault faults, by name: each is what a plausible slip in the system would do. The tests of `core` have each of
-//! them found by a judge; a fault that none finds is a hole in the judges.
+//! Faults that tests put into the simulated system to verify that the checker detects them. Each is a
+//! plausible programming error.
 
 #[cfg(feature = "deliberate-faults")]
 use lynxstair_consensus::Fault;
 
+/// Error in the simulated system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliberateFault {
-    /// A disk says that a vote is synced, and has not kept it.
+    /// A vote is reported as synced but not stored on disk.
     UnsyncedVote,
-    /// A controller whose disk was emptied starts as a founder, and votes.
+    /// A controller that lost its disk starts as a founding member, and votes.
     EmptiedVotes,
-    /// 200 to a change as soon as it is proposed.
+    /// A command is acknowledged as soon as it is proposed.
     EarlyAnswer,
-    /// Reads and refusals are answered by a lease: whoever was sure lately answers.
+    /// The leader answers reads and rejections by a read lease, without quorum contact.
     LeaseRead,
-    /// A learner counts towards what is committed.
+    /// Acknowledgements of learners count towards the commit quorum.
     LearnerCounts,
-    /// A voter is exchanged for another in one change.
+    /// A voter is replaced in a single membership change.
     TwoAtOnce,
-    /// The vote of a member that was removed, or whose disk was emptied, counts.
+    /// Votes of removed members and of emptied disks count in elections.
     RemovedVotes,
-    /// A state on its way to another controller loses the marks of the changes that were taken.
+    /// A replicated state loses the table of recently applied commands on the way to another controller.
     MarkLost,
-    /// A controller out of touch says 200 to heartbeats.
+    /// A controller without quorum contact acknowledges heartbeats of workers.
     CutOffBeats,
 }
 
 impl DeliberateFault {
+    /// All deliberate faults.
     pub const ALL: [DeliberateFault; 9] = [
         DeliberateFault::UnsyncedVote,
         DeliberateFault::EmptiedVotes,
@@ -39,6 +41,7 @@
         DeliberateFault::CutOffBeats,
     ];
 
+    /// Name in output.
     pub fn name(self) -> &'static str {
         match self {
             DeliberateFault::UnsyncedVote => "unsynced-vote",
@@ -53,9 +56,9 @@
         }
     }
 
-    /// Those that sit inside the consensus; the others are put in by the world round it.
+    /// Returns the fault to enable in the consensus state machine. `None` if the simulation implements it.
     #[cfg(feature = "deliberate-faults")]
-    pub(crate) fn in_room(self) -> Option<Fault> {
+    pub(crate) fn consensus_fault(self) -> Option<Fault> {
         match self {
             DeliberateFault::LearnerCounts => Some(Fault::LearnersInCommitQuorum),
             DeliberateFault::TwoAtOnce => Some(Fault::VoterReplacedInOneChange),
--- a/crates/emulator/src/core/linearizability.rs
+++ b/crates/emulator/src/core/linearizability.rs
@@ -1,78 +1,90 @@
-//! Whether the configuration's callers could tell it from one store that takes each call at one moment between its sending and
-//! its answer: the search of Wing and Gong, exact, with what was tried remembered.
+//! Linearizability checker for calls that read or change the configuration. It searches for an order of
+//! the calls that a single store could have processed, each at one moment between its sending and its
+//! answer, as in the algorithm of Wing and Gong with memoization.
 //!
-//! What keeps it small: a call that changes nothing and fits what stands is best placed at once, so only changes are
-//! tried in several orders; a call without an answer matters only where it changes something; and numbers only rise, so
-//! whatever is known to have been in force has to come before all that stands above it.
+//! The search stays small for three reasons. Calls that match the current state without changing it are
+//! placed at once. Calls without an answer are placed only if they change the state. Generations only
+//! increase, so an observed version must precede all higher ones.
 
 use std::collections::{BTreeSet, HashSet};
 
 use lynxstair::types::Time;
 
-/// A version as callers see it: its number, and which change made it (numbers are used twice).
+/// Generation of a configuration and mark of the change that created it. Several changes may choose the same
+/// generation.
 pub type Version = (u64, u32);
 
-/// What a caller asks for.
+/// Input of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallInput {
-    /// A configuration of this number on top of `base`; `mark` tells the bytes of one from those of another.
+    /// Change from generation `base` to generation `number`. Only identical changes have the same `mark`.
     Change {
+        /// Generation that the change is based on.
         base: u64,
+        /// New generation.
         number: u64,
+        /// Mark of the change.
         mark: u32,
     },
+    /// Read of the configuration.
     Read,
 }
 
-/// What it was told.
+/// Result of a call, as received by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutput {
-    /// 200 to a change.
+    /// The change was acknowledged with status 200.
     Taken,
-    /// 4xx to a change.
+    /// The change was rejected with a 4xx status.
     Refused,
-    /// What a read brought; None for nothing yet.
+    /// Version returned by a read; `None` if there is no configuration yet.
     Holds(Option<Version>),
-    /// No clear answer, or none at all: it may still come into force, or never.
+    /// No definite answer. A change may take effect later, or never.
     Nothing,
 }
 
-/// One sending of a call, and its answer.
+/// One attempt of a call, and its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// Time at which the call was sent.
     pub sent_at: Time,
-    /// Meaningless where it was told nothing.
+    /// Time of the answer; without meaning if there was none.
     pub answered_at: Time,
+    /// Input of the call.
     pub input: CallInput,
+    /// Result of the call.
     pub output: CallOutput,
 }
 
+/// State of the store during the search.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Held {
+struct State {
     version: Option<Version>,
-    taken: Vec<u32>,
+    /// Sorted marks of the applied changes.
+    applied: Vec<u32>,
 }
 
-impl Held {
-    fn takes(&self, input: &CallInput) -> Option<Held> {
+impl State {
+    /// Returns the state after a change, or `None` if the call does not change the state.
+    fn apply(&self, input: &CallInput) -> Option<State> {
         let CallInput::Change { base, number, mark } = *input else { return None };
         let current = self.version.map_or(0, |(n, _)| n);
-        if self.taken.contains(&mark) || base != current || number <= current {
+        if self.applied.contains(&mark) || base != current || number <= current {
             return None;
         }
-        let mut taken = self.taken.clone();
-        taken.push(mark);
-        taken.sort_unstable();
-        Some(Held { version: Some((number, mark)), taken })
+        let mut applied = self.applied.clone();
+        applied.push(mark);
+        applied.sort_unstable();
+        Some(State { version: Some((number, mark)), applied })
     }
 
-    /// Whether a call that changes nothing may be answered so.
-    fn fits(&self, call: &Call) -> bool {
+    /// Returns `true` if this state explains the result of a call that changes nothing.
+    fn matches(&self, call: &Call) -> bool {
         match (call.input, call.output) {
             (CallInput::Read, CallOutput::Holds(version)) => version == self.version,
-            (CallInput::Change { mark, .. }, CallOutput::Taken) => self.taken.contains(&mark),
+            (CallInput::Change { mark, .. }, CallOutput::Taken) => self.applied.contains(&mark),
             (CallInput::Change { mark, .. }, CallOutput::Refused) => {
-                !self.taken.contains(&mark) && self.takes(&call.input).is_none()
+                !self.applied.contains(&mark) && self.apply(&call.input).is_none()
             }
             _ => false,
         }
@@ -81,14 +93,16 @@
 
 struct Search<'a> {
     calls: &'a [Call],
-    /// Versions that were in force for certain, as somebody was told so.
-    certain: BTreeSet<Version>,
-    tried: HashSet<(Vec<u64>, Held)>,
-    /// The most calls that were ever in place at once, and the first that would not fit then.
+    /// Versions that were certainly active, as a caller received them in an answer.
+    observed: BTreeSet<Version>,
+    /// Sets of placed calls, with the state they led to, that were explored already.
+    visited: HashSet<(Vec<u64>, State)>,
+    /// Largest number of placed calls so far, and the call that could not be placed then.
     best: (usize, Option<usize>),
 }
 
-/// Ok, or the first call that fits nowhere once as many as can be are in place.
+/// Checks that a history is linearizable. Otherwise returns the call that could not be placed when most
+/// others were.
 pub fn check_linearizability(calls: &[Call]) -> Result<(), Call> {
     let mut calls: Vec<Call> = calls
         .iter()
@@ -96,73 +110,79 @@
         .filter(|c| c.input != CallInput::Read || c.output != CallOutput::Nothing)
         .collect();
     calls.sort_by_key(|c| c.sent_at);
-    let told = |c: &Call| match (c.input, c.output) {
+    let observed_version = |c: &Call| match (c.input, c.output) {
         (CallInput::Change { number, mark, .. }, CallOutput::Taken) => Some((number, mark)),
         (_, CallOutput::Holds(version)) => version,
         _ => None,
     };
-    let certain = calls.iter().filter_map(told).collect();
-    let mut search = Search { calls: &calls, certain, tried: HashSet::new(), best: (0, None) };
-    let done = vec![0u64; calls.len().div_ceil(64)];
-    if search.goes(done, &Held::default(), 0) {
+    let observed = calls.iter().filter_map(observed_version).collect();
+    let mut search = Search { calls: &calls, observed, visited: HashSet::new(), best: (0, None) };
+    let placed_calls = vec![0u64; calls.len().div_ceil(64)];
+    if search.search(placed_calls, &State::default(), 0) {
         return Ok(());
     }
     Err(calls[search.best.1.unwrap_or(0)])
 }
 
-fn has(done: &[u64], n: usize) -> bool {
-    done[n / 64] >> (n % 64) & 1 == 1
+fn is_placed(placed_calls: &[u64], index: usize) -> bool {
+    placed_calls[index / 64] >> (index % 64) & 1 == 1
 }
 
 impl Search<'_> {
-    fn goes(&mut self, mut done: Vec<u64>, held: &Held, mut placed: usize) -> bool {
-        // Calls that may come next: none that is still out was answered before they were sent.
+    /// Tries to place the remaining calls. `placed_calls` is a bit set of call indices.
+    fn search(&mut self, mut placed_calls: Vec<u64>, state: &State, mut placed_count: usize) -> bool {
+        // Calls that may come next: those sent before the first answer to a call that is not placed yet.
         let enabled = loop {
-            let out = |n: &usize| !has(&done, *n);
+            let remaining = |n: &usize| !is_placed(&placed_calls, *n);
             let answered = |n: &usize| self.calls[*n].output != CallOutput::Nothing;
-            let limit =
-                (0..self.calls.len()).filter(out).filter(answered).map(|n| self.calls[n].answered_at).min();
+            let limit = (0..self.calls.len())
+                .filter(remaining)
+                .filter(answered)
+                .map(|n| self.calls[n].answered_at)
+                .min();
             let Some(limit) = limit else { return true };
-            let enabled: Vec<usize> =
-                (0..self.calls.len()).take_while(|n| self.calls[*n].sent_at <= limit).filter(out).collect();
-            let fitting: Vec<usize> =
-                enabled.iter().copied().filter(|n| held.fits(&self.calls[*n])).collect();
-            if fitting.is_empty() {
+            let enabled: Vec<usize> = (0..self.calls.len())
+                .take_while(|n| self.calls[*n].sent_at <= limit)
+                .filter(remaining)
+                .collect();
+            let matching: Vec<usize> =
+                enabled.iter().copied().filter(|n| state.matches(&self.calls[*n])).collect();
+            if matching.is_empty() {
                 break enabled;
             }
-            for n in fitting {
-                done[n / 64] |= 1 << (n % 64);
-                placed += 1;
+            for n in matching {
+                placed_calls[n / 64] |= 1 << (n % 64);
+                placed_count += 1;
             }
         };
-        if placed >= self.best.0 {
+        if placed_count >= self.best.0 {
             let stuck = enabled.iter().copied().filter(|n| self.calls[*n].output != CallOutput::Nothing);
-            self.best = (placed, stuck.min_by_key(|n| self.calls[*n].answered_at));
+            self.best = (placed_count, stuck.min_by_key(|n| self.calls[*n].answered_at));
         }
-        if !self.tried.insert((done.clone(), held.clone())) {
+        if !self.visited.insert((placed_calls.clone(), state.clone())) {
             return false;
         }
-        let current = held.version.map_or(0, |(n, _)| n);
-        // What has to come next, and may not be passed over.
-        let next_certain = self.certain.iter().copied().find(|(_, mark)| !held.taken.contains(mark));
-        if next_certain.is_some_and(|(number, _)| number <= current) {
+        let current = state.version.map_or(0, |(n, _)| n);
+        // The next observed version must not be skipped.
+        let next_observed = self.observed.iter().copied().find(|(_, mark)| !state.applied.contains(mark));
+        if next_observed.is_some_and(|(number, _)| number <= current) {
             return false;
         }
-        let mut seen = Vec::new();
+        let mut tried_marks = Vec::new();
         for n in enabled {
             let call = &self.calls[n];
             let CallInput::Change { number, mark, .. } = call.input else { continue };
-            let is_passed_over = next_certain.is_some_and(|c| c != (number, mark) && c.0 <= number);
+            let skips_observed = next_observed.is_some_and(|c| c != (number, mark) && c.0 <= number);
             if !matches!(call.output, CallOutput::Taken | CallOutput::Nothing)
-                || is_passed_over
-                || seen.contains(&mark)
+                || skips_observed
+                || tried_marks.contains(&mark)
             {
                 continue;
             }
-            if let Some(next) = held.takes(&call.input) {
-                // Whichever of its sendings came into force, the others find it there.
-                seen.push(mark);
-                if self.goes(done.clone(), &next, placed) {
+            if let Some(next) = state.apply(&call.input) {
+                // The other attempts of this change then find it applied.
+                tried_marks.push(mark);
+                if self.search(placed_calls.clone(), &next, placed_count) {
                     return true;
                 }
             }
--- a/crates/emulator/src/core/links.rs
+++ b/crates/emulator/src/core/links.rs
@@ -1,37 +1,39 @@
-//! Lines between machines, as TCP gives them: nothing is lost, doubled or reordered within one; what a cut holds up
-//! comes in order once it is mended, or is lost with the line. A cut is one-way. A line opens only where both ways
-//! are free.
+//! Simulated TCP connections between machines. Messages on an open link arrive once and in order. A cut,
+//! which affects one direction, holds messages up; after it has healed they arrive in order, or are lost
+//! with the connection. A link can be opened only if neither direction is cut.
 
 use std::collections::{BTreeMap, HashSet};
 
 use lynxstair::types::{Span, Time};
 
-/// A line by who opened it, and to whom.
-pub(crate) type Ends = (usize, usize);
+/// The machine that opens a link, and its peer.
+pub(crate) type LinkEnds = (usize, usize);
 
 #[derive(Debug)]
-struct Line<W> {
-    /// Which line between these two it is.
-    instance: u64,
+struct Link<M> {
+    /// Number of the current connection between the two machines.
+    connection: u64,
     is_open: bool,
-    /// When the last word of each direction arrives: from the opener, to it.
-    last: [Time; 2],
-    held: [Vec<W>; 2],
+    /// Arrival time of the last message of each direction: from the opener, to the opener.
+    last_arrival: [Time; 2],
+    /// Messages of each direction that are held up by a cut.
+    held: [Vec<M>; 2],
 }
 
 #[derive(Debug)]
-pub(crate) struct Lines<W> {
-    all: BTreeMap<Ends, Line<W>>,
-    cut: HashSet<Ends>,
+pub(crate) struct Links<M> {
+    links: BTreeMap<LinkEnds, Link<M>>,
+    /// Cut directions, by sender and recipient.
+    cut: HashSet<LinkEnds>,
 }
 
-impl<W> Default for Lines<W> {
+impl<M> Default for Links<M> {
     fn default() -> Self {
-        Lines { all: BTreeMap::new(), cut: HashSet::new() }
+        Links { links: BTreeMap::new(), cut: HashSet::new() }
     }
 }
 
-impl<W> Lines<W> {
+impl<M> Links<M> {
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
@@ -40,81 +42,96 @@
         self.cut.contains(&(from, to))
     }
 
-    pub fn joined(&self, a: usize, b: usize) -> bool {
+    /// Returns `true` if neither direction between two machines is cut.
+    pub fn is_connected(&self, a: usize, b: usize) -> bool {
         !self.is_cut(a, b) && !self.is_cut(b, a)
     }
 
-    pub fn is_open(&self, ends: Ends) -> bool {
-        self.all.get(&ends).is_some_and(|l| l.is_open)
+    pub fn is_open(&self, ends: LinkEnds) -> bool {
+        self.links.get(&ends).is_some_and(|link| link.is_open)
     }
 
-    pub fn instance(&self, ends: Ends) -> u64 {
-        self.all.get(&ends).map_or(0, |l| l.instance)
+    /// Returns the number of the last connection, 0 if there was none.
+    pub fn connection_number(&self, ends: LinkEnds) -> u64 {
+        self.links.get(&ends).map_or(0, |link| link.connection)
     }
 
-    /// Whether the line is open from now on, and was not before.
-    pub fn open(&mut self, ends: Ends) -> bool {
-        if self.is_open(ends) || !self.joined(ends.0, ends.1) {
+    /// Opens a link. Returns `false` if it is open already or if a direction is cut.
+    pub fn open(&mut self, ends: LinkEnds) -> bool {
+        if self.is_open(ends) || !self.is_connected(ends.0, ends.1) {
             return false;
         }
-        let instance = self.instance(ends) + 1;
+        let connection = self.connection_number(ends) + 1;
         let held = [Vec::new(), Vec::new()];
-        self.all.insert(ends, Line { instance, is_open: true, last: [Time::default(); 2], held });
+        self.links.insert(ends, Link { connection, is_open: true, last_arrival: [Time::default(); 2], held });
         true
     }
 
-    pub fn close(&mut self, ends: Ends) {
-        if let Some(line) = self.all.get_mut(&ends) {
-            line.is_open = false;
-            line.held = [Vec::new(), Vec::new()];
+    /// Closes a link and drops the messages that are held up.
+    pub fn close(&mut self, ends: LinkEnds) {
+        if let Some(link) = self.links.get_mut(&ends) {
+            link.is_open = false;
+            link.held = [Vec::new(), Vec::new()];
         }
     }
 
-    /// All lines of a machine.
+    /// Closes all links of a machine.
     pub fn close_all(&mut self, machine: usize) {
-        let of: Vec<Ends> =
-            self.all.keys().filter(|(a, b)| *a == machine || *b == machine).copied().collect();
-        of.into_iter().for_each(|ends| self.close(ends));
+        let links: Vec<LinkEnds> =
+            self.links.keys().filter(|(a, b)| *a == machine || *b == machine).copied().collect();
+        links.into_iter().for_each(|ends| self.close(ends));
     }
 
-    /// When a word that is sent now arrives; None: it is held, or lost.
-    pub fn send(&mut self, now: Time, from: usize, ends: Ends, word: W, delay: Span) -> Option<(Time, W)> {
+    /// Sends a message. Returns it with its arrival time, or `None` if it is held up or lost.
+    pub fn send(
+        &mut self,
+        now: Time,
+        from: usize,
+        ends: LinkEnds,
+        message: M,
+        delay: Span,
+    ) -> Option<(Time, M)> {
         let is_cut = self.is_cut(from, if from == ends.0 { ends.1 } else { ends.0 });
-        let line = self.all.get_mut(&ends).filter(|l| l.is_open)?;
-        let way = usize::from(from != ends.0);
-        if is_cut || !line.held[way].is_empty() {
-            line.held[way].push(word);
+        let link = self.links.get_mut(&ends).filter(|link| link.is_open)?;
+        let direction = usize::from(from != ends.0);
+        if is_cut || !link.held[direction].is_empty() {
+            link.held[direction].push(message);
             return None;
         }
-        let at = (now + delay).max(line.last[way] + Span::from_nanos(1));
-        line.last[way] = at;
-        Some((at, word))
+        let at = (now + delay).max(link.last_arrival[direction] + Span::from_nanos(1));
+        link.last_arrival[direction] = at;
+        Some((at, message))
     }
 
-    /// All cuts are mended. What was held goes on; by which line, from whom and when.
-    pub fn mend(&mut self, now: Time, mut late: impl FnMut() -> Option<Span>) -> Vec<(Time, usize, Ends, W)> {
+    /// Ends all cuts. `draw_delay` draws the delay of a link's held messages, or `None` if its connection
+    /// is lost. Returns these messages with arrival time, sender and link.
+    pub fn heal(
+        &mut self,
+        now: Time,
+        mut draw_delay: impl FnMut() -> Option<Span>,
+    ) -> Vec<(Time, usize, LinkEnds, M)> {
         self.cut.clear();
-        let mut out = Vec::new();
+        let mut arrivals = Vec::new();
         let mut lost = Vec::new();
-        for (ends, line) in &mut self.all {
-            if line.held.iter().all(Vec::is_empty) {
+        for (ends, link) in &mut self.links {
+            if link.held.iter().all(Vec::is_empty) {
                 continue;
             }
-            let Some(late) = late() else {
+            let Some(delay) = draw_delay() else {
                 lost.push(*ends);
                 continue;
             };
-            for way in 0..2 {
-                let from = if way == 0 { ends.0 } else { ends.1 };
-                let mut at = (now + late).max(line.last[way]);
-                for word in std::mem::take(&mut line.held[way]) {
+            for direction in 0..2 {
+                let from = if direction == 0 { ends.0 } else { ends.1 };
+                let mut at = (now + delay).max(link.last_arrival[direction]);
+                for message in std::mem::take(&mut link.held[direction]) {
                     at = at + Span::from_nanos(1);
-                    out.push((at, from, *ends, word));
+                    arrivals.push((at, from, *ends, message));
                 }
-                line.last[way] = at;
+                link.last_arrival[direction] = at;
             }
         }
         lost.into_iter().for_each(|ends| self.close(ends));
-        out
+        arrivals
     }
 }
--- a/crates/emulator/src/core/operator.rs
+++ b/crates/emulator/src/core/operator.rs
@@ -1,25 +1,28 @@
-//! Operators: eight at once, some under one number, each sends one order until its answer is clear, to any controller, and
-//! now and then once more after that.
+//! Operators as clients of the controllers. Each retries one call at any controller until it gets a
+//! definite answer, and sometimes repeats a command that was already acknowledged.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_control_state::command::Operation;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::controller::Ask;
+use super::controller::ClientCall;
 use super::linearizability::{CallInput, Version};
 
+/// Task that an operator works on.
 #[derive(Clone, Debug)]
-pub(crate) enum Wants {
-    Rest,
+pub(crate) enum OperatorTask {
+    Idle,
     Read,
+    /// Change of the configuration, from generation `base` to generation `number`.
     Operation {
         change: Operation,
         base: u64,
         number: u64,
+        /// Unique number of the change.
         mark: u32,
     },
-    /// A zone is emptied, or taken back.
+    /// Start or end of the evacuation of a zone.
     Zone {
         zone: usize,
         empties: bool,
@@ -28,75 +31,77 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Operator {
-    pub wants: Wants,
-    /// The call that is under way.
+    pub task: OperatorTask,
+    /// Id of the call in flight.
     pub call: Option<u64>,
-    /// Who gave no clear answer last.
-    pub last: Option<usize>,
-    pub pause: Span,
-    pub redirects: u32,
-    /// When the order was sent for the first time.
-    pub since: Time,
-    /// It has been acknowledged, and is sent once more.
-    pub again: bool,
+    /// Controller that gave no definite answer last.
+    pub last_failed_controller: Option<usize>,
+    pub retry_delay: Span,
+    pub redirect_count: u32,
+    /// Time at which the task began.
+    pub began_at: Time,
+    /// The command was acknowledged before and is sent once more.
+    pub is_repeat: bool,
 }
 
 impl Operator {
     pub fn new() -> Operator {
         Operator {
-            wants: Wants::Rest,
+            task: OperatorTask::Idle,
             call: None,
-            last: None,
-            pause: Span::ZERO,
-            redirects: 0,
-            since: Time::default(),
-            again: false,
+            last_failed_controller: None,
+            retry_delay: Span::ZERO,
+            redirect_count: 0,
+            began_at: Time::default(),
+            is_repeat: false,
         }
     }
 
-    pub fn rests(&mut self) {
+    pub fn finish(&mut self) {
         *self = Operator::new();
     }
 
-    pub fn begins(&mut self, now: Time, wants: Wants) {
-        *self = Operator { wants, since: now, ..Operator::new() };
+    pub fn begin(&mut self, now: Time, task: OperatorTask) {
+        *self = Operator { task, began_at: now, ..Operator::new() };
     }
 
-    /// The call that its order is, and what the history of the configuration knows it as.
-    pub fn ask(&self) -> Option<(Ask, Option<CallInput>)> {
-        match &self.wants {
-            Wants::Rest => None,
-            Wants::Read => Some((Ask::Read, Some(CallInput::Read))),
-            Wants::Operation { change, base, number, mark } => {
-                let asked = CallInput::Change { base: *base, number: *number, mark: *mark };
-                Some((Ask::Operation(change.clone()), Some(asked)))
+    /// Returns the call of its task, and the call's input in the history of the configuration. `None` if
+    /// idle.
+    pub fn next_call(&self) -> Option<(ClientCall, Option<CallInput>)> {
+        match &self.task {
+            OperatorTask::Idle => None,
+            OperatorTask::Read => Some((ClientCall::Read, Some(CallInput::Read))),
+            OperatorTask::Operation { change, base, number, mark } => {
+                let input = CallInput::Change { base: *base, number: *number, mark: *mark };
+                Some((ClientCall::Operation(change.clone()), Some(input)))
             }
-            Wants::Zone { zone, empties } => {
+            OperatorTask::Zone { zone, empties } => {
                 let zone = super::ZONES[*zone].to_string();
                 let change = if *empties { Operation::Evacuate(zone) } else { Operation::Restore(zone) };
-                Some((Ask::Operation(change), None))
+                Some((ClientCall::Operation(change), None))
             }
         }
     }
 }
 
-/// A new configuration on top of what was read: numbers are picked from so few that two operators meet.
-pub(crate) fn change(chance: &mut Pcg64Mcg, on: Option<Version>, mark: u32) -> Wants {
-    let base = on.map_or(0, |(number, _)| number);
-    let number = base + chance.random_range(1..4);
+/// Draws a change that is based on `current`. The generation is one of the next three, so that operators
+/// often choose the same one.
+pub(crate) fn draw_change(rng: &mut Pcg64Mcg, current: Option<Version>, mark: u32) -> OperatorTask {
+    let base = current.map_or(0, |(number, _)| number);
+    let number = base + rng.random_range(1..4);
     let tenants = format!(
         r#""tenants":{{"columns":["name","api-keys","rate-per-s"],"rows":[["t",["key"],{mark}]]}},"mark":{mark}"#
     );
-    let head = format!(r#""generation":"{number:08x}","base-version":"{base:08x}""#);
-    let change = if on.is_some() && chance.random_bool(0.4) {
-        Operation::Patch(format!(r#"{{{head},"upsert":{{{tenants}}}}}"#).into_bytes())
+    let header = format!(r#""generation":"{number:08x}","base-version":"{base:08x}""#);
+    let change = if current.is_some() && rng.random_bool(0.4) {
+        Operation::Patch(format!(r#"{{{header},"upsert":{{{tenants}}}}}"#).into_bytes())
     } else {
         Operation::Put(
             format!(
-                r#"{{{head},"routes":{{"columns":["name","host","path-prefix","route-kind","service"],"rows":[["r","h","/","safe","s"]]}},"services":{{"columns":["name"],"rows":[["s"]]}},{tenants}}}"#
+                r#"{{{header},"routes":{{"columns":["name","host","path-prefix","route-kind","service"],"rows":[["r","h","/","safe","s"]]}},"services":{{"columns":["name"],"rows":[["s"]]}},{tenants}}}"#
             )
             .into_bytes(),
         )
     };
-    Wants::Operation { change, base, number, mark }
+    OperatorTask::Operation { change, base, number, mark }
 }
--- a/crates/emulator/src/core/worker.rs
+++ b/crates/emulator/src/core/worker.rs
@@ -1,40 +1,43 @@
-//! Workers: each says to one controller how it is, goes to the next where it gets no 2xx, and now and then leaves in order,
-//! or dies without a word; another instance follows.
+//! Workers as clients of the controllers. Each sends heartbeats to one controller and changes to another
+//! one if they are not acknowledged. Instances drain and deregister, or end without notice, and are
+//! replaced by new ones.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-use super::controller::Ask;
+use super::controller::ClientCall;
 
-pub(crate) const BEAT: Span = Span::from_millis(1_500);
+/// Time between two heartbeats of a worker.
+pub(crate) const HEARTBEAT_PERIOD: Span = Span::from_millis(1_500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Goes {
+pub(crate) enum WorkerPhase {
     Ready,
     Draining,
-    /// It says that its instance ends.
-    Ending,
-    /// Dead without a word, or ended.
-    Over,
+    /// Sends its deregistration.
+    Deregistering,
+    /// Stopped, after its deregistration or without notice.
+    Ended,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub number: usize,
     pub instance: u32,
-    pub goes: Goes,
-    pub seq: u64,
-    /// Where its last heartbeat was acknowledged.
+    pub phase: WorkerPhase,
+    pub call_seq: u64,
+    /// Controller that acknowledged its last call.
     pub controller: Option<usize>,
-    /// Who did not acknowledge the last one.
-    pub refused_by: Option<usize>,
+    /// Controller that did not acknowledge its last call.
+    pub rejected_by: Option<usize>,
+    /// Id of the call in flight.
     pub call: Option<u64>,
-    pub began_at: Time,
-    /// When each of its last heartbeats as a ready one was acknowledged.
-    pub acked: Vec<Time>,
-    /// When a word was acknowledged that it drains or ends.
-    pub out_acked_at: Option<Time>,
-    pub over_at: Option<Time>,
+    pub started_at: Time,
+    /// Times at which its last 16 heartbeats as a ready instance were acknowledged.
+    pub acked_at: Vec<Time>,
+    /// Time at which its drain or deregistration was first acknowledged.
+    pub leave_acked_at: Option<Time>,
+    pub ended_at: Option<Time>,
 }
 
 impl Worker {
@@ -42,15 +45,15 @@
         Worker {
             number,
             instance,
-            goes: Goes::Ready,
-            seq: 0,
+            phase: WorkerPhase::Ready,
+            call_seq: 0,
             controller: None,
-            refused_by: None,
+            rejected_by: None,
             call: None,
-            began_at: now,
-            acked: Vec::new(),
-            out_acked_at: None,
-            over_at: None,
+            started_at: now,
+            acked_at: Vec::new(),
+            leave_acked_at: None,
+            ended_at: None,
         }
     }
 
@@ -58,48 +61,50 @@
         format!("i-{}-{}", self.number, self.instance)
     }
 
-    pub fn ask(&mut self) -> Option<Ask> {
-        self.seq += 1;
-        let standing = match self.goes {
-            Goes::Over => return None,
-            Goes::Ending => return Some(Ask::Delete(self.id())),
-            Goes::Draining => InstanceState::Draining,
-            Goes::Ready => InstanceState::Ready,
+    /// Returns its next call, or `None` if it has ended.
+    pub fn next_call(&mut self) -> Option<ClientCall> {
+        self.call_seq += 1;
+        let state = match self.phase {
+            WorkerPhase::Ended => return None,
+            WorkerPhase::Deregistering => return Some(ClientCall::Delete(self.id())),
+            WorkerPhase::Draining => InstanceState::Draining,
+            WorkerPhase::Ready => InstanceState::Ready,
         };
-        Some(Ask::Heartbeat(Instance {
+        Some(ClientCall::Heartbeat(Instance {
             id: self.id(),
             service: "s".to_string(),
             address: format!("10.1.0.{}:80", self.number + 1).parse().expect("an address"),
             zone: "z1".to_string(),
             capacity: 3,
-            state: standing,
+            state,
             warming_up_ms: 0,
-            call_seq: self.seq,
+            call_seq: self.call_seq,
             heartbeat_age_ms: 0,
             is_unconfirmed: false,
         }))
     }
 
-    /// A word of it was acknowledged.
-    pub fn acked(&mut self, now: Time) {
-        match self.goes {
-            Goes::Ready => {
-                self.acked.push(now);
-                if self.acked.len() > 16 {
-                    self.acked.remove(0);
+    /// Records the acknowledgement of a call.
+    pub fn on_acknowledged(&mut self, now: Time) {
+        match self.phase {
+            WorkerPhase::Ready => {
+                self.acked_at.push(now);
+                if self.acked_at.len() > 16 {
+                    self.acked_at.remove(0);
                 }
             }
-            _ => self.out_acked_at = self.out_acked_at.or(Some(now)),
+            _ => self.leave_acked_at = self.leave_acked_at.or(Some(now)),
         }
     }
 
-    /// Whether it has been told without a gap, for so long up to now, that its heartbeats are heard.
-    pub fn is_promised(&self, now: Time, long: Span) -> bool {
-        let gap = BEAT.times(1.7);
-        let since = now.saturating_sub(long);
-        let Some(first) = self.acked.iter().rposition(|at| *at <= since) else { return false };
-        let told = &self.acked[first..];
-        let has_gap = told.windows(2).any(|w| w[1] - w[0] > gap);
-        self.goes == Goes::Ready && !has_gap && told.last().is_some_and(|last| now - *last <= gap)
+    /// Returns `true` if the instance is ready and its heartbeats were acknowledged without a gap for at
+    /// least `period` up to now.
+    pub fn has_steady_acks(&self, now: Time, period: Span) -> bool {
+        let max_gap = HEARTBEAT_PERIOD.times(1.7);
+        let since = now.saturating_sub(period);
+        let Some(first) = self.acked_at.iter().rposition(|at| *at <= since) else { return false };
+        let acks = &self.acked_at[first..];
+        let has_gap = acks.windows(2).any(|w| w[1] - w[0] > max_gap);
+        self.phase == WorkerPhase::Ready && !has_gap && acks.last().is_some_and(|last| now - *last <= max_gap)
     }
 }
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -1,5 +1,5 @@
-//! The world of the core: controllers and edges as processes on machines with disks, clocks and lines, the operators and
-//! workers that call them, and what befalls all of these, on one virtual clock.
+//! Simulated system: controllers and proxies as processes on machines with disks, clocks and network
+//! links, the operators and workers that call them, and the injected faults, all on one virtual clock.
 
 mod clients;
 mod fault_actions;
@@ -18,26 +18,28 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::checker::{CONTACT, Check, Checker, ZoneCall};
-use super::controller::{Answer, Ask, Controller, Out};
+use super::checker::{CONTACT_TIME, Check, Checker, ZoneCall};
+use super::controller::{Answer, ClientCall, Controller, Output};
 use super::deliberate_fault::DeliberateFault;
 use super::disk::Disk;
-use super::edge::Edge;
 use super::faults::{Fault, Target};
 use super::linearizability::CallOutput;
-use super::links::{Ends, Lines};
-use super::operator::{Operator, Wants, change};
-use super::worker::{BEAT, Goes, Worker};
+use super::links::{LinkEnds, Links};
+use super::operator::{Operator, OperatorTask, draw_change};
+use super::proxy::Proxy;
+use super::worker::{HEARTBEAT_PERIOD, Worker, WorkerPhase};
 use crate::event_queue::EventQueue;
 
-pub(crate) const EDGES: usize = 2;
-const OPERATORS: usize = 8;
-const WORKERS: usize = 3;
-/// A machine that came back counts as lost for so long.
-pub(crate) const CATCH_UP: Span = Span::from_millis(4_000);
-const GRACE: Span = Span::from_millis(6_000);
-/// A call that was told nothing for so long is given up.
-const CALL: Span = Span::from_millis(1_000);
+/// Number of proxies. They run on the first machines; the controllers run on all others.
+pub(crate) const PROXY_COUNT: usize = 2;
+const OPERATOR_COUNT: usize = 8;
+const WORKER_COUNT: usize = 3;
+/// Time after the return of a machine during which it still counts as lost.
+pub(crate) const CATCH_UP_TIME: Span = Span::from_millis(4_000);
+/// Time after which a controller that was told to shut down has exited.
+const SHUTDOWN_GRACE: Span = Span::from_millis(6_000);
+/// Time-out of a call without an answer.
+const CALL_TIMEOUT: Span = Span::from_millis(1_000);
 
 pub(crate) fn ms(n: u64) -> Span {
     Span::from_millis(n)
@@ -47,112 +49,124 @@
     SocketAddr::from(([10, 0, 0, machine as u8 + 1], 80))
 }
 
+/// Returns the machine that has this address.
 fn machine(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => usize::from(ip.octets()[3]) - 1,
-        std::net::IpAddr::V6(_) => unreachable!("the world's addresses are of the old kind"),
+        std::net::IpAddr::V6(_) => unreachable!("simulated machines have IPv4 addresses"),
     }
 }
 
-/// What goes over a line.
+/// Message between two processes over a link.
 #[derive(Clone, Debug)]
-pub(crate) enum Word {
-    Agreement(Box<Message>),
-    Heard(Vec<Instance>),
-    /// Says that it is there, and whom it knows.
-    Here {
-        controllers: Vec<usize>,
+pub(crate) enum LinkMessage {
+    Consensus(Box<Message>),
+    /// Worker instances, as known to the sending controller.
+    Instances(Vec<Instance>),
+    /// Heartbeat between controllers.
+    PeerHeartbeat {
+        /// Controllers to which the sender has an open link.
+        known_peers: Vec<usize>,
     },
-    Hello {
-        instances: bool,
+    /// Subscription of a proxy.
+    Subscribe {
+        wants_instances: bool,
     },
-    Ping {
+    /// Heartbeat of a proxy.
+    Heartbeat {
+        /// Clock of the proxy, in nanoseconds.
         clock: u64,
-        have: u64,
+        /// Revision on which a delta may be based.
+        revision: u64,
     },
     ToProxy(Box<ToProxy>),
 }
 
-/// Something that concerns the process of a machine: while that stands still, it waits.
+/// Event of a process. It is deferred while the process is paused.
 #[derive(Clone, Debug)]
-enum Event {
+enum ProcessEvent {
     Tick,
-    Sweep,
-    Work,
-    Written,
-    Lines,
-    Ping,
-    MayEnd,
-    Hears { ends: Ends, line: u64, from: usize, word: Word },
-    Called { call: u64, ask: Ask },
+    DetectUnresponsive,
+    ProcessCalls,
+    WriteDone,
+    OpenLinks,
+    SendHeartbeat,
+    CheckShutdown,
+    Receive { ends: LinkEnds, connection: u64, from: usize, message: LinkMessage },
+    Call { call: u64, request: ClientCall },
 }
 
-enum Next {
-    At {
+/// Scheduled event of the simulation.
+enum WorldEvent {
+    /// Event of the process `instance` on a machine; dropped if that process no longer runs.
+    Process {
         machine: usize,
         instance: u64,
-        event: Event,
+        event: ProcessEvent,
     },
+    /// `None` if the answer or the connection was lost.
     Answered {
         call: u64,
         answer: Option<Answer>,
     },
-    GivenUp {
+    CallTimeout {
         call: u64,
     },
-    Turn {
+    OperatorTurn {
         operator: usize,
     },
-    Heartbeat {
+    WorkerHeartbeat {
         worker: usize,
         instance: u32,
     },
-    Back {
+    Restart {
         machine: usize,
         instance: u64,
     },
-    Thaw {
+    Resume {
         machine: usize,
         instance: u64,
     },
-    Mend {
+    CutEnds {
         cut: u64,
     },
-    /// A slow disk is quick again.
-    Quick {
+    /// A slow disk has its usual speed again.
+    DiskRecovers {
         machine: usize,
     },
     Fault(Fault),
-    Calm,
-    Listed,
+    /// No further faults; the effects of earlier ones end.
+    FaultsEnd,
+    RefreshControllerList,
     Probe,
 }
 
 pub(crate) enum Process {
     Controller(Box<Controller>),
-    Edge(Box<Edge>),
+    Proxy(Box<Proxy>),
 }
 
 pub(crate) struct Machine {
     pub process: Option<Process>,
-    /// Which of its processes it is.
+    /// Number of the current process; increases at each start and stop.
     pub instance: u64,
-    is_edge: bool,
-    pub frozen: bool,
-    waiting: Vec<Event>,
-    /// Its steady clock is ahead of the world's by so much: another at each start, as a clock that deltas makes it.
-    ahead: Span,
-    /// Whether it is among the operator's machines.
-    pub present: bool,
+    is_proxy: bool,
+    pub is_paused: bool,
+    /// Events that occurred while the process was paused.
+    deferred_events: Vec<ProcessEvent>,
+    /// Offset of the process's monotonic clock from the virtual clock, drawn anew at each start.
+    clock_offset: Span,
+    /// `false` once the machine was shut down for good, removed or lost.
+    pub is_deployed: bool,
     pub disk: Disk,
     seeds: Vec<SocketAddr>,
-    /// The controllers that it keeps a line to.
-    known: Vec<usize>,
-    wakes_at: Option<Time>,
-    works: bool,
-    /// What befell it last: until when it counts as lost.
+    /// Controllers to which the process keeps a link open.
+    known_controllers: Vec<usize>,
+    next_tick_at: Option<Time>,
+    is_work_scheduled: bool,
+    /// The machine counts as lost until then, because of a fault.
     pub lost_until: Time,
-    pub began_at: Time,
+    pub started_at: Time,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -161,151 +175,164 @@
     Worker(usize, u32),
 }
 
-struct Calling {
-    by: Caller,
+/// A call that waits for its answer.
+struct OpenCall {
+    caller: Caller,
     controller: usize,
-    /// Its place in the history of the configuration, or of the zones.
-    store: Option<usize>,
-    zone: Option<usize>,
+    /// Index in the checker's history of configuration calls.
+    call_index: Option<usize>,
+    /// Index in the checker's history of zone commands.
+    zone_index: Option<usize>,
 }
 
 pub(crate) struct World {
     pub now: Time,
     pub began_at: Time,
-    pub chance: Pcg64Mcg,
-    agenda: EventQueue<Next>,
+    pub rng: Pcg64Mcg,
+    event_queue: EventQueue<WorldEvent>,
     pub machines: Vec<Machine>,
-    lines: Lines<Word>,
-    /// How many cuts there were, and which of them are not mended.
-    cuts: u64,
-    cut_now: Vec<u64>,
-    calls: BTreeMap<u64, Calling>,
-    last_call: u64,
+    links: Links<LinkMessage>,
+    cut_count: u64,
+    /// Numbers of the cuts that have not ended.
+    active_cuts: Vec<u64>,
+    open_calls: BTreeMap<u64, OpenCall>,
+    last_call_id: u64,
     pub operators: Vec<Operator>,
     pub workers: Vec<Worker>,
-    /// The controllers as the callers' list has them.
-    listed: Vec<usize>,
+    /// Controllers that operators and workers know; refreshed periodically.
+    listed_controllers: Vec<usize>,
     last_mark: u32,
-    pub judges: Checker,
-    /// The core is not settled for the contact time after this.
-    pub troubled_at: Time,
-    slow_until: Time,
-    armed: Option<Fault>,
-    votes_armed: Option<Span>,
-    removed: Option<usize>,
-    tolerated: usize,
-    /// More machines than the budget names may be away for a moment, as long as no disk is lost.
-    pub beyond_budget: bool,
-    pub fault: Option<DeliberateFault>,
-    /// Operators begin nothing new.
-    pub closing: bool,
-    pub events: u64,
-    pub told: Vec<String>,
+    pub checker: Checker,
+    /// Last begin or end of a fault. The core counts as settled only `CONTACT_TIME` later.
+    pub last_disturbed_at: Time,
+    slow_disk_until: Time,
+    /// Fault to inject after the next acknowledgement of a command.
+    fault_after_ack: Option<Fault>,
+    /// How long to cut off the next candidate that receives a vote.
+    cut_after_vote: Option<Span>,
+    removed_machine: Option<usize>,
+    tolerated_disk_losses: usize,
+    /// Machines may be down or cut off beyond the fault budget, as long as no disk is lost.
+    pub ignores_fault_budget: bool,
+    pub deliberate_fault: Option<DeliberateFault>,
+    /// Operators start no new tasks of their own.
+    pub is_final_phase: bool,
+    pub event_count: u64,
+    pub event_log: Vec<String>,
 }
 
 impl World {
-    pub fn new(seed: u64, controllers: usize, tolerated: usize, fault: Option<DeliberateFault>) -> World {
+    pub fn new(
+        seed: u64,
+        controllers: usize,
+        tolerated_disk_losses: usize,
+        deliberate_fault: Option<DeliberateFault>,
+    ) -> World {
         let now = Time::from_nanos(0) + ms(1_000_000);
         let mut world = World {
             now,
             began_at: now,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            agenda: EventQueue::default(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            event_queue: EventQueue::default(),
             machines: Vec::new(),
-            lines: Lines::default(),
-            cuts: 0,
-            cut_now: Vec::new(),
-            calls: BTreeMap::new(),
-            last_call: 0,
-            operators: vec![Operator::new(); OPERATORS],
-            workers: (0..WORKERS).map(|n| Worker::new(now, n, 1)).collect(),
-            listed: (EDGES..EDGES + controllers).collect(),
+            links: Links::default(),
+            cut_count: 0,
+            active_cuts: Vec::new(),
+            open_calls: BTreeMap::new(),
+            last_call_id: 0,
+            operators: vec![Operator::new(); OPERATOR_COUNT],
+            workers: (0..WORKER_COUNT).map(|n| Worker::new(now, n, 1)).collect(),
+            listed_controllers: (PROXY_COUNT..PROXY_COUNT + controllers).collect(),
             last_mark: 0,
-            judges: Checker::new(now),
-            troubled_at: now,
-            slow_until: now,
-            armed: None,
-            votes_armed: None,
-            removed: None,
-            tolerated,
-            beyond_budget: false,
-            fault,
-            closing: false,
-            events: 0,
-            told: Vec::new(),
+            checker: Checker::new(now),
+            last_disturbed_at: now,
+            slow_disk_until: now,
+            fault_after_ack: None,
+            cut_after_vote: None,
+            removed_machine: None,
+            tolerated_disk_losses,
+            ignores_fault_budget: false,
+            deliberate_fault,
+            is_final_phase: false,
+            event_count: 0,
+            event_log: Vec::new(),
         };
-        let seeds: Vec<SocketAddr> = (EDGES..EDGES + 3).map(address).collect();
-        for n in 0..EDGES + controllers {
-            world.add(n < EDGES, seeds.clone());
-            let later = ms(world.chance.random_range(0..300));
-            world.plan(later, Next::Back { machine: n, instance: 0 });
+        let seeds: Vec<SocketAddr> = (PROXY_COUNT..PROXY_COUNT + 3).map(address).collect();
+        for n in 0..PROXY_COUNT + controllers {
+            world.add_machine(n < PROXY_COUNT, seeds.clone());
+            let delay = ms(world.rng.random_range(0..300));
+            world.schedule(delay, WorldEvent::Restart { machine: n, instance: 0 });
         }
-        for operator in 0..OPERATORS {
-            let later = ms(300 + world.chance.random_range(0..1_500));
-            world.plan(later, Next::Turn { operator });
+        for operator in 0..OPERATOR_COUNT {
+            let delay = ms(300 + world.rng.random_range(0..1_500));
+            world.schedule(delay, WorldEvent::OperatorTurn { operator });
         }
-        for worker in 0..WORKERS {
-            let later = ms(500 + world.chance.random_range(0..1_000));
-            world.plan(later, Next::Heartbeat { worker, instance: 1 });
+        for worker in 0..WORKER_COUNT {
+            let delay = ms(500 + world.rng.random_range(0..1_000));
+            world.schedule(delay, WorldEvent::WorkerHeartbeat { worker, instance: 1 });
         }
-        world.plan(ms(3_000), Next::Listed);
-        world.plan(ms(250), Next::Probe);
+        world.schedule(ms(3_000), WorldEvent::RefreshControllerList);
+        world.schedule(ms(250), WorldEvent::Probe);
         world
     }
 
-    fn add(&mut self, is_edge: bool, seeds: Vec<SocketAddr>) -> usize {
+    /// Adds a machine on which no process runs yet, and returns its number.
+    fn add_machine(&mut self, is_proxy: bool, seeds: Vec<SocketAddr>) -> usize {
         self.machines.push(Machine {
             process: None,
             instance: 0,
-            is_edge,
-            frozen: false,
-            waiting: Vec::new(),
-            ahead: Span::ZERO,
-            present: true,
+            is_proxy,
+            is_paused: false,
+            deferred_events: Vec::new(),
+            clock_offset: Span::ZERO,
+            is_deployed: true,
             disk: Disk::empty(),
-            known: Vec::new(),
+            known_controllers: Vec::new(),
             seeds,
-            wakes_at: None,
-            works: false,
+            next_tick_at: None,
+            is_work_scheduled: false,
             lost_until: self.now,
-            began_at: self.now,
+            started_at: self.now,
         });
         self.machines.len() - 1
     }
 
-    fn plan(&mut self, later: Span, next: Next) {
-        self.agenda.schedule(self.now + later, next);
+    fn schedule(&mut self, delay: Span, event: WorldEvent) {
+        self.event_queue.schedule(self.now + delay, event);
     }
 
-    fn plan_at(&mut self, machine: usize, at: Time, event: Event) {
+    fn schedule_process_event(&mut self, machine: usize, at: Time, event: ProcessEvent) {
         let instance = self.machines[machine].instance;
-        self.agenda.schedule(at.max(self.now), Next::At { machine, instance, event });
+        self.event_queue.schedule(at.max(self.now), WorldEvent::Process { machine, instance, event });
     }
 
-    pub fn fault_at(&mut self, later: Span, fault: Fault) {
-        self.plan(later, Next::Fault(fault));
+    pub fn schedule_fault(&mut self, delay: Span, fault: Fault) {
+        self.schedule(delay, WorldEvent::Fault(fault));
     }
 
-    pub fn calm_at(&mut self, later: Span) {
-        self.plan(later, Next::Calm);
+    pub fn schedule_end_of_faults(&mut self, delay: Span) {
+        self.schedule(delay, WorldEvent::FaultsEnd);
     }
 
-    pub fn run(&mut self, span: Span) {
-        let until = self.now + span;
-        while let Some((at, next)) = self.agenda.pop_due(until) {
+    /// Advances the virtual clock and handles all events that become due.
+    pub fn run(&mut self, duration: Span) {
+        let until = self.now + duration;
+        while let Some((at, event)) = self.event_queue.pop_due(until) {
             self.now = self.now.max(at);
-            self.events += 1;
-            self.happen(next);
+            self.event_count += 1;
+            self.handle(event);
         }
         self.now = until;
     }
 
+    /// Returns the monotonic clock of a machine's process.
     fn clock(&self, machine: usize) -> Time {
-        self.now + self.machines[machine].ahead
+        self.now + self.machines[machine].clock_offset
     }
 
+    /// Machines of the deployed controllers, whether they run or not.
     pub fn controllers(&self) -> impl Iterator<Item = usize> {
-        (EDGES..self.machines.len()).filter(|m| self.machines[*m].present)
+        (PROXY_COUNT..self.machines.len()).filter(|m| self.machines[*m].is_deployed)
     }
 
     pub fn controller(&self, machine: usize) -> Option<&Controller> {
@@ -315,137 +342,140 @@
         }
     }
 
-    pub fn edge(&self, machine: usize) -> Option<&Edge> {
+    pub fn proxy(&self, machine: usize) -> Option<&Proxy> {
         match &self.machines[machine].process {
-            Some(Process::Edge(edge)) => Some(edge),
+            Some(Process::Proxy(proxy)) => Some(proxy),
             _ => None,
         }
     }
 
+    /// Returns the established leader with the highest term.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |m: &usize| self.controller(*m).is_some_and(|h| h.consensus.is_established_leader());
-        self.controllers().filter(leads).max_by_key(|m| self.controller(*m).map(|h| h.consensus.term()))
+        let is_leader = |m: &usize| self.controller(*m).is_some_and(|c| c.consensus.is_established_leader());
+        self.controllers().filter(is_leader).max_by_key(|m| self.controller(*m).map(|c| c.consensus.term()))
     }
 
-    // ---- what happens ----
-
-    fn happen(&mut self, next: Next) {
-        match next {
-            Next::At { machine, instance, event } => {
+    fn handle(&mut self, event: WorldEvent) {
+        match event {
+            WorldEvent::Process { machine, instance, event } => {
                 let m = &mut self.machines[machine];
                 if m.instance != instance || m.process.is_none() {
                     return;
                 }
-                if m.frozen {
-                    return m.waiting.push(event);
+                if m.is_paused {
+                    return m.deferred_events.push(event);
                 }
-                self.does(machine, event);
+                self.handle_process_event(machine, event);
             }
-            Next::Answered { call, answer } => self.answered(call, answer),
-            Next::GivenUp { call } => self.answered(call, None),
-            Next::Turn { operator } => self.turn(operator),
-            Next::Heartbeat { worker, instance } => self.heartbeat(worker, instance),
-            Next::Back { machine, instance } => {
+            WorldEvent::Answered { call, answer } => self.on_answer(call, answer),
+            WorldEvent::CallTimeout { call } => self.on_answer(call, None),
+            WorldEvent::OperatorTurn { operator } => self.operator_turn(operator),
+            WorldEvent::WorkerHeartbeat { worker, instance } => self.worker_heartbeat(worker, instance),
+            WorldEvent::Restart { machine, instance } => {
                 if self.machines[machine].instance == instance && self.machines[machine].process.is_none() {
                     self.start(machine);
                 }
             }
-            Next::Thaw { machine, instance } => {
+            WorldEvent::Resume { machine, instance } => {
                 if self.machines[machine].instance == instance {
-                    self.thaw(machine);
+                    self.resume(machine);
                 }
             }
-            Next::Mend { cut } => {
-                self.cut_now.retain(|c| *c != cut);
-                if self.cut_now.is_empty() {
-                    self.mend();
+            WorldEvent::CutEnds { cut } => {
+                self.active_cuts.retain(|c| *c != cut);
+                if self.active_cuts.is_empty() {
+                    self.heal_links();
                 }
             }
-            Next::Quick { machine } => {
-                self.machines[machine].disk.sync = ms(1);
-                self.troubled_at = self.now;
+            WorldEvent::DiskRecovers { machine } => {
+                self.machines[machine].disk.write_duration = ms(1);
+                self.last_disturbed_at = self.now;
             }
-            Next::Fault(fault) => self.fault(fault),
-            Next::Calm => self.calm(),
-            Next::Listed => {
-                self.listed = self.controllers().collect();
-                self.plan(ms(3_000), Next::Listed);
+            WorldEvent::Fault(fault) => self.inject(fault),
+            WorldEvent::FaultsEnd => self.end_faults(),
+            WorldEvent::RefreshControllerList => {
+                self.listed_controllers = self.controllers().collect();
+                self.schedule(ms(3_000), WorldEvent::RefreshControllerList);
             }
-            Next::Probe => {
+            WorldEvent::Probe => {
                 self.probe();
-                self.plan(ms(250), Next::Probe);
+                self.schedule(ms(250), WorldEvent::Probe);
             }
         }
     }
 
-    fn does(&mut self, machine: usize, event: Event) {
+    fn handle_process_event(&mut self, machine: usize, event: ProcessEvent) {
         let now = self.clock(machine);
-        if let Event::Lines = event {
-            return self.opens(machine);
+        if let ProcessEvent::OpenLinks = event {
+            return self.open_links(machine);
         }
-        if let Event::Hears { ends, line, from, word } = event {
-            if self.lines.instance(ends) == line {
-                self.hears(machine, from, word);
+        if let ProcessEvent::Receive { ends, connection, from, message } = event {
+            if self.links.connection_number(ends) == connection {
+                self.receive(machine, from, message);
             }
             return;
         }
         let m = &mut self.machines[machine];
         match (&mut m.process, event) {
             (Some(Process::Controller(controller)), event) => match event {
-                Event::Tick => {
-                    m.wakes_at = None;
+                ProcessEvent::Tick => {
+                    m.next_tick_at = None;
                     controller.tick(now);
                 }
-                Event::Sweep => {
-                    controller.sweep(now);
+                ProcessEvent::DetectUnresponsive => {
+                    controller.detect_unresponsive(now);
                     m.disk.instances = controller.detector.registry().snapshot(now);
-                    self.plan_at(machine, self.now + ms(500), Event::Sweep);
-                    self.says_here(machine);
+                    self.schedule_process_event(
+                        machine,
+                        self.now + ms(500),
+                        ProcessEvent::DetectUnresponsive,
+                    );
+                    self.send_peer_heartbeats(machine);
                 }
-                Event::Work => {
-                    m.works = false;
-                    controller.work(now);
+                ProcessEvent::ProcessCalls => {
+                    m.is_work_scheduled = false;
+                    controller.process_calls(now);
                 }
-                Event::Written => {
-                    let keeps = self.fault != Some(DeliberateFault::UnsyncedVote);
-                    let written = m.disk.end(self.now, keeps);
+                ProcessEvent::WriteDone => {
+                    let keeps_votes = self.deliberate_fault != Some(DeliberateFault::UnsyncedVote);
+                    let written = m.disk.finish_write(self.now, keeps_votes);
                     if let Some(number) = written {
-                        controller.saved(now, number);
+                        controller.on_persisted(now, number);
                     }
-                    if let Some(at) = m.disk.begin(self.now) {
-                        self.plan_at(machine, at, Event::Written);
+                    if let Some(at) = m.disk.begin_write(self.now) {
+                        self.schedule_process_event(machine, at, ProcessEvent::WriteDone);
                     }
                 }
-                // Whoever has hung up meanwhile asks for nothing any more.
-                Event::Called { call, .. } if !self.calls.contains_key(&call) => {}
-                Event::Called { call, ask } => controller.call(now, call, ask),
-                Event::MayEnd => {
+                // The caller has closed its connection.
+                ProcessEvent::Call { call, .. } if !self.open_calls.contains_key(&call) => {}
+                ProcessEvent::Call { call, request } => controller.handle_call(now, call, request),
+                ProcessEvent::CheckShutdown => {
                     if controller.consensus.may_shut_down(now) {
-                        return self.ends(machine);
+                        return self.finish_shutdown(machine);
                     }
-                    self.plan_at(machine, self.now + ms(50), Event::MayEnd);
+                    self.schedule_process_event(machine, self.now + ms(50), ProcessEvent::CheckShutdown);
                 }
                 _ => {}
             },
-            (Some(Process::Edge(_)), Event::Ping) => {
-                self.pings(machine, None);
-                self.plan_at(machine, self.now + ms(1_000), Event::Ping);
+            (Some(Process::Proxy(_)), ProcessEvent::SendHeartbeat) => {
+                self.send_proxy_heartbeats(machine, None);
+                self.schedule_process_event(machine, self.now + ms(1_000), ProcessEvent::SendHeartbeat);
             }
             _ => {}
         }
-        self.after(machine);
+        self.execute_outputs(machine);
     }
 
-    /// Carries out what a controller wants done, and plans its next tick.
-    fn after(&mut self, machine: usize) {
+    /// Executes the outputs of a controller and schedules its next events.
+    fn execute_outputs(&mut self, machine: usize) {
         loop {
             let Some(Process::Controller(controller)) = &mut self.machines[machine].process else { return };
-            let out = controller.take();
-            if out.is_empty() {
+            let outputs = controller.take_outputs();
+            if outputs.is_empty() {
                 break;
             }
-            for one in out {
-                self.carries_out(machine, one);
+            for output in outputs {
+                self.execute_output(machine, output);
                 if self.machines[machine].process.is_none() {
                     return;
                 }
@@ -454,115 +484,113 @@
         let now = self.now;
         let m = &mut self.machines[machine];
         let Some(Process::Controller(controller)) = &m.process else { return };
-        let due = now + (controller.consensus.next_due() - (now + m.ahead));
+        let due = now + (controller.consensus.next_due() - (now + m.clock_offset));
         let at = due.max(now + ms(1));
-        let (ticks, works) = (m.wakes_at.is_none_or(|w| at < w), controller.waits() && !m.works);
-        if ticks {
-            m.wakes_at = Some(at);
+        let (needs_tick, needs_work) = (
+            m.next_tick_at.is_none_or(|next| at < next),
+            controller.has_pending_calls() && !m.is_work_scheduled,
+        );
+        if needs_tick {
+            m.next_tick_at = Some(at);
         }
-        m.works |= works;
+        m.is_work_scheduled |= needs_work;
         let voters: Vec<usize> =
             controller.consensus.voters().iter().map(|v| self::machine(v.node)).collect();
         for voter in voters {
-            self.knows(machine, voter);
+            self.add_known_controller(machine, voter);
         }
-        if ticks {
-            self.plan_at(machine, at, Event::Tick);
+        if needs_tick {
+            self.schedule_process_event(machine, at, ProcessEvent::Tick);
         }
-        if works {
-            self.plan_at(machine, now + ms(4), Event::Work);
+        if needs_work {
+            self.schedule_process_event(machine, now + ms(4), ProcessEvent::ProcessCalls);
         }
     }
 
-    fn carries_out(&mut self, machine: usize, out: Out) {
-        match out {
-            Out::Save(number, record) => {
-                let votes_for = record.vote.filter(|v| *v != address(machine));
+    fn execute_output(&mut self, machine: usize, output: Output) {
+        match output {
+            Output::Persist(number, state) => {
+                let candidate = state.vote.filter(|v| *v != address(machine));
                 let m = &mut self.machines[machine];
-                if m.disk.save(number, record)
-                    && let Some(at) = m.disk.begin(self.now)
+                if m.disk.queue_write(number, state)
+                    && let Some(at) = m.disk.begin_write(self.now)
                 {
-                    self.plan_at(machine, at, Event::Written);
+                    self.schedule_process_event(machine, at, ProcessEvent::WriteDone);
                 }
-                if let (Some(long), Some(candidate)) = (self.votes_armed, votes_for) {
-                    self.votes_armed = None;
-                    // The vote is synced, and on its way; then the power goes.
-                    let fault = Fault::Power { target: Target::Number(machine - EDGES), down: 60 };
-                    self.fault_at(ms(6), fault);
+                if let (Some(duration), Some(candidate)) = (self.cut_after_vote, candidate) {
+                    self.cut_after_vote = None;
+                    // The power fails once the vote is synced and sent.
+                    let fault = Fault::Power { target: Target::Number(machine - PROXY_COUNT), down: 60 };
+                    self.schedule_fault(ms(6), fault);
                     let cut = Fault::CutOff {
-                        target: Target::Number(self::machine(candidate) - EDGES),
-                        long: long.nanos() / 1_000_000,
+                        target: Target::Number(self::machine(candidate) - PROXY_COUNT),
+                        long: duration.nanos() / 1_000_000,
                     };
-                    self.fault_at(ms(7), cut);
+                    self.schedule_fault(ms(7), cut);
                 }
             }
-            Out::Say(to, message) => {
+            Output::SendToPeer(to, message) => {
                 let to = self::machine(to);
-                let message =
-                    if self.fault == Some(DeliberateFault::MarkLost) { unmarked(message) } else { message };
-                self.send((machine, to), machine, Word::Agreement(Box::new(message)));
+                let message = if self.deliberate_fault == Some(DeliberateFault::MarkLost) {
+                    without_marks(message)
+                } else {
+                    message
+                };
+                self.send((machine, to), machine, LinkMessage::Consensus(Box::new(message)));
             }
-            Out::Pass(instances) => {
-                for to in self.machines[machine].known.clone() {
-                    self.send((machine, to), machine, Word::Heard(instances.clone()));
+            Output::BroadcastInstances(instances) => {
+                for to in self.machines[machine].known_controllers.clone() {
+                    self.send((machine, to), machine, LinkMessage::Instances(instances.clone()));
                 }
             }
-            Out::Tell(one, word) => {
-                let edges = (0..EDGES).filter(|e| one.is_none_or(|o| o == *e));
-                for edge in edges.collect::<Vec<_>>() {
-                    self.send((edge, machine), machine, Word::ToProxy(Box::new(word.clone())));
+            Output::SendToProxies(only, message) => {
+                let proxies = (0..PROXY_COUNT).filter(|p| only.is_none_or(|o| o == *p));
+                for proxy in proxies.collect::<Vec<_>>() {
+                    self.send((proxy, machine), machine, LinkMessage::ToProxy(Box::new(message.clone())));
                 }
             }
-            Out::Answer(call, answer) => {
-                if let (Some(Calling { by: Caller::Operator(_), .. }), Answer::Status(200)) =
-                    (self.calls.get(&call), &answer)
-                    && let Some(fault) = self.armed.take()
+            Output::Answer(call, answer) => {
+                if let (Some(OpenCall { caller: Caller::Operator(_), .. }), Answer::Status(200)) =
+                    (self.open_calls.get(&call), &answer)
+                    && let Some(fault) = self.fault_after_ack.take()
                 {
-                    let later = Span::from_nanos(self.chance.random_range(0..4_000_000));
-                    self.fault_at(later, fault);
+                    let delay = Span::from_nanos(self.rng.random_range(0..4_000_000));
+                    self.schedule_fault(delay, fault);
                 }
-                let later = self.way();
-                // Answers get lost with their connections.
-                let answer = Some(answer).filter(|_| !self.chance.random_bool(0.02));
-                self.plan(later, Next::Answered { call, answer });
+                let delay = self.draw_network_delay();
+                // The connection fails before the answer arrives.
+                let answer = Some(answer).filter(|_| !self.rng.random_bool(0.02));
+                self.schedule(delay, WorldEvent::Answered { call, answer });
             }
         }
     }
 
-    fn way(&mut self) -> Span {
-        let drawn: f64 = self.chance.random();
-        Span::from_secs(0.0005 + 0.004 * drawn.powi(3))
+    fn draw_network_delay(&mut self) -> Span {
+        let fraction: f64 = self.rng.random();
+        Span::from_secs(0.0005 + 0.004 * fraction.powi(3))
     }
 }
 
-/// A state that loses the marks of what was taken.
-fn unmarked(message: Message) -> Message {
+/// Removes the table of recently applied commands from a replicated state.
+fn without_marks(message: Message) -> Message {
     let Message::Append {
         term,
         round,
         last,
         state: Some(mut state),
         committed,
-        clock_echo: echo,
-        confirmed_ns_ago: fresh,
+        clock_echo,
+        confirmed_ns_ago,
     } = message
     else {
         return message;
     };
     if let Ok(ciborium::Value::Map(mut store)) = ciborium::from_reader(&state.config.0[..]) {
         store.retain(|(key, _)| key.as_text() != Some("marks"));
-        let mut out = Vec::new();
-        if ciborium::into_writer(&ciborium::Value::Map(store), &mut out).is_ok() {
-            state.config = Bytes(out.into());
+        let mut encoded = Vec::new();
+        if ciborium::into_writer(&ciborium::Value::Map(store), &mut encoded).is_ok() {
+            state.config = Bytes(encoded.into());
         }
     }
-    Message::Append {
-        term,
-        round,
-        last,
-        state: Some(state),
-        committed,
-        clock_echo: echo,
-        confirmed_ns_ago: fresh,
-    }
+    Message::Append { term, round, last, state: Some(state), committed, clock_echo, confirmed_ns_ago }
 }
--- a/crates/emulator/src/core/world/clients.rs
+++ b/crates/emulator/src/core/world/clients.rs
@@ -1,213 +1,228 @@
-//! Operators and workers as callers: what they send, to whom, and what they make of the answer.
+//! Calls of operators and workers to controllers, and how they react to the answers.
 
 use super::*;
 
 impl World {
-    pub(super) fn calls(&mut self, by: Caller, controller: usize, ask: Ask) -> u64 {
-        self.last_call += 1;
-        let call = self.last_call;
-        let (mut store, mut zone) = (None, None);
-        if let Caller::Operator(operator) = by {
-            let order = &self.operators[operator];
-            match (&order.wants, order.ask()) {
-                (Wants::Zone { zone: which, empties }, _) => {
-                    let sent =
-                        ZoneCall { zone: *which, empties: *empties, sent_at: self.now, acked_at: None };
-                    self.judges.zones.push(sent);
-                    zone = Some(self.judges.zones.len() - 1);
+    /// Sends a call, records it for the checker and returns its id.
+    pub(super) fn send_call(&mut self, caller: Caller, controller: usize, request: ClientCall) -> u64 {
+        self.last_call_id += 1;
+        let call = self.last_call_id;
+        let (mut call_index, mut zone_index) = (None, None);
+        if let Caller::Operator(operator) = caller {
+            let operator = &self.operators[operator];
+            match (&operator.task, operator.next_call()) {
+                (OperatorTask::Zone { zone, empties }, _) => {
+                    let zone_call =
+                        ZoneCall { zone: *zone, empties: *empties, sent_at: self.now, acked_at: None };
+                    self.checker.zone_calls.push(zone_call);
+                    zone_index = Some(self.checker.zone_calls.len() - 1);
                 }
-                (_, Some((_, Some(asked)))) => store = Some(self.judges.sends(self.now, asked)),
+                (_, Some((_, Some(input)))) => call_index = Some(self.checker.record_call(self.now, input)),
                 _ => {}
             }
         }
-        self.calls.insert(call, Calling { by, controller, store, zone });
-        let way = self.way();
+        self.open_calls.insert(call, OpenCall { caller, controller, call_index, zone_index });
+        let delay = self.draw_network_delay();
         if self.machines[controller].process.is_none() {
-            self.plan(way, Next::Answered { call, answer: None });
+            self.schedule(delay, WorldEvent::Answered { call, answer: None });
         } else {
-            self.plan_at(controller, self.now + way, Event::Called { call, ask });
-            self.plan(CALL, Next::GivenUp { call });
+            self.schedule_process_event(controller, self.now + delay, ProcessEvent::Call { call, request });
+            self.schedule(CALL_TIMEOUT, WorldEvent::CallTimeout { call });
         }
         call
     }
 
-    /// A caller is told something, or nothing.
-    pub(super) fn answered(&mut self, call: u64, answer: Option<Answer>) {
-        let Some(calling) = self.calls.remove(&call) else { return };
+    /// Handles the answer to a call, or its loss or time-out if it is `None`.
+    pub(super) fn on_answer(&mut self, call: u64, answer: Option<Answer>) {
+        let Some(open_call) = self.open_calls.remove(&call) else { return };
         let now = self.now;
         if answer.is_none()
-            && let Some(Process::Controller(controller)) = &mut self.machines[calling.controller].process
+            && let Some(Process::Controller(controller)) = &mut self.machines[open_call.controller].process
         {
-            controller.hangs_up(call);
+            controller.cancel_call(call);
         }
-        let told = match &answer {
+        let output = match &answer {
             Some(Answer::Status(200)) => CallOutput::Taken,
             Some(Answer::Status(status)) if *status < 500 => CallOutput::Refused,
-            Some(Answer::Holds(version)) => CallOutput::Holds(*version),
+            Some(Answer::Configuration(version)) => CallOutput::Holds(*version),
             _ => CallOutput::Nothing,
         };
-        if let Some(store) = calling.store.filter(|_| told != CallOutput::Nothing) {
-            self.judges.told(now, store, told);
+        if let Some(index) = open_call.call_index.filter(|_| output != CallOutput::Nothing) {
+            self.checker.record_output(now, index, output);
         }
-        if let Some(zone) = calling.zone.filter(|_| told == CallOutput::Taken) {
-            self.judges.zones[zone].acked_at = Some(now);
+        if let Some(index) = open_call.zone_index.filter(|_| output == CallOutput::Taken) {
+            self.checker.zone_calls[index].acked_at = Some(now);
         }
-        match calling.by {
+        match open_call.caller {
             Caller::Operator(operator) => {
-                self.operator_told(operator, call, calling.controller, told, answer)
+                self.on_operator_answer(operator, call, open_call.controller, output, answer)
+            }
+            Caller::Worker(worker, instance) => {
+                self.on_worker_answer(worker, instance, open_call.controller, output)
             }
-            Caller::Worker(worker, instance) => self.worker_told(worker, instance, calling.controller, told),
         }
     }
 
-    /// Another than the one that gave no answer.
-    pub(super) fn any_controller(&mut self, but: Option<usize>) -> usize {
-        let others: Vec<usize> = self.listed.iter().copied().filter(|h| Some(*h) != but).collect();
-        others.choose(&mut self.chance).copied().or(but).expect("some controller is listed")
+    /// Draws a listed controller other than `excluded`, or returns `excluded` if there is no other.
+    pub(super) fn any_controller(&mut self, excluded: Option<usize>) -> usize {
+        let others: Vec<usize> =
+            self.listed_controllers.iter().copied().filter(|c| Some(*c) != excluded).collect();
+        others.choose(&mut self.rng).copied().or(excluded).expect("some controller is listed")
     }
 
-    pub(super) fn turn(&mut self, operator: usize) {
+    /// Sends the next call of an operator that has none in flight; an idle operator starts a task first.
+    pub(super) fn operator_turn(&mut self, operator: usize) {
         let now = self.now;
         if self.operators[operator].call.is_some() {
             return;
         }
-        if matches!(self.operators[operator].wants, Wants::Rest) {
-            if self.closing {
+        if matches!(self.operators[operator].task, OperatorTask::Idle) {
+            if self.is_final_phase {
                 return;
             }
-            let wants = if operator == 0 && self.chance.random_bool(0.5) {
-                let zone = self.chance.random_range(0..crate::core::ZONES.len());
-                let is_empty =
-                    self.judges.zones.iter().rev().find(|c| c.zone == zone).is_some_and(|c| c.empties);
-                Wants::Zone { zone, empties: !is_empty }
+            let task = if operator == 0 && self.rng.random_bool(0.5) {
+                let zone = self.rng.random_range(0..crate::core::ZONES.len());
+                let is_evacuated =
+                    self.checker.zone_calls.iter().rev().find(|c| c.zone == zone).is_some_and(|c| c.empties);
+                OperatorTask::Zone { zone, empties: !is_evacuated }
             } else {
-                Wants::Read
+                OperatorTask::Read
             };
-            self.operators[operator].begins(now, wants);
+            self.operators[operator].begin(now, task);
         }
-        let controller = self.any_controller(self.operators[operator].last);
-        self.sends_order(operator, controller);
+        let controller = self.any_controller(self.operators[operator].last_failed_controller);
+        self.send_operator_call(operator, controller);
     }
 
-    pub fn sends_order(&mut self, operator: usize, controller: usize) {
-        if let Some((ask, _)) = self.operators[operator].ask() {
-            let call = self.calls(Caller::Operator(operator), controller, ask);
+    pub fn send_operator_call(&mut self, operator: usize, controller: usize) {
+        if let Some((request, _)) = self.operators[operator].next_call() {
+            let call = self.send_call(Caller::Operator(operator), controller, request);
             self.operators[operator].call = Some(call);
         }
     }
 
-    pub(super) fn operator_told(
+    pub(super) fn on_operator_answer(
         &mut self,
-        who: usize,
+        operator: usize,
         call: u64,
         controller: usize,
-        told: CallOutput,
+        output: CallOutput,
         answer: Option<Answer>,
     ) {
-        if self.operators[who].call != Some(call) {
+        if self.operators[operator].call != Some(call) {
             return;
         }
         let now = self.now;
-        self.operators[who].call = None;
-        let rest = ms(self.chance.random_range(20..900));
-        match told {
+        self.operators[operator].call = None;
+        let idle_time = ms(self.rng.random_range(20..900));
+        match output {
             CallOutput::Nothing => {
-                let operator = &mut self.operators[who];
-                if let Some(Answer::Elsewhere(to)) = answer
-                    && operator.redirects < 2
+                let state = &mut self.operators[operator];
+                if let Some(Answer::Redirect(to)) = answer
+                    && state.redirect_count < 2
                 {
-                    operator.redirects += 1;
+                    state.redirect_count += 1;
                     let to = self::machine(to);
-                    return self.sends_order(who, to);
+                    return self.send_operator_call(operator, to);
                 }
-                operator.redirects = 0;
-                operator.last = Some(controller);
-                operator.pause = operator.pause.times(1.7).max(ms(30)).min(ms(500));
-                let pause = operator.pause;
-                self.plan(pause, Next::Turn { operator: who });
+                state.redirect_count = 0;
+                state.last_failed_controller = Some(controller);
+                state.retry_delay = state.retry_delay.times(1.7).max(ms(30)).min(ms(500));
+                let delay = state.retry_delay;
+                self.schedule(delay, WorldEvent::OperatorTurn { operator });
             }
-            CallOutput::Holds(version) if !self.closing && self.chance.random_bool(0.8) => {
+            CallOutput::Holds(version) if !self.is_final_phase && self.rng.random_bool(0.8) => {
                 self.last_mark += 1;
-                let wants = change(&mut self.chance, version, self.last_mark);
-                self.operators[who].begins(now, wants);
-                let soon = ms(self.chance.random_range(0..30));
-                self.plan(soon, Next::Turn { operator: who });
+                let task = draw_change(&mut self.rng, version, self.last_mark);
+                self.operators[operator].begin(now, task);
+                let delay = ms(self.rng.random_range(0..30));
+                self.schedule(delay, WorldEvent::OperatorTurn { operator });
             }
-            CallOutput::Taken if !self.operators[who].again && self.chance.random_bool(0.3) => {
-                // Its answer was lost further on: the same order is sent again.
-                let wants = self.operators[who].wants.clone();
-                self.operators[who].begins(now, wants);
-                self.operators[who].again = true;
-                let later = ms(self.chance.random_range(0..1_500));
-                self.plan(later, Next::Turn { operator: who });
+            CallOutput::Taken if !self.operators[operator].is_repeat && self.rng.random_bool(0.3) => {
+                // The answer is lost on its way to the operator, which sends the same command again.
+                let task = self.operators[operator].task.clone();
+                self.operators[operator].begin(now, task);
+                self.operators[operator].is_repeat = true;
+                let delay = ms(self.rng.random_range(0..1_500));
+                self.schedule(delay, WorldEvent::OperatorTurn { operator });
             }
             _ => {
-                self.operators[who].rests();
-                self.plan(rest, Next::Turn { operator: who });
+                self.operators[operator].finish();
+                self.schedule(idle_time, WorldEvent::OperatorTurn { operator });
             }
         }
     }
 
-    pub(super) fn heartbeat(&mut self, who: usize, instance: u32) {
-        if self.workers[who].instance != instance || self.workers[who].call.is_some() {
+    /// Sends the next heartbeat or deregistration of a worker instance. Some instances start to drain at this
+    /// point, others end without deregistration.
+    pub(super) fn worker_heartbeat(&mut self, index: usize, instance: u32) {
+        if self.workers[index].instance != instance || self.workers[index].call.is_some() {
             return;
         }
         let now = self.now;
-        // Lives end now and then: in order, or without a word.
-        let age = now - self.workers[who].began_at;
-        let worker = &mut self.workers[who];
-        match worker.goes {
-            Goes::Ready if age > ms(4_000) && !self.closing && self.chance.random_bool(0.06) => {
-                worker.goes = if self.chance.random_bool(0.7) { Goes::Draining } else { Goes::Over };
+        let age = now - self.workers[index].started_at;
+        let worker = &mut self.workers[index];
+        match worker.phase {
+            WorkerPhase::Ready if age > ms(4_000) && !self.is_final_phase && self.rng.random_bool(0.06) => {
+                worker.phase =
+                    if self.rng.random_bool(0.7) { WorkerPhase::Draining } else { WorkerPhase::Ended };
             }
-            Goes::Draining if worker.out_acked_at.is_some_and(|at| now - at > ms(2_500)) => {
-                worker.goes = Goes::Ending;
+            WorkerPhase::Draining if worker.leave_acked_at.is_some_and(|at| now - at > ms(2_500)) => {
+                worker.phase = WorkerPhase::Deregistering;
             }
             _ => {}
         }
-        if self.workers[who].goes == Goes::Over {
-            return self.worker_over(who);
+        if self.workers[index].phase == WorkerPhase::Ended {
+            return self.replace_worker(index);
         }
-        let controller = match self.workers[who].controller {
+        let controller = match self.workers[index].controller {
             Some(controller) => controller,
-            None => self.any_controller(self.workers[who].refused_by),
+            None => self.any_controller(self.workers[index].rejected_by),
         };
-        if let Some(ask) = self.workers[who].ask() {
-            self.workers[who].call = Some(self.calls(Caller::Worker(who, instance), controller, ask));
+        if let Some(request) = self.workers[index].next_call() {
+            self.workers[index].call =
+                Some(self.send_call(Caller::Worker(index, instance), controller, request));
         }
     }
 
-    pub(super) fn worker_over(&mut self, who: usize) {
+    /// Ends a worker instance and schedules the start of its successor.
+    pub(super) fn replace_worker(&mut self, index: usize) {
         let now = self.now;
-        let worker = &mut self.workers[who];
-        worker.goes = Goes::Over;
-        worker.over_at = Some(now);
-        let old = worker.clone();
-        self.workers.push(old);
-        let instance = self.workers[who].instance + 1;
-        self.workers[who] = Worker::new(now, who, instance);
-        let later = ms(self.chance.random_range(500..3_000));
-        self.plan(later, Next::Heartbeat { worker: who, instance });
+        let worker = &mut self.workers[index];
+        worker.phase = WorkerPhase::Ended;
+        worker.ended_at = Some(now);
+        let ended = worker.clone();
+        self.workers.push(ended);
+        let instance = self.workers[index].instance + 1;
+        self.workers[index] = Worker::new(now, index, instance);
+        let delay = ms(self.rng.random_range(500..3_000));
+        self.schedule(delay, WorldEvent::WorkerHeartbeat { worker: index, instance });
     }
 
-    pub(super) fn worker_told(&mut self, who: usize, instance: u32, controller: usize, told: CallOutput) {
-        if self.workers[who].instance != instance {
+    pub(super) fn on_worker_answer(
+        &mut self,
+        index: usize,
+        instance: u32,
+        controller: usize,
+        output: CallOutput,
+    ) {
+        if self.workers[index].instance != instance {
             return;
         }
         let now = self.now;
-        let worker = &mut self.workers[who];
+        let worker = &mut self.workers[index];
         worker.call = None;
-        let next = if told == CallOutput::Taken {
+        let delay = if output == CallOutput::Taken {
             worker.controller = Some(controller);
-            worker.acked(now);
-            if worker.goes == Goes::Ending {
-                return self.worker_over(who);
+            worker.on_acknowledged(now);
+            if worker.phase == WorkerPhase::Deregistering {
+                return self.replace_worker(index);
             }
-            BEAT.times(0.95 + 0.1 * self.chance.random::<f64>())
+            HEARTBEAT_PERIOD.times(0.95 + 0.1 * self.rng.random::<f64>())
         } else {
-            (worker.controller, worker.refused_by) = (None, Some(controller));
+            (worker.controller, worker.rejected_by) = (None, Some(controller));
             ms(20)
         };
-        self.plan(next, Next::Heartbeat { worker: who, instance });
+        self.schedule(delay, WorldEvent::WorkerHeartbeat { worker: index, instance });
     }
 }
--- a/crates/emulator/src/core/world/messaging.rs
+++ b/crates/emulator/src/core/world/messaging.rs
@@ -1,40 +1,45 @@
-//! How words go over lines in the world: what a machine says when a line opens, and what is heard.
+//! Links between processes: opening them, sending messages and handling received ones.
 
 use super::*;
 
 impl World {
-    pub(super) fn send(&mut self, ends: Ends, from: usize, word: Word) {
-        let way = self.way();
-        if let Some((at, word)) = self.lines.send(self.now, from, ends, word, way) {
-            self.arrives(at, from, ends, word);
+    pub(super) fn send(&mut self, ends: LinkEnds, from: usize, message: LinkMessage) {
+        let delay = self.draw_network_delay();
+        if let Some((at, message)) = self.links.send(self.now, from, ends, message, delay) {
+            self.schedule_arrival(at, from, ends, message);
         }
     }
 
-    pub(super) fn arrives(&mut self, at: Time, from: usize, ends: Ends, word: Word) {
+    pub(super) fn schedule_arrival(&mut self, at: Time, from: usize, ends: LinkEnds, message: LinkMessage) {
         let to = if from == ends.0 { ends.1 } else { ends.0 };
-        let line = self.lines.instance(ends);
-        self.plan_at(to, at, Event::Hears { ends, line, from, word });
+        let connection = self.links.connection_number(ends);
+        self.schedule_process_event(to, at, ProcessEvent::Receive { ends, connection, from, message });
     }
 
-    /// Keeps a line to another controller from now on.
-    pub(super) fn knows(&mut self, machine: usize, controller: usize) {
-        if machine != controller && !self.machines[machine].known.contains(&controller) {
-            self.machines[machine].known.push(controller);
-            if machine >= EDGES {
+    /// Keeps a link to another controller open from now on. A controller also sends its list to the proxies.
+    pub(super) fn add_known_controller(&mut self, machine: usize, controller: usize) {
+        if machine != controller && !self.machines[machine].known_controllers.contains(&controller) {
+            self.machines[machine].known_controllers.push(controller);
+            if machine >= PROXY_COUNT {
                 let controllers = ToProxy::Controllers {
-                    controllers: self.machines[machine].known.iter().map(|h| address(*h)).collect(),
+                    controllers: self.machines[machine]
+                        .known_controllers
+                        .iter()
+                        .map(|c| address(*c))
+                        .collect(),
                     is_complete: false,
                 };
-                for edge in 0..EDGES {
-                    self.send((edge, machine), machine, Word::ToProxy(Box::new(controllers.clone())));
+                for proxy in 0..PROXY_COUNT {
+                    self.send((proxy, machine), machine, LinkMessage::ToProxy(Box::new(controllers.clone())));
                 }
             }
         }
     }
 
-    pub(super) fn opens(&mut self, machine: usize) {
-        for to in self.machines[machine].known.clone() {
-            if self.machines[to].process.is_none() || !self.lines.open((machine, to)) {
+    /// Opens the missing links to known controllers and sends the first messages on them.
+    pub(super) fn open_links(&mut self, machine: usize) {
+        for to in self.machines[machine].known_controllers.clone() {
+            if self.machines[to].process.is_none() || !self.links.open((machine, to)) {
                 continue;
             }
             let now = self.clock(machine);
@@ -42,86 +47,99 @@
                 Some(Process::Controller(controller)) => {
                     let instances = controller.detector.registry().snapshot(now);
                     controller.consensus.on_peer_connected(address(to));
-                    self.send((machine, to), machine, Word::Heard(instances));
-                    self.says_here(machine);
+                    self.send((machine, to), machine, LinkMessage::Instances(instances));
+                    self.send_peer_heartbeats(machine);
                 }
-                Some(Process::Edge(edge)) => {
-                    // What it missed while it had no line, it is told.
-                    let instances = !edge.has_instances || self.lines.instance((machine, to)) > 1;
-                    self.send((machine, to), machine, Word::Hello { instances });
-                    self.pings(machine, Some(to));
+                Some(Process::Proxy(proxy)) => {
+                    // After a reconnection the proxy may have missed updates.
+                    let wants_instances =
+                        !proxy.has_instances || self.links.connection_number((machine, to)) > 1;
+                    self.send((machine, to), machine, LinkMessage::Subscribe { wants_instances });
+                    self.send_proxy_heartbeats(machine, Some(to));
                 }
                 None => {}
             }
         }
-        let again = if machine < EDGES { ms(150) } else { ms(60) };
-        self.plan_at(machine, self.now + again, Event::Lines);
+        let retry_delay = if machine < PROXY_COUNT { ms(150) } else { ms(60) };
+        self.schedule_process_event(machine, self.now + retry_delay, ProcessEvent::OpenLinks);
     }
 
-    /// A controller says to those it has lines to that it is there, and which others it has a line to.
-    pub(super) fn says_here(&mut self, machine: usize) {
-        let known = self.machines[machine].known.clone();
-        let controllers: Vec<usize> =
-            known.iter().copied().filter(|h| self.lines.is_open((machine, *h))).collect();
-        for to in known {
-            self.send((machine, to), machine, Word::Here { controllers: controllers.clone() });
+    /// Sends a heartbeat with the connected controllers to all known controllers.
+    pub(super) fn send_peer_heartbeats(&mut self, machine: usize) {
+        let known_controllers = self.machines[machine].known_controllers.clone();
+        let known_peers: Vec<usize> =
+            known_controllers.iter().copied().filter(|c| self.links.is_open((machine, *c))).collect();
+        for to in known_controllers {
+            self.send(
+                (machine, to),
+                machine,
+                LinkMessage::PeerHeartbeat { known_peers: known_peers.clone() },
+            );
         }
     }
 
-    pub(super) fn pings(&mut self, edge: usize, only: Option<usize>) {
-        let clock = self.clock(edge).nanos();
-        let Some(have) = self.edge(edge).map(Edge::have) else { return };
-        for controller in
-            self.machines[edge].known.clone().into_iter().filter(|h| only.is_none_or(|o| o == *h))
+    /// Sends a heartbeat of a proxy to its known controllers, or to one of them.
+    pub(super) fn send_proxy_heartbeats(&mut self, proxy: usize, only: Option<usize>) {
+        let clock = self.clock(proxy).nanos();
+        let Some(revision) = self.proxy(proxy).map(Proxy::delta_base) else { return };
+        for controller in self.machines[proxy]
+            .known_controllers
+            .clone()
+            .into_iter()
+            .filter(|c| only.is_none_or(|o| o == *c))
         {
-            self.send((edge, controller), edge, Word::Ping { clock, have });
+            self.send((proxy, controller), proxy, LinkMessage::Heartbeat { clock, revision });
         }
     }
 
-    pub(super) fn hears(&mut self, machine: usize, from: usize, word: Word) {
+    pub(super) fn receive(&mut self, machine: usize, from: usize, message: LinkMessage) {
         let now = self.clock(machine);
-        let mut pings = None;
-        match (&mut self.machines[machine].process, word) {
-            (Some(Process::Controller(controller)), word) => match word {
-                Word::Agreement(message) => {
-                    controller.hear(now, address(from), *message);
-                    self.knows(machine, from);
+        let mut respond_to = None;
+        match (&mut self.machines[machine].process, message) {
+            (Some(Process::Controller(controller)), message) => match message {
+                LinkMessage::Consensus(message) => {
+                    controller.handle_consensus_message(now, address(from), *message);
+                    self.add_known_controller(machine, from);
                 }
-                Word::Heard(instances) => {
-                    controller.hear_instances(now, address(from), &instances);
-                    self.knows(machine, from);
+                LinkMessage::Instances(instances) => {
+                    controller.handle_instances(now, address(from), &instances);
+                    self.add_known_controller(machine, from);
                 }
-                Word::Here { controllers } => {
-                    controller.here(now, address(from));
-                    self.knows(machine, from);
-                    controllers.into_iter().for_each(|controller| self.knows(machine, controller));
+                LinkMessage::PeerHeartbeat { known_peers } => {
+                    controller.handle_peer_heartbeat(now, address(from));
+                    self.add_known_controller(machine, from);
+                    known_peers
+                        .into_iter()
+                        .for_each(|controller| self.add_known_controller(machine, controller));
                 }
-                Word::Hello { instances } => {
-                    controller.follow(now, from, instances);
-                    let controllers = self.machines[machine].known.iter().chain([&machine]);
+                LinkMessage::Subscribe { wants_instances } => {
+                    controller.subscribe(now, from, wants_instances);
+                    let controllers = self.machines[machine].known_controllers.iter().chain([&machine]);
                     let controllers = ToProxy::Controllers {
-                        controllers: controllers.map(|h| address(*h)).collect(),
+                        controllers: controllers.map(|c| address(*c)).collect(),
                         is_complete: false,
                     };
-                    self.send((from, machine), machine, Word::ToProxy(Box::new(controllers)));
+                    self.send((from, machine), machine, LinkMessage::ToProxy(Box::new(controllers)));
                 }
-                Word::Ping { clock, have } => controller.ping(now, from, clock, have),
-                Word::ToProxy(_) => {}
+                LinkMessage::Heartbeat { clock, revision } => {
+                    controller.handle_proxy_heartbeat(now, from, clock, revision)
+                }
+                LinkMessage::ToProxy(_) => {}
             },
-            (Some(Process::Edge(edge)), Word::ToProxy(word)) => {
-                if let ToProxy::Controllers { controllers, .. } = &*word {
+            (Some(Process::Proxy(proxy)), LinkMessage::ToProxy(message)) => {
+                if let ToProxy::Controllers { controllers, .. } = &*message {
                     for controller in controllers.clone() {
-                        self.knows(machine, self::machine(controller));
+                        self.add_known_controller(machine, self::machine(controller));
                     }
-                } else if edge.hear(now, *word) {
-                    pings = Some(from);
+                } else if proxy.handle_message(now, *message) {
+                    respond_to = Some(from);
                 }
             }
             _ => {}
         }
-        if let Some(from) = pings {
-            self.pings(machine, Some(from));
+        if let Some(from) = respond_to {
+            self.send_proxy_heartbeats(machine, Some(from));
         }
-        self.after(machine);
+        self.execute_outputs(machine);
     }
 }
--- a/crates/emulator/src/core/world/probes.rs
+++ b/crates/emulator/src/core/world/probes.rs
@@ -1,131 +1,154 @@
-//! What the judges are shown: requests through the edges, and how long orders wait; and the end of a scenario.
+//! Periodic observations for the checker: effects visible through the proxies and the waiting time of
+//! operators. Also the calls of the final phase.
 
 use super::*;
 
 impl World {
-    pub fn closing_read(&mut self, operator: usize) {
+    pub fn start_final_read(&mut self, operator: usize) {
         let now = self.now;
-        self.operators[operator].begins(now, Wants::Read);
-        self.turn(operator);
+        self.operators[operator].begin(now, OperatorTask::Read);
+        self.operator_turn(operator);
     }
 
-    /// A change on top of what was read last.
-    pub fn closing_change(&mut self, operator: usize) {
+    /// Starts a change that is based on the last version read.
+    pub fn start_final_change(&mut self, operator: usize) {
         let now = self.now;
-        let last = self.judges.store.iter().rev().find_map(|c| match c.output {
+        let last = self.checker.calls.iter().rev().find_map(|c| match c.output {
             CallOutput::Holds(version) => Some(version),
             _ => None,
         });
         self.last_mark += 1;
-        let wants = change(&mut self.chance, last.flatten(), self.last_mark);
-        self.operators[operator].begins(now, wants);
-        self.turn(operator);
+        let task = draw_change(&mut self.rng, last.flatten(), self.last_mark);
+        self.operators[operator].begin(now, task);
+        self.operator_turn(operator);
     }
 
-    pub fn read_since(&self, since: Time) -> bool {
-        self.judges.store.iter().any(|c| matches!(c.output, CallOutput::Holds(_)) && c.sent_at >= since)
+    pub fn has_answered_read_since(&self, since: Time) -> bool {
+        self.checker.calls.iter().any(|c| matches!(c.output, CallOutput::Holds(_)) && c.sent_at >= since)
     }
 
-    /// Whether an edge is fresh, and what it shows.
-    pub fn edge_stands(&self, edge: usize) -> (bool, Option<crate::core::linearizability::Version>) {
-        let clock = self.clock(edge);
-        self.edge(edge).map_or((false, None), |e| (e.is_fresh(clock), e.in_force().map(|(v, _)| v)))
+    /// Returns whether the configuration of a proxy is freshly confirmed, and its version.
+    pub fn proxy_status(&self, proxy: usize) -> (bool, Option<crate::core::linearizability::Version>) {
+        let clock = self.clock(proxy);
+        self.proxy(proxy).map_or((false, None), |p| (p.is_fresh(clock), p.active_config().map(|(v, _)| v)))
     }
 
-    /// Workers that heartbeat, and were not acknowledged for a heartbeat and a half.
-    pub fn unheard_workers(&self) -> usize {
-        let heard = |w: &Worker| w.acked.last().is_some_and(|at| self.now - *at < BEAT.times(1.7));
-        let old = |w: &Worker| self.now - w.began_at > ms(5_000);
-        self.workers.iter().filter(|w| w.goes == Goes::Ready && old(w) && !heard(w)).count()
+    /// Number of ready workers that have run for five seconds and lack a recent acknowledgement of a
+    /// heartbeat.
+    pub fn unacknowledged_workers(&self) -> usize {
+        let is_acked =
+            |w: &Worker| w.acked_at.last().is_some_and(|at| self.now - *at < HEARTBEAT_PERIOD.times(1.7));
+        let is_established = |w: &Worker| self.now - w.started_at > ms(5_000);
+        self.workers
+            .iter()
+            .filter(|w| w.phase == WorkerPhase::Ready && is_established(w) && !is_acked(w))
+            .count()
     }
 
-    /// The controllers that more than half of the core runs and is connected with, where it has been calm for the contact time.
-    pub fn settled(&self) -> Option<Vec<usize>> {
-        if self.now - self.troubled_at < CONTACT || self.slow_until > self.now {
+    /// Returns the largest group of running controllers that are connected to one of them. `None` if it
+    /// is not a majority, or if the core was disturbed within the contact time.
+    pub fn settled_majority(&self) -> Option<Vec<usize>> {
+        if self.now - self.last_disturbed_at < CONTACT_TIME || self.slow_disk_until > self.now {
             return None;
         }
-        let runs = |m: &usize| self.machines[*m].process.is_some() && !self.machines[*m].frozen;
+        let runs = |m: &usize| self.machines[*m].process.is_some() && !self.machines[*m].is_paused;
         let all: Vec<usize> = self.controllers().collect();
-        let best = all.iter().copied().filter(runs).map(|a| {
-            let with = all.iter().copied().filter(runs).filter(|b| a == *b || self.lines.joined(a, *b));
-            with.collect::<Vec<usize>>()
+        let groups = all.iter().copied().filter(runs).map(|a| {
+            let group =
+                all.iter().copied().filter(runs).filter(|b| a == *b || self.links.is_connected(a, *b));
+            group.collect::<Vec<usize>>()
         });
-        best.max_by_key(Vec::len).filter(|c| c.len() * 2 > all.len())
+        groups.max_by_key(Vec::len).filter(|c| c.len() * 2 > all.len())
     }
 
+    /// Checks what clients of each proxy observe, and how long operators have been waiting.
     pub(super) fn probe(&mut self) {
         let now = self.now;
-        let settled = self.settled();
-        for edge in 0..EDGES {
-            if self.machines[edge].frozen {
+        let settled = self.settled_majority();
+        for proxy in 0..PROXY_COUNT {
+            if self.machines[proxy].is_paused {
                 continue;
             }
-            let clock = self.clock(edge);
-            let in_touch = settled.as_ref().is_some_and(|controllers| {
-                let m = &self.machines[edge];
+            let clock = self.clock(proxy);
+            let is_in_contact = settled.as_ref().is_some_and(|controllers| {
+                let m = &self.machines[proxy];
                 m.lost_until <= now
-                    && now - m.began_at > CONTACT
-                    && controllers.iter().all(|h| self.lines.joined(edge, *h))
+                    && now - m.started_at > CONTACT_TIME
+                    && controllers.iter().all(|c| self.links.is_connected(proxy, *c))
             });
-            let instance = self.machines[edge].instance;
-            let Some(of) = self.edge(edge) else { continue };
-            let (shown, serves) = (of.in_force(), of.serves_tenants(clock, crate::core::checker::REVOKE));
-            let mut broken = Vec::new();
-            if in_touch {
+            let instance = self.machines[proxy].instance;
+            let Some(state) = self.proxy(proxy) else { continue };
+            let (active, serves) =
+                (state.active_config(), state.serves_tenants(clock, crate::core::checker::REVOCATION_TIME));
+            let mut violations = Vec::new();
+            if is_in_contact {
                 for worker in &self.workers {
-                    let sends = of.sends_to(&worker.id());
-                    let what = |what: &str| format!("edge {edge}: {} {what}", worker.id());
-                    if !sends && worker.is_promised(now, crate::core::checker::CONVERGE) {
-                        broken.push((Check::Promised, what("heartbeats and is heard, and gets nothing")));
+                    let is_routed_to = state.routes_to(&worker.id());
+                    let describe = |problem: &str| format!("proxy {proxy}: {} {problem}", worker.id());
+                    if !is_routed_to && worker.has_steady_acks(now, crate::core::checker::CONVERGENCE_TIME) {
+                        violations.push((
+                            Check::Promised,
+                            describe("receives no requests, though its heartbeats are acknowledged"),
+                        ));
                     }
-                    let told = worker.out_acked_at.is_some_and(|at| {
-                        now - at > crate::core::checker::DRAIN && self.troubled_at + CONTACT < at
+                    let is_leaving = worker.leave_acked_at.is_some_and(|at| {
+                        now - at > crate::core::checker::DRAIN_TIME
+                            && self.last_disturbed_at + CONTACT_TIME < at
                     });
-                    let dead = worker
-                        .over_at
-                        .is_some_and(|at| now - at > ms(16_000) && now - self.troubled_at > ms(16_000));
-                    if sends && told {
-                        broken.push((Check::Drained, what("was told that it leaves, and is sent to")));
+                    let has_ended = worker
+                        .ended_at
+                        .is_some_and(|at| now - at > ms(16_000) && now - self.last_disturbed_at > ms(16_000));
+                    if is_routed_to && is_leaving {
+                        violations.push((
+                            Check::Drained,
+                            describe("receives requests after its drain was acknowledged"),
+                        ));
                     }
-                    if sends && dead {
-                        let known = self.leader().and_then(|l| self.controller(l)).map(|h| {
-                            h.detector.registry().instances().get(&worker.id()).map(|known| known.state)
+                    if is_routed_to && has_ended {
+                        let state_at_leader = self.leader().and_then(|l| self.controller(l)).map(|c| {
+                            c.detector.registry().instances().get(&worker.id()).map(|instance| instance.state)
                         });
-                        let of = format!("is dead for long, and is sent to; the leader knows {known:?}");
-                        broken.push((Check::Drained, what(&of)));
+                        let problem = format!(
+                            "receives requests long after it ended; state at the leader: {state_at_leader:?}"
+                        );
+                        violations.push((Check::Drained, describe(&problem)));
                     }
                 }
             }
             for (zone, name) in crate::core::ZONES.iter().enumerate() {
-                let is_empty = shown.as_ref().is_some_and(|(_, zones)| zones.contains(*name));
-                let must = self.judges.zone(zone, now.saturating_sub(crate::core::checker::EVACUATE));
-                let newest = self.judges.zones.iter().rev().find(|c| c.zone == zone).map(|c| c.empties);
-                if in_touch
-                    && shown.is_some()
-                    && must.is_some_and(|must| must != is_empty && newest == Some(must))
+                let is_evacuated = active.as_ref().is_some_and(|(_, zones)| zones.contains(*name));
+                let expected = self
+                    .checker
+                    .expected_evacuation(zone, now.saturating_sub(crate::core::checker::EVACUATION_TIME));
+                let newest = self.checker.zone_calls.iter().rev().find(|c| c.zone == zone).map(|c| c.empties);
+                if is_in_contact
+                    && active.is_some()
+                    && expected.is_some_and(|expected| expected != is_evacuated && newest == Some(expected))
                 {
-                    broken
-                        .push((Check::Evacuated, format!("edge {edge}: zone {name} is emptied: {is_empty}")));
+                    violations.push((
+                        Check::Evacuated,
+                        format!("proxy {proxy}: zone {name} is evacuated: {is_evacuated}"),
+                    ));
                 }
             }
-            self.judges.edge(now, (edge, instance), shown.map(|(v, _)| v), serves, in_touch);
-            for (judge, what) in broken {
-                self.judges.breaks(now, judge, || what);
+            self.checker.observe_proxy(now, (proxy, instance), active.map(|(v, _)| v), serves, is_in_contact);
+            for (check, what) in violations {
+                self.checker.report(now, check, || what);
             }
         }
-        // A call that began before the core was settled may have to be sent again.
-        let since = self.troubled_at + CONTACT;
+        // Waiting time before the core was settled does not count: the call may have to be retried.
+        let since = self.last_disturbed_at + CONTACT_TIME;
         if settled.is_some() {
             for n in 0..self.operators.len() {
-                let order = &self.operators[n];
-                let waits = !matches!(order.wants, Wants::Rest);
-                if waits && now - order.since.max(since) > crate::core::checker::ACK {
+                let operator = &self.operators[n];
+                let is_waiting = !matches!(operator.task, OperatorTask::Idle);
+                if is_waiting && now - operator.began_at.max(since) > crate::core::checker::ACK_TIMEOUT {
                     let what = format!(
-                        "operator {n}: {:?} waits since {:.3} s",
-                        order.wants,
-                        (order.since - self.began_at).secs()
+                        "operator {n}: {:?} has been waiting since {:.3} s",
+                        operator.task,
+                        (operator.began_at - self.began_at).secs()
                     );
-                    self.judges.breaks(now, Check::Acknowledged, || what);
+                    self.checker.report(now, Check::Acknowledged, || what);
                 }
             }
         }
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,5 +1,5 @@
-//! Queue of scheduled events, ordered by time. Events that are due at the same time are returned in the order in
-//! which they were scheduled.
+//! Queue of scheduled events, ordered by time. Events that are due at the same time are returned in the
+//! order in which they were scheduled.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! The project's own code on a virtual clock, with a network of its own whose faults are scripted.
-//!
-//! One seed gives one run, at any size and on any machine. It holds a fleet's membership, its owners of duties, and
-//! the system's core; it decides nothing itself and knows no more of a member than what the room hands out.
+//! Deterministic simulations of lynxstair on a virtual clock, with a simulated network and injected
+//! faults. They run the state machines of the production code: the membership of a fleet, the ownership
+//! of duties, and the controllers with the configuration state of the proxies. A seed determines the
+//! whole run.
 #![forbid(unsafe_code)]
 
 pub mod core;
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -12,7 +12,8 @@
     pub loss_rate: f64,
     /// Probability that a datagram is sent twice.
     pub duplication_rate: f64,
-    /// Probability that a datagram is delayed by up to ten times `delay` more, so that later ones may overtake it.
+    /// Probability that a datagram is delayed by up to ten times `delay` more, so that later ones may
+    /// overtake it.
     pub reorder_rate: f64,
     /// Shortest delay of a datagram.
     pub delay: Span,
--- a/crates/emulator/tests/core.rs
+++ b/crates/emulator/tests/core.rs
@@ -1,5 +1,5 @@
-//! The core's world: the checker of histories by a table, scenarios without a fault, and each deliberate fault with the
-//! judge that finds it.
+//! Simulation of the core: the linearizability checker on example histories, all scenarios without a
+//! deliberate fault, and each deliberate fault with the check that detects it.
 
 use lynxstair::types::Time;
 use lynxstair_emulator::core::linearizability::{Call, CallInput, CallOutput, check_linearizability};
@@ -7,10 +7,10 @@
 use lynxstair_routing::attempt::{Attempt, AttemptEvent, AttemptStep, ReplyHead, ReplyOwner};
 use rayon::prelude::*;
 
-/// A call from one millisecond to another.
-fn call(from: u64, to: u64, input: CallInput, output: CallOutput) -> Call {
+/// Returns a call with the times of sending and answer in milliseconds.
+fn call(sent_ms: u64, answered_ms: u64, input: CallInput, output: CallOutput) -> Call {
     let at = |ms: u64| Time::from_nanos(ms * 1_000_000);
-    Call { sent_at: at(from), answered_at: at(to), input, output }
+    Call { sent_at: at(sent_ms), answered_at: at(answered_ms), input, output }
 }
 
 fn put(base: u64, number: u64, mark: u32) -> CallInput {
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn histories() {
+fn linearizability_checker_accepts_only_valid_histories() {
     use CallInput::Read;
     use CallOutput::{Holds, Nothing, Refused, Taken};
     let cases: &[(&str, bool, Vec<Call>)] = &[
-        ("nothing at all", true, vec![]),
+        ("empty history", true, vec![]),
         (
-            "one after another",
+            "sequential calls",
             true,
             vec![
                 call(0, 1, put(0, 3, 1), Taken),
@@ -34,7 +34,7 @@
             ],
         ),
         (
-            "an old read after a new one",
+            "read of an old version after a newer one was acknowledged",
             false,
             vec![
                 call(0, 1, put(0, 3, 1), Taken),
@@ -43,7 +43,7 @@
             ],
         ),
         (
-            "an old read beside the change",
+            "read of the old version concurrent with the change",
             true,
             vec![
                 call(0, 1, put(0, 3, 1), Taken),
@@ -52,7 +52,7 @@
             ],
         ),
         (
-            "reads that see a change come and go",
+            "reads that observe a change and then the version before it",
             false,
             vec![
                 call(0, 1, put(0, 3, 1), Taken),
@@ -62,12 +62,12 @@
             ],
         ),
         (
-            "both of two on one base",
+            "two accepted changes on one base",
             false,
             vec![call(0, 9, put(0, 3, 1), Taken), call(0, 9, put(0, 4, 2), Taken)],
         ),
         (
-            "one of two under one number",
+            "one of two changes to the same generation",
             true,
             vec![
                 call(0, 9, put(0, 3, 1), Taken),
@@ -76,7 +76,7 @@
             ],
         ),
         (
-            "the loser of two under one number is read",
+            "read of the rejected one of two changes to the same generation",
             false,
             vec![
                 call(0, 9, put(0, 3, 1), Taken),
@@ -85,7 +85,7 @@
             ],
         ),
         (
-            "sent again and known",
+            "retry of an applied change is acknowledged",
             true,
             vec![
                 call(0, 1, put(0, 3, 1), Nothing),
@@ -96,13 +96,13 @@
             ],
         ),
         (
-            "sent again and refused",
+            "retry of an applied change is rejected",
             false,
             vec![call(0, 1, put(0, 3, 1), Taken), call(2, 3, put(0, 3, 1), Refused)],
         ),
-        ("refused with nothing in its way", false, vec![call(0, 1, put(0, 3, 1), Refused)]),
+        ("rejection without a conflict", false, vec![call(0, 1, put(0, 3, 1), Refused)]),
         (
-            "no answer, in force much later",
+            "change without an answer takes effect later",
             true,
             vec![
                 call(0, 1, put(0, 3, 1), Nothing),
@@ -111,7 +111,7 @@
             ],
         ),
         (
-            "no answer, and the base has moved since",
+            "change without an answer takes effect after its base was replaced",
             false,
             vec![
                 call(0, 1, put(0, 3, 1), Nothing),
@@ -120,17 +120,17 @@
             ],
         ),
         (
-            "acknowledged and lost",
+            "acknowledged change is lost",
             false,
             vec![call(0, 1, put(0, 3, 1), Taken), call(2, 3, Read, Holds(None))],
         ),
         (
-            "refused because of one that got no answer",
+            "rejection because of a change without an answer",
             true,
             vec![call(0, 5, put(0, 3, 1), Nothing), call(1, 6, put(0, 4, 2), Refused)],
         ),
         (
-            "a chain of which one link got no answer",
+            "change based on one without an answer",
             true,
             vec![
                 call(0, 1, put(0, 3, 1), Nothing),
@@ -139,19 +139,19 @@
             ],
         ),
     ];
-    for (name, is_good, calls) in cases {
-        assert_eq!(check_linearizability(calls).is_ok(), *is_good, "{name}");
+    for (name, is_linearizable, calls) in cases {
+        assert_eq!(check_linearizability(calls).is_ok(), *is_linearizable, "{name}");
     }
 }
 
-/// Many callers at once with as many unclear answers: the search stays small, also where there is no way.
+/// The search must stay small with many concurrent calls without answers, also if the history is invalid.
 #[test]
-fn long_histories_are_searched_soon() {
+fn linearizability_checker_handles_long_histories() {
     let mut calls = Vec::new();
     for n in 0..200u64 {
         for other in 0..6 {
-            let told = if other == 0 { CallOutput::Taken } else { CallOutput::Nothing };
-            calls.push(call(n * 10 + other, n * 10 + 9, put(n, n + 1, (n * 10 + other) as u32), told));
+            let output = if other == 0 { CallOutput::Taken } else { CallOutput::Nothing };
+            calls.push(call(n * 10 + other, n * 10 + 9, put(n, n + 1, (n * 10 + other) as u32), output));
         }
     }
     assert_eq!(check_linearizability(&calls), Ok(()));
@@ -159,51 +159,55 @@
     assert!(check_linearizability(&calls).is_err());
 }
 
-fn stories_go_well(scenario: Scenario, seeds: u64) {
-    let broken = (0..seeds).into_par_iter().find_map_any(|seed| {
+fn assert_scenario_passes(scenario: Scenario, seeds: u64) {
+    let failure = (0..seeds).into_par_iter().find_map_any(|seed| {
         let result = simulate(scenario, seed, None);
-        let acked = result.acknowledged;
-        let is_bad = !result.violations.is_empty() || acked < 20;
-        is_bad.then_some((seed, acked, result.violations, result.event_log))
+        let acknowledged = result.acknowledged;
+        let has_failed = !result.violations.is_empty() || acknowledged < 20;
+        has_failed.then_some((seed, acknowledged, result.violations, result.event_log))
     });
-    if let Some((seed, acked, broken, told)) = broken {
-        panic!("{} {seed}, {acked} acknowledged: {broken:#?}\n{}", scenario.name(), told.join("\n"));
+    if let Some((seed, acknowledged, violations, event_log)) = failure {
+        panic!(
+            "{} {seed}, {acknowledged} acknowledged: {violations:#?}\n{}",
+            scenario.name(),
+            event_log.join("\n")
+        );
     }
 }
 
-macro_rules! stories {
+macro_rules! scenario_tests {
     ($($name:ident: $scenario:ident;)*) => {$(
         #[test]
         fn $name() {
-            stories_go_well(Scenario::$scenario, SEEDS);
+            assert_scenario_passes(Scenario::$scenario, SEEDS);
         }
     )*};
 }
 
-/// Of each scenario; the long run has 10,000 in all: `lynxstair experiment core`.
+/// Number of seeds of each scenario. `lynxstair experiment core` runs more.
 const SEEDS: u64 = 20;
 
-stories! {
-    anything_inside_the_budget: Mixed;
-    replaced_after_a_loss: Replaced;
-    replaced_as_planned: Planned;
-    four_replaced_in_a_row: FourInARow;
-    emptied_right_after_an_acknowledgement: WipedAfterAck;
-    as_many_emptied_as_the_budget_allows_while_all_lose_power: WipedToBudget;
-    all_at_once: AllAtOnce;
-    a_leader_stands_still: LeaderFrozen;
-    cut_one_way: OneWay;
-    a_leader_is_told_to_end: LeaderEnds;
-    a_removed_one_returns: RemovedReturns;
-    five_founded_by_three: FiveByThree;
-    cut_off_for_long: CutOff;
-    split_while_one_is_replaced: SplitInReplacement;
-    power_lost_after_a_vote: VoteThenPower;
+scenario_tests! {
+    random_faults_within_the_budget: Mixed;
+    replacement_after_a_loss: Replaced;
+    planned_replacement: Planned;
+    four_replacements_in_a_row: FourInARow;
+    disk_loss_after_an_acknowledgement: WipedAfterAck;
+    disk_losses_up_to_the_budget_while_all_lose_power: WipedToBudget;
+    crash_of_all_controllers_at_once: AllAtOnce;
+    paused_leader: LeaderFrozen;
+    links_cut_in_one_direction: OneWay;
+    graceful_shutdown_of_the_leader: LeaderEnds;
+    removed_controller_returns: RemovedReturns;
+    five_controllers_founded_by_three: FiveByThree;
+    long_isolation_of_a_controller: CutOff;
+    partition_during_a_replacement: SplitInReplacement;
+    power_loss_after_a_vote: VoteThenPower;
 }
 
-/// Each deliberate fault is found by the judge that is named for it, on a scenario that goes well without it.
+/// Each deliberate fault must violate its check on a seed that passes without the fault.
 #[test]
-fn deliberate_faults_are_found() {
+fn each_deliberate_fault_violates_its_check() {
     use DeliberateFault::*;
     let cases = [
         (UnsyncedVote, Scenario::VoteThenPower, Check::WayForward),
@@ -217,27 +221,28 @@
         (CutOffBeats, Scenario::CutOff, Check::Promised),
     ];
     assert_eq!(cases.map(|(fault, ..)| fault), DeliberateFault::ALL);
-    for (fault, scenario, judge) in cases {
-        let finds = |seed: &u64| simulate(scenario, *seed, Some(fault)).violates(judge);
-        let found = (0..400u64).into_par_iter().find_any(finds);
-        let Some(seed) = found else { panic!("{judge:?} does not find {}: a hole in it", fault.name()) };
+    for (fault, scenario, check) in cases {
+        let is_detected = |seed: &u64| simulate(scenario, *seed, Some(fault)).violates(check);
+        let found = (0..400u64).into_par_iter().find_any(is_detected);
+        let Some(seed) = found else { panic!("check {check:?} does not detect {}", fault.name()) };
         let without = simulate(scenario, seed, None).violations;
         assert!(
             without.is_empty(),
-            "{} {seed} is broken without {} too: {without:?}",
+            "{} {seed} fails without {} too: {without:?}",
             scenario.name(),
             fault.name()
         );
     }
 }
 
-/// How often a request that can't be repeated has run, where a worker that runs it has a late answer to another request
-/// on the same connection go first: the proxy forwards it where the state machine of attempts says that it never ran.
-fn runs(surplus: u16, has_id: bool, is_first: bool, is_matched: bool) -> usize {
-    let whose = if has_id { ReplyOwner::Other } else { ReplyOwner::Unidentified };
+/// Returns how often a non-idempotent request runs if its worker first sends a late reply to another
+/// request on the same connection. The proxy forwards the request again if the attempt's outcome permits
+/// a retry.
+fn executions(late_status: u16, has_id: bool, is_first_on_connection: bool, checks_owner: bool) -> usize {
+    let owner = if has_id { ReplyOwner::Other } else { ReplyOwner::Unidentified };
     let late = ReplyHead {
-        owner: if is_matched { whose } else { ReplyOwner::Own },
-        status: surplus,
+        owner: if checks_owner { owner } else { ReplyOwner::Own },
+        status: late_status,
         reports_not_run: true,
         is_sealed: false,
         is_encoded: false,
@@ -245,26 +250,31 @@
     };
     let own =
         ReplyHead { owner: ReplyOwner::Own, status: 200, reports_not_run: false, is_sealed: true, ..late };
-    let mut one = Attempt::new(is_first);
-    let mut runs = 1;
-    for met in
+    let mut attempt = Attempt::new(is_first_on_connection);
+    let mut executions = 1;
+    for event in
         [AttemptEvent::Written { is_complete: true }, AttemptEvent::Reply(late), AttemptEvent::Reply(own)]
     {
-        if let AttemptStep::Ended(end) = one.on_event(met) {
-            runs += usize::from(end.execution.may_retry(false));
+        if let AttemptStep::Ended(end) = attempt.on_event(event) {
+            executions += usize::from(end.execution.may_retry(false));
             break;
         }
     }
-    runs
+    executions
 }
 
-/// The tenth fault, `Not-Run` without its id, is found by counting runs.
+/// A reply to another request that reports `Not-Run` must not cause a retry of a request that has run.
+/// Without the check of the request id it does.
 #[test]
-fn not_run_of_another_request() {
-    for surplus in [400, 429, 503, 421] {
+fn not_run_reply_to_another_request_causes_no_retry() {
+    for status in [400, 429, 503, 421] {
         for has_id in [false, true] {
-            assert_eq!(runs(surplus, has_id, false, true), 1, "{surplus}, with an id: {has_id}");
-            assert_eq!(runs(surplus, has_id, false, false), 2, "a hole in the judge: {surplus}");
+            assert_eq!(executions(status, has_id, false, true), 1, "{status}, with an id: {has_id}");
+            assert_eq!(
+                executions(status, has_id, false, false),
+                2,
+                "{status}: the missing check is not detected"
+            );
         }
     }
 }
