--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -5,8 +5,11 @@
 use anyhow::{Context, Result, anyhow};
 use clap::Subcommand;
 use lynxstair_emulator::core::{Scenario, Verdict, play};
-use lynxstair_emulator::experiment::{Care, Weather, deaths, false_deaths, heard_by_one, traffic};
-use lynxstair_emulator::owners::{Takes, datagrams_at_rest, without_owner};
+use lynxstair_emulator::experiment::{
+    FaultPattern, Safeguards, failure_detection_times, failures_with_single_link, false_failure_detections,
+    traffic,
+};
+use lynxstair_emulator::owners::{TakeoverCause, idle_datagrams_per_second, takeover_time};
 use plotters::prelude::*;
 use rayon::prelude::*;
 
@@ -115,16 +118,16 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let kinds = [
-        (Takes::Kill, "killed"),
-        (Takes::KillLeader, "killed, and it leads the voters"),
-        (Takes::Pause, "paused"),
-        (Takes::CutOff, "cut off"),
-        (Takes::HandOver, "told to hand over"),
+        (TakeoverCause::Kill, "killed"),
+        (TakeoverCause::KillLeader, "killed, and it leads the voters"),
+        (TakeoverCause::Pause, "paused"),
+        (TakeoverCause::Isolate, "cut off"),
+        (TakeoverCause::HandOver, "told to hand over"),
     ];
     for members in [5, 40] {
         for (takes, what) in kinds {
             let all: Vec<Option<f64>> =
-                (1..=seeds).into_par_iter().map(|s| without_owner(members, takes, s)).collect();
+                (1..=seeds).into_par_iter().map(|s| takeover_time(members, takes, s)).collect();
             let mut took: Vec<f64> = all.iter().flatten().copied().collect();
             took.sort_by(f64::total_cmp);
             let [median, most, worst] = [0.5, 0.99, 1.0].map(|share| quantile(&took, share));
@@ -137,7 +140,7 @@
     }
     println!("\n| members | datagrams a second, of all together, at rest |\n| --- | --- |");
     for members in [5, 40] {
-        println!("| {members} | {:.0} |", datagrams_at_rest(members, 1));
+        println!("| {members} | {:.0} |", idle_datagrams_per_second(members, 1));
     }
 }
 
@@ -156,14 +159,16 @@
 }
 
 fn times(members: usize, kills: usize, seeds: u64, lost: f64) -> Times {
-    let all: Vec<_> =
-        (1..=seeds).into_par_iter().flat_map_iter(|s| deaths(members, kills, lost, s)).collect();
-    let sorted = |of: fn(&lynxstair_emulator::experiment::Death) -> f64| {
+    let all: Vec<_> = (1..=seeds)
+        .into_par_iter()
+        .flat_map_iter(|s| failure_detection_times(members, kills, lost, s))
+        .collect();
+    let sorted = |of: fn(&lynxstair_emulator::experiment::DetectionTimes) -> f64| {
         let mut all: Vec<f64> = all.iter().map(of).collect();
         all.sort_by(f64::total_cmp);
         all
     };
-    let (first, known) = (sorted(|d| d.first), sorted(|d| d.all));
+    let (first, known) = (sorted(|d| d.first_s), sorted(|d| d.all_s));
     Times {
         many: all.len(),
         first: quantile(&first, 0.5),
@@ -225,21 +230,21 @@
 fn wrong(quick: bool, out: &Path) -> Result<()> {
     let (members, minutes, seeds) = if quick { (20, 1, 4) } else { (40, 5, 8) };
     let weathers = [
-        ("nothing lost", Weather::Loss(0.0)),
-        ("5% lost", Weather::Loss(0.05)),
-        ("20% lost", Weather::Loss(0.2)),
-        ("40% lost", Weather::Loss(0.4)),
-        ("1% paused", Weather::Pauses),
-        ("2% of links cut one way", Weather::OneSided(0.02)),
-        ("10% of links cut one way", Weather::OneSided(0.1)),
+        ("nothing lost", FaultPattern::Loss(0.0)),
+        ("5% lost", FaultPattern::Loss(0.05)),
+        ("20% lost", FaultPattern::Loss(0.2)),
+        ("40% lost", FaultPattern::Loss(0.4)),
+        ("1% paused", FaultPattern::Pauses),
+        ("2% of links cut one way", FaultPattern::OneWayCuts(0.02)),
+        ("10% of links cut one way", FaultPattern::OneWayCuts(0.1)),
     ];
     let cases: Vec<_> = (0..weathers.len()).flat_map(|w| (1..=seeds).map(move |s| (w, s))).collect();
     let rate = |(dead, hours): (usize, f64)| dead as f64 / hours * 1_000.0;
     let found: Vec<_> = cases
         .par_iter()
         .map(|&(w, s)| {
-            let at = |care| rate(false_deaths(members, weathers[w].1, care, minutes, s));
-            (w, at(Care::With), at(Care::Without))
+            let at = |care| rate(false_failure_detections(members, weathers[w].1, care, minutes, s));
+            (w, at(Safeguards::Enabled), at(Safeguards::Disabled))
         })
         .collect();
     let hours = members as f64 * minutes as f64 / 60.0 * seeds as f64;
@@ -284,7 +289,8 @@
     let (sizes, seeds): (&[usize], u64) = if quick { (&[6, 10], 20) } else { (&[6, 8, 10, 20, 40], 200) };
     println!("\n| heard by one only, of | declared failed | declared others failed |\n| --- | --- | --- |");
     for &members in sizes {
-        let found: Vec<_> = (1..=seeds).into_par_iter().map(|s| heard_by_one(members, s)).collect();
+        let found: Vec<_> =
+            (1..=seeds).into_par_iter().map(|s| failures_with_single_link(members, s)).collect();
         let of_it = found.iter().filter(|f| f.0).count();
         let by_it = found.iter().filter(|f| f.1).count();
         println!("| {members} | {of_it} of {seeds} runs | {by_it} of {seeds} runs |");
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -12,16 +12,16 @@
 
 /// Whether own lateness and links are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Care {
-    With,
-    Without,
+pub enum Safeguards {
+    Enabled,
+    Disabled,
 }
 
-impl Care {
+impl Safeguards {
     fn broken(self) -> DisabledParts {
         match self {
-            Care::With => DisabledParts::default(),
-            Care::Without => {
+            Safeguards::Enabled => DisabledParts::default(),
+            Safeguards::Disabled => {
                 DisabledParts { no_local_health: true, no_relays: true, ..DisabledParts::default() }
             }
         }
@@ -30,30 +30,30 @@
 
 /// What goes on while a fleet is watched.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Weather {
+pub enum FaultPattern {
     /// A share of all datagrams is lost.
     Loss(f64),
     /// At any time one of a hundred is paused, for 0.2 to 10 s.
     Pauses,
     /// Each link is cut in one direction with this chance.
-    OneSided(f64),
+    OneWayCuts(f64),
 }
 
 /// How long one death took to be known, in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Death {
-    pub first: f64,
-    pub all: f64,
+pub struct DetectionTimes {
+    pub first_s: f64,
+    pub all_s: f64,
 }
 
-fn settled(members: usize, seed: u64, care: Care) -> Fleet {
+fn settled(members: usize, seed: u64, care: Safeguards) -> Fleet {
     Fleet::settled(Plan { members, halls: 3, seeds: 3, times: Times::default(), broken: care.broken(), seed })
 }
 
 /// Kills so many members one after another, eight seconds apart, and watches when the others have found each
 /// out.
-pub fn deaths(members: usize, kills: usize, lost: f64, seed: u64) -> Vec<Death> {
-    let mut fleet = settled(members, seed, Care::With);
+pub fn failure_detection_times(members: usize, kills: usize, lost: f64, seed: u64) -> Vec<DetectionTimes> {
+    let mut fleet = settled(members, seed, Safeguards::Enabled);
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x9e37);
     fleet.network.all = Faults { lost, ..Faults::default() };
     fleet.run(Span::from_millis(2_000));
@@ -80,19 +80,25 @@
         // Not known to all in eight seconds counts as that.
         let all = if knows + 1 >= running.len() { last } else { None };
         let secs = |at: Option<Time>| at.map_or(8.0, |at| (at - killed).secs());
-        found.push(Death { first: secs(first), all: secs(all) });
+        found.push(DetectionTimes { first_s: secs(first), all_s: secs(all) });
         fleet.forget_history();
     }
     found
 }
 
 /// Deaths that were declared of members that live and were not paused lately, and for how many member-hours.
-pub fn false_deaths(members: usize, weather: Weather, care: Care, minutes: u64, seed: u64) -> (usize, f64) {
+pub fn false_failure_detections(
+    members: usize,
+    weather: FaultPattern,
+    care: Safeguards,
+    minutes: u64,
+    seed: u64,
+) -> (usize, f64) {
     let mut fleet = settled(members, seed, care);
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x51ab);
     match weather {
-        Weather::Loss(lost) => fleet.network.all = Faults { lost, ..Faults::default() },
-        Weather::OneSided(share) => {
+        FaultPattern::Loss(lost) => fleet.network.all = Faults { lost, ..Faults::default() },
+        FaultPattern::OneWayCuts(share) => {
             for a in 0..members {
                 for b in (0..members).filter(|b| *b != a) {
                     if chance.random_bool(share) {
@@ -101,7 +107,7 @@
                 }
             }
         }
-        Weather::Pauses => {}
+        FaultPattern::Pauses => {}
     }
     let mut until: Vec<Option<Time>> = vec![None; members];
     let mut lately: Vec<Time> = vec![Time::default(); members];
@@ -118,7 +124,7 @@
             );
         }
         fleet.forget_history();
-        if weather != Weather::Pauses {
+        if weather != FaultPattern::Pauses {
             continue;
         }
         for n in 0..members {
@@ -144,7 +150,7 @@
 /// Bytes and datagrams that a member sends in a second, with nothing going on; and the largest datagram until
 /// three seconds after thirty members, or a tenth of fewer, died at once.
 pub fn traffic(members: usize, seed: u64) -> (f64, f64, usize) {
-    let mut fleet = settled(members, seed, Care::With);
+    let mut fleet = settled(members, seed, Safeguards::Enabled);
     fleet.run(Span::from_millis(3_000));
     let (bytes, datagrams) = (fleet.bytes, fleet.datagrams);
     fleet.run(Span::from_millis(5_000));
@@ -157,8 +163,8 @@
 
 /// Of a fleet in which one is heard by a single other only: whether it was declared failed, and whether it
 /// declared anybody, within half a minute.
-pub fn heard_by_one(members: usize, seed: u64) -> (bool, bool) {
-    let mut fleet = settled(members, seed, Care::With);
+pub fn failures_with_single_link(members: usize, seed: u64) -> (bool, bool) {
+    let mut fleet = settled(members, seed, Safeguards::Enabled);
     fleet.run(Span::from_millis(5_000));
     fleet.forget_history();
     (0..members).filter(|w| *w != 0 && *w != 3).for_each(|w| fleet.network.cut_both(0, w));
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -408,23 +408,23 @@
 
 /// What takes a duty from its owner, in an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takes {
+pub enum TakeoverCause {
     /// The owner alone, or the owner where it is the voter that leads.
     Kill,
     KillLeader,
     Pause,
     /// Nobody hears it any more, nor it anybody.
-    CutOff,
+    Isolate,
     HandOver,
 }
 
 /// How long a duty had no owner, in seconds; none: for longer than 20 s.
-pub fn without_owner(members: usize, takes: Takes, seed: u64) -> Option<f64> {
+pub fn takeover_time(members: usize, takes: TakeoverCause, seed: u64) -> Option<f64> {
     let mut fleet = Owners::started(OwnersPlan { members, seed, ..OwnersPlan::default() });
     fleet.until(ms(10_000), |f| f.owners().len() == 1)?;
     let wait = 2_000 + fleet.draw(1_000);
     fleet.run(ms(wait));
-    if takes == Takes::KillLeader {
+    if takes == TakeoverCause::KillLeader {
         // The worst case: who owns it also leads the voters.
         let leader = fleet.leader()?;
         let wants = AdminCommand::HandOver { duty: DUTY.to_string(), to: name(leader) };
@@ -434,10 +434,12 @@
     }
     let owner = *fleet.owners().first()?;
     match takes {
-        Takes::Kill | Takes::KillLeader => fleet.kill(owner),
-        Takes::Pause => fleet.pause(owner),
-        Takes::CutOff => (0..members).filter(|o| *o != owner).for_each(|o| fleet.network.cut_both(owner, o)),
-        Takes::HandOver => {
+        TakeoverCause::Kill | TakeoverCause::KillLeader => fleet.kill(owner),
+        TakeoverCause::Pause => fleet.pause(owner),
+        TakeoverCause::Isolate => {
+            (0..members).filter(|o| *o != owner).for_each(|o| fleet.network.cut_both(owner, o))
+        }
+        TakeoverCause::HandOver => {
             let to = (owner + 1) % members;
             let wants = AdminCommand::HandOver { duty: DUTY.to_string(), to: name(to) };
             fleet.question(to, 2, Some(&wants));
@@ -448,7 +450,7 @@
 }
 
 /// Datagrams a second of all together, at rest.
-pub fn datagrams_at_rest(members: usize, seed: u64) -> f64 {
+pub fn idle_datagrams_per_second(members: usize, seed: u64) -> f64 {
     let mut fleet = Owners::started(OwnersPlan { members, seed, ..OwnersPlan::default() });
     fleet.run(ms(5_000));
     let before = fleet.datagrams;
