--- a/crates/controller/src/operator_api.rs
+++ b/crates/controller/src/operator_api.rs
@@ -97,7 +97,7 @@
         let now = controller.alarms.now();
         // A caller that has hung up may have retried at another controller. Applying the command late could
         // undo commands that were committed in between.
-        if now >= deadline || request.has_hung_up() {
+        if now >= deadline || request.has_caller_disconnected() {
             return Err(unavailable());
         }
         match try_propose(controller, now, path, command, is_confirmed, waiter) {
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -34,9 +34,9 @@
 use crate::{directory_api, disk_writer, http_api, inbound, peer_links, settings_watch, timers};
 
 /// Limits of the control address, for workers and operators.
-const CONTROL_LIMITS: ServerLimits = ServerLimits { max_body: 8 << 20, max_connections: 2000 };
+const CONTROL_LIMITS: ServerLimits = ServerLimits { max_body_bytes: 8 << 20, max_connections: 2000 };
 /// Limits of the directory address, for look-ups of clients.
-const DIRECTORY_LIMITS: ServerLimits = ServerLimits { max_body: 1024, max_connections: 1500 };
+const DIRECTORY_LIMITS: ServerLimits = ServerLimits { max_body_bytes: 1024, max_connections: 1500 };
 /// Delay before opening the database is retried.
 const STORAGE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Maximum number of retries while another process, which may be about to exit, has the database open.
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -47,7 +47,7 @@
 /// Range of the jitter added to it, so that proxies started together do not send at the same time.
 const HEARTBEAT_JITTER_MS: u64 = 800;
 /// Limits of the readiness server; the body limit is in bytes.
-const READINESS_LIMITS: ServerLimits = ServerLimits { max_body: 1024, max_connections: 64 };
+const READINESS_LIMITS: ServerLimits = ServerLimits { max_body_bytes: 1024, max_connections: 64 };
 
 /// Runs the proxy until SIGTERM and then shuts it down gracefully.
 pub fn run(settings: Settings) -> Result<(), StartError> {
