--- a/crates/cluster/src/control_port.rs
+++ b/crates/cluster/src/control_port.rs
@@ -12,7 +12,7 @@
 use lynxstair_net::clock::Clock;
 use lynxstair_net::coroutine::spawn_then;
 use lynxstair_net::server;
-use lynxstair_net::ticker::Ticker;
+use lynxstair_net::wake_timer::WakeTimer;
 use may::io::{CoIo, WaitIo};
 use tracing::warn;
 
@@ -37,7 +37,7 @@
 pub(crate) struct ControlPort {
     listener: CoIo<TcpListener>,
     clock: Clock,
-    ticker: Arc<Ticker>,
+    wake_timer: Arc<WakeTimer>,
     connections: Mutex<HashMap<u64, Arc<Connection>>>,
     next_id: AtomicU64,
 }
@@ -47,11 +47,15 @@
     ///
     /// # Errors
     /// If the address can't be bound.
-    pub fn listen(addr: SocketAddrV4, clock: Clock, ticker: Arc<Ticker>) -> Result<Arc<Self>, StartError> {
+    pub fn listen(
+        addr: SocketAddrV4,
+        clock: Clock,
+        wake_timer: Arc<WakeTimer>,
+    ) -> Result<Arc<Self>, StartError> {
         let listener =
             server::listen(addr.into()).map_err(|e| StartError::ControlPort { addr, source: e.source })?;
         let (connections, next_id) = (Mutex::default(), AtomicU64::new(0));
-        Ok(Arc::new(ControlPort { listener, clock, ticker, connections, next_id }))
+        Ok(Arc::new(ControlPort { listener, clock, wake_timer, connections, next_id }))
     }
 
     /// Accepts connections and serves their requests with `handler`. Never returns; runs on a coroutine.
@@ -75,7 +79,7 @@
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let connection = Arc::new(Connection { io, accepted_at: self.clock.now() });
         lock(&self.connections).insert(id, connection.clone());
-        self.ticker.wake_by(connection.accepted_at + CONNECTION_TIMEOUT);
+        self.wake_timer.wake_by(connection.accepted_at + CONNECTION_TIMEOUT);
         let (port, handler) = (self.clone(), handler.clone());
         let remove = move |_| {
             lock(&port.connections).remove(&id);
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -64,12 +64,13 @@
         let membership = Membership::new(clock.now(), membership_config(config, identity, &records));
         let records = Arc::new(Mutex::new(records));
         let completions = Arc::new(Mutex::new(Vec::new()));
-        let (rewritten, completed, ticker) = (records.clone(), completions.clone(), outputs.ticker.clone());
+        let (rewritten, completed, wake_timer) =
+            (records.clone(), completions.clone(), outputs.wake_timer.clone());
         let on_written =
             move |awaited: Option<Incarnation>, result: Result<(), Error>| match (awaited, result) {
                 (Some(incarnation), result) => {
                     lock(&completed).push((incarnation, result));
-                    ticker.wake_now();
+                    wake_timer.wake_now();
                 }
                 // Only incarnation records are retried.
                 (None, Err(e)) => error!(%e, "fleet: membership record not written"),
@@ -123,7 +124,7 @@
         let mut disk = lock(&self.disk);
         disk.error = Some(reason);
         disk.retry = Some((at, record));
-        self.outputs.ticker.wake_by(at);
+        self.outputs.wake_timer.wake_by(at);
     }
 
     fn handle_completions(&self, now: Time) {
--- a/crates/proxy/src/worker_pool.rs
+++ b/crates/proxy/src/worker_pool.rs
@@ -7,14 +7,14 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_net::alarms::Alarms;
 use lynxstair_net::connection::Connection;
-use lynxstair_net::http::MAX_HEAD;
+use lynxstair_net::http::MAX_HEAD_BYTES;
 use lynxstair_routing::locality_balancer::Worker;
 
 use crate::cancellation::CancelToken;
 use crate::worker_reply::WorkerReply;
 
 /// Buffer size of a worker connection: the longest body that a client may send, and its head.
-const MAX_BUFFER_BYTES: usize = (2 << 20) + 2 * MAX_HEAD;
+const MAX_BUFFER_BYTES: usize = (2 << 20) + 2 * MAX_HEAD_BYTES;
 /// Time-out of a connect to a worker.
 const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 /// Longest time that an idle connection may be reused.
--- a/crates/proxy/src/worker_reply.rs
+++ b/crates/proxy/src/worker_reply.rs
@@ -6,7 +6,7 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_net::alarms::Alarms;
 use lynxstair_net::connection::{Connection, ReadOutcome};
-use lynxstair_net::http::{self, Extent, HttpError, MAX_HEAD, StreamState};
+use lynxstair_net::http::{self, Extent, HttpError, MAX_HEAD_BYTES, StreamState};
 use lynxstair_net::ring_buffer::RingBuffer;
 use lynxstair_routing::attempt::{AttemptEvent, ReplyHead, ReplyOwner};
 use lynxstair_routing::locality_balancer::Worker;
@@ -17,7 +17,7 @@
 /// as it arrives.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// Longest body without a declared length that is buffered until the reply is complete.
-const MAX_BUFFERED_UNSIZED_BYTES: usize = (1 << 20) + MAX_HEAD;
+const MAX_BUFFERED_UNSIZED_BYTES: usize = (1 << 20) + MAX_HEAD_BYTES;
 
 /// A worker's reply that may be relayed to the client.
 pub struct WorkerReply {
