--- a/crates/cluster/src/exporter.rs
+++ b/crates/cluster/src/exporter.rs
@@ -155,7 +155,7 @@
 
     fn back_off(&mut self, reason: &SinkError) {
         let backoff_ms = self.backoff.as_millis() as u64;
-        warn!(why = %reason, sink = %self.sink.addr(), alone_ms = backoff_ms, "fleet: export: sink failed; backing off");
+        warn!(why = %reason, sink = %self.sink.addr(), alone_ms = backoff_ms, "fleet: export: backing off");
         // Jitter avoids synchronized retries.
         self.not_before = Instant::now() + self.backoff.mul_f64(self.rng.random_range(0.5..1.0));
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
@@ -210,7 +210,7 @@
         self.sink.send_status(epoch, status)?;
         self.progress.status_stored(status);
         let stream = stream_name(&status.stream);
-        warn!(%stream, known = status.complete, why = %status.reason, "fleet: export: stream status sent to sink");
+        warn!(%stream, known = status.complete, why = %status.reason, "fleet: export: stream status sent");
         let (complete, last_pending_milli_units) = (status.complete, status.last_pending_milli_units);
         node.record_event(&Event::StatusSent { stream, complete, last_pending_milli_units });
         Ok(())
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -45,8 +45,8 @@
     /// Returns the member's local state as voter and duty holder, without contacting the voters.
     #[serde(rename = "own")]
     LocalRoles,
-    /// Fetches the first usage batch after `stored_up_to` and deletes the batches up to it. If `stream` is not
-    /// the member's stream, deletes nothing and returns only the id of that stream.
+    /// Fetches the first usage batch after `stored_up_to` and deletes the batches up to it. If `stream` is
+    /// not the member's stream, deletes nothing and returns only the id of that stream.
     #[serde(rename = "uses")]
     Usage {
         /// The expected stream; `None` if not known yet.
