--- a/crates/emulator/src/core.rs
+++ b/crates/emulator/src/core.rs
@@ -39,7 +39,7 @@
 pub struct SimulationResult {
     /// Violated properties, with the first violation of each.
     pub violations: Vec<Broken>,
-    /// Number of acknowledged changes.
+    /// Number of acknowledgements of changes, including those of repeated changes.
     pub acknowledged: usize,
     /// Number of changes and reads sent, including retries.
     pub call_count: usize,
--- a/crates/emulator/src/core/checker.rs
+++ b/crates/emulator/src/core/checker.rs
@@ -7,8 +7,9 @@
 
 use super::linearizability::{Call, CallInput, CallOutput, Version, check_linearizability};
 
-/// Time after a fault within which the controllers have a leader and proxies are in contact with it, as
-/// in the operators' settings of a small site. The same holds for the next four limits.
+// Limits up to `DRAIN_TIME`: as in the operators' settings of a small site.
+
+/// Time after a fault within which the controllers have a leader and proxies are in contact with it.
 pub(crate) const CONTACT_TIME: Span = Span::from_millis(5_000);
 /// Time within which a change reaches the proxies.
 pub(crate) const CONVERGENCE_TIME: Span = Span::from_millis(2_500);
@@ -24,8 +25,8 @@
 /// command for the same zone is acknowledged.
 const CALL_LIFETIME: Span = Span::from_millis(1_100);
 
-/// Checked property. The core is settled if no fault began, ended or was active for `CONTACT_TIME` and a
-/// majority of the controllers is connected.
+/// Checked property. The core is settled if no fault began or ended within `CONTACT_TIME`, no disk is
+/// slow and a majority of the controllers is connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Check {
     /// Changes and reads of the configuration are linearizable.
@@ -55,7 +56,7 @@
     WayForward,
 }
 
-/// Violation of a checked property.
+/// Violation of a checked property. `lynxstair experiment core` prints the names of its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
     /// The violated property.
--- a/crates/emulator/src/core/controller.rs
+++ b/crates/emulator/src/core/controller.rs
@@ -1,5 +1,5 @@
 //! A controller process without I/O: the state machines of consensus, configuration store and failure
-//! detector, combined as in `crates/controller`. Returns what it wants to be done as [`Output`] values.
+//! detector, combined as in `crates/controller`. Returns the actions to execute as [`Output`] values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/emulator/src/core/faults.rs
+++ b/crates/emulator/src/core/faults.rs
@@ -13,7 +13,7 @@
     Leader,
     Follower,
     Any,
-    /// Controller with this number, in the order of their first starts.
+    /// Controller with this number, in the order of their deployment.
     Number(usize),
 }
 
@@ -72,9 +72,9 @@
     Mixed,
     /// A controller is lost and replaced.
     Replaced,
-    /// Controllers are replaced by graceful shutdown.
+    /// Controllers are replaced as planned: the new one starts before the old one shuts down gracefully.
     Planned,
-    /// Four controllers are replaced in a row, so that no seed is left.
+    /// Four controllers are replaced one after another, the seeds first.
     FourInARow,
     /// Controllers lose their disks right after an acknowledgement, at times while all others lose power.
     WipedAfterAck,
@@ -86,7 +86,7 @@
     LeaderFrozen,
     /// Links of a controller are cut in one direction.
     OneWay,
-    /// The leader shuts down gracefully.
+    /// The leader shuts down gracefully and restarts.
     LeaderEnds,
     /// A removed controller returns after its replacement.
     RemovedReturns,
--- a/crates/emulator/src/core/operator.rs
+++ b/crates/emulator/src/core/operator.rs
@@ -65,8 +65,8 @@
         *self = Operator { task, began_at: now, ..Operator::new() };
     }
 
-    /// Returns the call of its task, and the call's input in the history of the configuration. `None` if
-    /// idle.
+    /// Returns the call of its task and, for a read or a change, its input in the history of the configuration.
+    /// `None` if idle.
     pub fn next_call(&self) -> Option<(ClientCall, Option<CallInput>)> {
         match &self.task {
             OperatorTask::Idle => None,
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -36,7 +36,7 @@
 const WORKER_COUNT: usize = 3;
 /// Time after the return of a machine during which it still counts as lost.
 pub(crate) const CATCH_UP_TIME: Span = Span::from_millis(4_000);
-/// Time after which a controller that was told to shut down has exited.
+/// Time within which a graceful shutdown of a controller ends.
 const SHUTDOWN_GRACE: Span = Span::from_millis(6_000);
 /// Time-out of a call without an answer.
 const CALL_TIMEOUT: Span = Span::from_millis(1_000);
