--- a/crates/proxy/src/client_limits.rs
+++ b/crates/proxy/src/client_limits.rs
@@ -1,12 +1,12 @@
 //! Size and time limits of client requests.
 
 use lynxstair::types::Span;
-use lynxstair_net::http::MAX_HEAD;
+use lynxstair_net::http::MAX_HEAD_BYTES;
 
 use crate::routing_state::RoutingState;
 
 /// Buffer size of a client connection: the longest body and head.
-pub const MAX_BUFFER_BYTES: usize = MAX_BODY_BYTES + MAX_HEAD;
+pub const MAX_BUFFER_BYTES: usize = MAX_BODY_BYTES + MAX_HEAD_BYTES;
 /// Longest body; the configuration can only set a lower limit.
 const MAX_BODY_BYTES: usize = 2 << 20;
 /// Header time-out before the first configuration.
