--- a/crates/emulator/src/core/checker.rs
+++ b/crates/emulator/src/core/checker.rs
@@ -44,8 +44,8 @@
     Converges,
     /// While the core is settled, a worker whose heartbeats are acknowledged receives requests.
     Promised,
-    /// While the core is settled, a worker receives no requests `DRAIN_TIME` after its drain was
-    /// acknowledged, or long after it ended.
+    /// While the core is settled, a worker receives no requests `DRAIN_TIME` after its drain or
+    /// deregistration was acknowledged, or long after it ended.
     Drained,
     /// While the core is settled, the last command for a zone is in effect `EVACUATION_TIME` after its
     /// acknowledgement.
--- a/crates/emulator/src/core/world/probes.rs
+++ b/crates/emulator/src/core/world/probes.rs
@@ -101,7 +101,7 @@
                     if is_routed_to && is_leaving {
                         violations.push((
                             Check::Drained,
-                            describe("receives requests after its drain was acknowledged"),
+                            describe("receives requests after its drain or deregistration was acknowledged"),
                         ));
                     }
                     if is_routed_to && has_ended {
