--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of members on a virtual clock: each a state machine of `lynxstair-membership` with a disk, a socket's
-//! buffer and an address.
+//! Simulation of a fleet on a virtual clock. Each member is a `lynxstair_membership` state machine with a
+//! disk, a socket buffer and an address.
 
 mod processes;
 
@@ -18,95 +18,112 @@
 use crate::event_queue::EventQueue;
 use crate::network::Network;
 
-/// What a socket's buffer holds while its process stands still, in bytes; Linux gives as much by default.
-const SOCKET_BUFFER: usize = 212_992;
-/// What the kernel counts for a datagram besides its bytes.
-const OVERHEAD: usize = 576;
-/// Writing a record takes so long.
-const DISK: Span = Span::from_millis(2);
+/// Capacity of a socket's receive buffer; the default on Linux.
+const SOCKET_BUFFER_BYTES: usize = 212_992;
+/// Buffer space that the kernel charges for a datagram in addition to its payload.
+const DATAGRAM_OVERHEAD_BYTES: usize = 576;
+/// Duration of the write of a record.
+const WRITE_TIME: Span = Span::from_millis(2);
 
-/// What a member has on disk.
+/// Contents of a member's disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
+    /// Last incarnation that the member started.
     pub last: Option<Incarnation>,
+    /// Members that it knew when it last recorded them.
     pub known: Vec<KnownMember>,
+    /// Recorded notices, oldest first.
     pub notices: Vec<Notice>,
 }
 
-/// Something that happened at a member.
+/// Event that a member emitted.
 #[derive(Clone, Debug)]
-pub struct Happened {
+pub struct RecordedEvent {
+    /// Time on the simulation's clock.
     pub at: Time,
-    pub who: usize,
+    /// Number of the member.
+    pub member: usize,
     pub event: Event,
 }
 
-/// A member's process.
 struct Process {
     membership: Membership,
-    stopped: bool,
-    buffer: VecDeque<(SocketAddrV4, Vec<u8>)>,
-    buffered: usize,
-    wakes_at: Option<Time>,
+    paused: bool,
+    /// Datagrams received while the process is paused, with the address of the sender.
+    receive_buffer: VecDeque<(SocketAddrV4, Vec<u8>)>,
+    /// Space that they take in the socket's buffer, including the overhead.
+    buffered_bytes: usize,
+    /// Time of the next scheduled tick, on the simulation's clock.
+    next_tick_at: Option<Time>,
 }
 
 struct Node {
     name: Name,
-    hall: Name,
+    zone: Name,
     addr: SocketAddrV4,
     disk: Disk,
     process: Option<Process>,
-    runs: u32,
-    /// Its clock is ahead of the fleet's time by so much.
-    ahead: Span,
+    /// Number of process starts. Ticks and completed writes of earlier processes are ignored.
+    run: u32,
+    /// Time by which the member's clock is ahead of the simulation's clock.
+    clock_offset: Span,
 }
 
-enum Next {
-    Arrives { from: SocketAddrV4, to: SocketAddrV4, datagram: Vec<u8> },
-    Wakes { who: usize, run: u32 },
-    Written { who: usize, run: u32, incarnation: Incarnation },
+enum ScheduledEvent {
+    Arrival { from: SocketAddrV4, to: SocketAddrV4, datagram: Vec<u8> },
+    Tick { member: usize, run: u32 },
+    WriteCompleted { member: usize, run: u32, incarnation: Incarnation },
 }
 
-/// Settings of a fleet.
+/// Parameters of a simulated fleet.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct FleetConfig {
+    /// Number of members.
     pub members: usize,
-    pub halls: usize,
-    /// The first so many are seeds.
+    /// Number of zones, to which the members are assigned in turn.
+    pub zones: usize,
+    /// Number of seed members, which are the first ones.
     pub seeds: usize,
+    /// Intervals and time-outs of the membership.
     pub times: Times,
-    pub broken: DisabledParts,
+    /// Safeguards that are disabled in all members.
+    pub disabled: DisabledParts,
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-impl Default for Plan {
+impl Default for FleetConfig {
     fn default() -> Self {
-        Plan {
+        FleetConfig {
             members: 6,
-            halls: 2,
+            zones: 2,
             seeds: 2,
             times: Times::default(),
-            broken: DisabledParts::default(),
+            disabled: DisabledParts::default(),
             seed: 1,
         }
     }
 }
 
-/// A fleet.
+/// Simulated fleet. Members are numbered from 0 and named g1, g2 and so on.
 pub struct Fleet {
-    plan: Plan,
+    config: FleetConfig,
+    /// Network between the members.
     pub network: Network,
     now: Time,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     nodes: Vec<Node>,
-    places: HashMap<SocketAddrV4, usize>,
-    agenda: EventQueue<Next>,
-    history: Vec<Happened>,
-    pub datagrams: u64,
-    pub bytes: u64,
-    pub largest: usize,
-    /// Lost for a full buffer.
-    pub overflowed: u64,
+    members_by_addr: HashMap<SocketAddrV4, usize>,
+    event_queue: EventQueue<ScheduledEvent>,
+    history: Vec<RecordedEvent>,
+    /// Number of datagrams sent by all members.
+    pub datagrams_sent: u64,
+    /// Payload bytes sent by all members.
+    pub bytes_sent: u64,
+    /// Payload of the largest datagram sent.
+    pub largest_datagram_bytes: usize,
+    /// Datagrams dropped because the socket buffer of a paused process was full.
+    pub dropped_datagrams: u64,
 }
 
 fn name(prefix: &str, number: usize) -> Name {
@@ -114,288 +131,304 @@
 }
 
 impl Fleet {
-    /// Nobody runs yet. Members are numbered from 0; their names are g1, g2 and so on.
-    pub fn new(plan: Plan) -> Self {
-        let chance = Pcg64Mcg::seed_from_u64(plan.seed);
-        let nodes: Vec<_> = (0..plan.members)
+    /// Creates a fleet in which no member runs yet.
+    pub fn new(config: FleetConfig) -> Self {
+        let rng = Pcg64Mcg::seed_from_u64(config.seed);
+        let nodes: Vec<_> = (0..config.members)
             .map(|n| Node {
                 name: name("g", n + 1),
-                hall: name("h", n % plan.halls.max(1) + 1),
+                zone: name("h", n % config.zones.max(1) + 1),
                 addr: address(n, 0),
                 disk: Disk::default(),
                 process: None,
-                runs: 0,
-                ahead: Span::from_millis(7_200_000),
+                run: 0,
+                clock_offset: Span::from_millis(7_200_000),
             })
             .collect();
-        let places = nodes.iter().enumerate().map(|(n, node)| (node.addr, n)).collect();
+        let members_by_addr = nodes.iter().enumerate().map(|(n, node)| (node.addr, n)).collect();
         Fleet {
-            plan,
+            config,
             network: Network::default(),
             now: Time::from_nanos(0) + Span::from_millis(1_000_000),
-            chance,
+            rng,
             nodes,
-            places,
-            agenda: EventQueue::default(),
+            members_by_addr,
+            event_queue: EventQueue::default(),
             history: Vec::new(),
-            datagrams: 0,
-            bytes: 0,
-            largest: 0,
-            overflowed: 0,
+            datagrams_sent: 0,
+            bytes_sent: 0,
+            largest_datagram_bytes: 0,
+            dropped_datagrams: 0,
         }
     }
 
-    /// All started, one after another within a second.
-    pub fn started(plan: Plan) -> Self {
-        let mut fleet = Fleet::new(plan);
-        for who in 0..fleet.nodes.len() {
-            fleet.start(who);
-            fleet.run(Span::from_millis(1_000 / fleet.nodes.len() as u64));
+    /// Creates a fleet and starts the members one after another within a second.
+    pub fn started(config: FleetConfig) -> Self {
+        let mut fleet = Fleet::new(config);
+        for member in 0..fleet.nodes.len() {
+            fleet.start(member);
+            fleet.run_for(Span::from_millis(1_000 / fleet.nodes.len() as u64));
         }
         fleet
     }
 
-    /// All running, each of them knowing all, as after a long quiet time.
-    pub fn settled(plan: Plan) -> Self {
-        let mut fleet = Fleet::new(plan);
-        let probe = fleet.plan.times.probe_interval;
-        let all: Vec<Identity> = (0..fleet.nodes.len()).map(|who| fleet.begin(who)).collect();
-        let mut at = Vec::new();
+    /// Creates a fleet in which all members run and know each other. Clears the history and the counters of
+    /// sent datagrams and bytes.
+    pub fn settled(config: FleetConfig) -> Self {
+        let mut fleet = Fleet::new(config);
+        let probe_interval = fleet.config.times.probe_interval;
+        let all: Vec<Identity> = (0..fleet.nodes.len()).map(|member| fleet.create_process(member)).collect();
+        let mut tick_times = Vec::new();
         for _ in 0..fleet.nodes.len() {
-            at.push(fleet.now + probe.times(fleet.chance.random()));
+            tick_times.push(fleet.now + probe_interval.times(fleet.rng.random()));
         }
-        // Each by itself, and nothing of it hangs on the order.
-        fleet.nodes.par_iter_mut().enumerate().for_each(|(who, node)| {
+        // The members are independent of each other here, so the order has no influence on the result.
+        fleet.nodes.par_iter_mut().enumerate().for_each(|(member, node)| {
             let Some(process) = node.process.as_mut() else { return };
-            let at = at[who] + node.ahead;
-            process.membership.on_written(at, all[who].incarnation);
+            let at = tick_times[member] + node.clock_offset;
+            process.membership.on_written(at, all[member].incarnation);
             process.membership.start_joined(at, &all);
-            process.wakes_at = None;
-            node.disk.last = Some(all[who].incarnation);
+            process.next_tick_at = None;
+            node.disk.last = Some(all[member].incarnation);
         });
-        for (who, at) in at.into_iter().enumerate() {
-            let run = fleet.nodes[who].runs;
-            fleet.plan_next(at, Next::Wakes { who, run });
+        for (member, at) in tick_times.into_iter().enumerate() {
+            let run = fleet.nodes[member].run;
+            fleet.schedule(at, ScheduledEvent::Tick { member, run });
         }
-        fleet.run(probe.times(2.0));
+        fleet.run_for(probe_interval.times(2.0));
         fleet.history.clear();
-        (fleet.datagrams, fleet.bytes) = (0, 0);
+        (fleet.datagrams_sent, fleet.bytes_sent) = (0, 0);
         fleet
     }
 
+    /// Current time of the simulation's clock.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// What a member's own clock says.
-    fn clock(&self, who: usize) -> Time {
-        self.now + self.nodes[who].ahead
+    /// Current time of a member's own clock.
+    fn clock(&self, member: usize) -> Time {
+        self.now + self.nodes[member].clock_offset
     }
 
-    /// Its wall clock is set back by an hour while it does not run: a process takes it over at its start
-    /// only.
-    pub fn set_clock_back(&mut self, who: usize) {
-        self.kill(who);
+    /// Kills a member and sets its clock back by an hour. A process reads the wall clock only when it
+    /// starts, so a running one would not notice the change.
+    pub fn set_clock_back(&mut self, member: usize) {
+        self.kill(member);
         let hour = Span::from_millis(3_600_000);
-        self.nodes[who].ahead = (Time::default() + self.nodes[who].ahead) - (Time::default() + hour);
+        self.nodes[member].clock_offset =
+            (Time::default() + self.nodes[member].clock_offset) - (Time::default() + hour);
     }
 
-    /// Who is there, as one sees it.
-    pub fn view(&self, who: usize) -> Option<View> {
-        self.membership(who).map(|membership| membership.view(self.clock(who)))
+    /// Returns the view that a member has of the fleet, or `None` if it is not running.
+    pub fn view(&self, member: usize) -> Option<View> {
+        self.membership(member).map(|membership| membership.view(self.clock(member)))
     }
 
-    pub fn members(&self) -> usize {
+    /// Number of members, including copies and those that are not running.
+    pub fn member_count(&self) -> usize {
         self.nodes.len()
     }
 
-    pub fn name_of(&self, who: usize) -> &Name {
-        &self.nodes[who].name
+    /// Name of a member.
+    pub fn name_of(&self, member: usize) -> &Name {
+        &self.nodes[member].name
     }
 
-    pub fn runs(&self, who: usize) -> bool {
-        self.nodes[who].process.is_some()
+    /// Returns `true` if the member's process exists, even if it is paused.
+    pub fn is_running(&self, member: usize) -> bool {
+        self.nodes[member].process.is_some()
     }
 
-    pub fn membership(&self, who: usize) -> Option<&Membership> {
-        self.nodes[who].process.as_ref().map(|p| &p.membership)
+    /// State machine of a member, or `None` if it is not running.
+    pub fn membership(&self, member: usize) -> Option<&Membership> {
+        self.nodes[member].process.as_ref().map(|p| &p.membership)
     }
 
-    pub fn disk(&mut self, who: usize) -> &mut Disk {
-        &mut self.nodes[who].disk
+    /// Disk of a member.
+    pub fn disk(&mut self, member: usize) -> &mut Disk {
+        &mut self.nodes[member].disk
     }
 
-    /// All that happened so far.
-    pub fn history(&self) -> &[Happened] {
+    /// Events emitted since the start or the last [`Self::clear_history`], in order.
+    pub fn history(&self) -> &[RecordedEvent] {
         &self.history
     }
 
-    /// What happened so far is looked at no more.
-    pub fn forget_history(&mut self) {
+    /// Discards the recorded events.
+    pub fn clear_history(&mut self) {
         self.history.clear();
     }
 
-    /// Has one member do something, and carries out what comes of it.
-    pub fn at(&mut self, who: usize, acts: impl FnOnce(&mut Membership, Time)) {
-        let now = self.clock(who);
-        if let Some(process) = self.nodes[who].process.as_mut() {
-            acts(&mut process.membership, now);
+    /// Calls `operation` on a member's state machine, then carries out the resulting actions.
+    pub fn with_membership(&mut self, member: usize, operation: impl FnOnce(&mut Membership, Time)) {
+        let now = self.clock(member);
+        if let Some(process) = self.nodes[member].process.as_mut() {
+            operation(&mut process.membership, now);
         }
-        self.after(who);
+        self.carry_out_actions(member);
     }
 
-    /// Puts bytes into the network as they are.
+    /// Delivers a datagram after 1 ms, without the faults of the network.
     pub fn inject(&mut self, from: usize, to: usize, datagram: Vec<u8>) {
         let (from, to) = (self.nodes[from].addr, self.nodes[to].addr);
         let at = self.now + Span::from_millis(1);
-        self.plan_next(at, Next::Arrives { from, to, datagram });
+        self.schedule(at, ScheduledEvent::Arrival { from, to, datagram });
     }
 
-    fn plan_next(&mut self, at: Time, next: Next) {
-        self.agenda.schedule(at, next);
+    fn schedule(&mut self, at: Time, event: ScheduledEvent) {
+        self.event_queue.schedule(at, event);
     }
 
-    /// Lets so much time go by.
-    pub fn run(&mut self, span: Span) {
-        let until = self.now + span;
-        while let Some((at, next)) = self.agenda.pop_due(until) {
+    /// Runs the simulation for `duration`.
+    pub fn run_for(&mut self, duration: Span) {
+        let end = self.now + duration;
+        while let Some((at, event)) = self.event_queue.pop_due(end) {
             self.now = self.now.max(at);
-            self.happen(next);
+            self.handle_event(event);
         }
-        self.now = until;
+        self.now = end;
     }
 
-    /// Lets time go by until it is so, and for no longer than that. How long it took.
-    pub fn until(&mut self, longest: Span, mut is_so: impl FnMut(&Fleet) -> bool) -> Option<Span> {
-        let began = self.now;
-        while !is_so(self) {
-            if self.now - began >= longest {
+    /// Runs the simulation until `condition` holds, which is checked every 20 ms. Returns the elapsed
+    /// time, or `None` after `timeout`.
+    pub fn run_until(&mut self, timeout: Span, mut condition: impl FnMut(&Fleet) -> bool) -> Option<Span> {
+        let start = self.now;
+        while !condition(self) {
+            if self.now - start >= timeout {
                 return None;
             }
-            self.run(Span::from_millis(20));
+            self.run_for(Span::from_millis(20));
         }
-        Some(self.now - began)
+        Some(self.now - start)
     }
 
-    fn happen(&mut self, next: Next) {
+    fn handle_event(&mut self, event: ScheduledEvent) {
         let now = self.now;
-        match next {
-            Next::Arrives { from, to, datagram } => {
-                let Some(who) = self.places.get(&to).copied() else { return };
-                let ahead = self.nodes[who].ahead;
-                let Some(process) = self.nodes[who].process.as_mut() else { return };
-                if process.stopped {
-                    let size = datagram.len() + OVERHEAD;
-                    if process.buffered + size > SOCKET_BUFFER {
-                        self.overflowed += 1;
+        match event {
+            ScheduledEvent::Arrival { from, to, datagram } => {
+                let Some(member) = self.members_by_addr.get(&to).copied() else { return };
+                let clock_offset = self.nodes[member].clock_offset;
+                let Some(process) = self.nodes[member].process.as_mut() else { return };
+                if process.paused {
+                    let size = datagram.len() + DATAGRAM_OVERHEAD_BYTES;
+                    if process.buffered_bytes + size > SOCKET_BUFFER_BYTES {
+                        self.dropped_datagrams += 1;
                         return;
                     }
-                    process.buffered += size;
-                    process.buffer.push_back((from, datagram));
+                    process.buffered_bytes += size;
+                    process.receive_buffer.push_back((from, datagram));
                     return;
                 }
-                process.membership.receive(now + ahead, from, &datagram);
-                self.after(who);
+                process.membership.receive(now + clock_offset, from, &datagram);
+                self.carry_out_actions(member);
             }
-            Next::Wakes { who, run } => {
-                if self.nodes[who].runs != run {
+            ScheduledEvent::Tick { member, run } => {
+                if self.nodes[member].run != run {
                     return;
                 }
-                let ahead = self.nodes[who].ahead;
-                let Some(process) = self.nodes[who].process.as_mut().filter(|p| !p.stopped) else { return };
-                // Woken for something that is due later by now, or was done already.
-                if process.wakes_at.is_some_and(|at| at > now) {
+                let clock_offset = self.nodes[member].clock_offset;
+                let Some(process) = self.nodes[member].process.as_mut().filter(|p| !p.paused) else { return };
+                // A later tick is scheduled instead.
+                if process.next_tick_at.is_some_and(|at| at > now) {
                     return;
                 }
-                process.wakes_at = None;
-                process.membership.tick(now + ahead);
-                self.after(who);
+                process.next_tick_at = None;
+                process.membership.tick(now + clock_offset);
+                self.carry_out_actions(member);
             }
-            Next::Written { who, run, incarnation } => {
-                if self.nodes[who].runs != run {
+            ScheduledEvent::WriteCompleted { member, run, incarnation } => {
+                if self.nodes[member].run != run {
                     return;
                 }
-                let node = &mut self.nodes[who];
+                let node = &mut self.nodes[member];
                 let Some(process) = node.process.as_mut() else { return };
                 node.disk.last = Some(incarnation);
-                if process.stopped {
-                    let at = now + DISK;
-                    self.plan_next(at, Next::Written { who, run, incarnation });
+                if process.paused {
+                    let at = now + WRITE_TIME;
+                    self.schedule(at, ScheduledEvent::WriteCompleted { member, run, incarnation });
                     return;
                 }
-                process.membership.on_written(now + node.ahead, incarnation);
-                self.after(who);
+                process.membership.on_written(now + node.clock_offset, incarnation);
+                self.carry_out_actions(member);
             }
         }
     }
 
-    /// Carries out what a member wants done, and plans its next wake.
-    fn after(&mut self, who: usize) {
+    /// Carries out the actions of a member and schedules its next tick.
+    fn carry_out_actions(&mut self, member: usize) {
         let now = self.now;
-        let (addr, run, ahead) = (self.nodes[who].addr, self.nodes[who].runs, self.nodes[who].ahead);
-        let Some(process) = self.nodes[who].process.as_mut() else { return };
-        for todo in process.membership.take_actions() {
-            match todo {
-                Action::Send { to, datagram } => self.send(who, addr, to, datagram),
+        let (addr, run, clock_offset) =
+            (self.nodes[member].addr, self.nodes[member].run, self.nodes[member].clock_offset);
+        let Some(process) = self.nodes[member].process.as_mut() else { return };
+        for action in process.membership.take_actions() {
+            match action {
+                Action::Send { to, datagram } => self.send(member, addr, to, datagram),
                 Action::Write(Record::IncarnationStarted { incarnation }) => {
-                    self.plan_next(now + DISK, Next::Written { who, run, incarnation });
+                    self.schedule(
+                        now + WRITE_TIME,
+                        ScheduledEvent::WriteCompleted { member, run, incarnation },
+                    );
                 }
-                Action::Write(Record::Members { known }) => self.nodes[who].disk.known = known,
-                Action::Write(Record::Notice { notice }) => self.nodes[who].disk.notices.push(notice),
-                Action::Emit(event) => self.history.push(Happened { at: now, who, event }),
+                Action::Write(Record::Members { known }) => self.nodes[member].disk.known = known,
+                Action::Write(Record::Notice { notice }) => self.nodes[member].disk.notices.push(notice),
+                Action::Emit(event) => self.history.push(RecordedEvent { at: now, member, event }),
             }
         }
-        let Some(process) = self.nodes[who].process.as_mut() else { return };
-        let due = process.membership.next_deadline().map(|at| at.saturating_sub(ahead));
+        let Some(process) = self.nodes[member].process.as_mut() else { return };
+        let due = process.membership.next_deadline().map(|at| at.saturating_sub(clock_offset));
         if let Some(at) = due
-            && process.wakes_at.is_none_or(|set| at < set)
+            && process.next_tick_at.is_none_or(|scheduled| at < scheduled)
         {
-            process.wakes_at = Some(at);
-            self.plan_next(at.max(now), Next::Wakes { who, run });
+            process.next_tick_at = Some(at);
+            self.schedule(at.max(now), ScheduledEvent::Tick { member, run });
         }
     }
 
-    fn send(&mut self, who: usize, from: SocketAddrV4, to: SocketAddrV4, datagram: Vec<u8>) {
-        self.datagrams += 1;
-        self.bytes += datagram.len() as u64;
-        self.largest = self.largest.max(datagram.len());
-        let Some(other) = self.places.get(&to).copied() else { return };
-        let arrivals = self.network.delivery_delays(who, other, &mut self.chance);
-        for after in arrivals {
-            let at = self.now + after;
-            self.plan_next(at, Next::Arrives { from, to, datagram: datagram.clone() });
+    fn send(&mut self, member: usize, from: SocketAddrV4, to: SocketAddrV4, datagram: Vec<u8>) {
+        self.datagrams_sent += 1;
+        self.bytes_sent += datagram.len() as u64;
+        self.largest_datagram_bytes = self.largest_datagram_bytes.max(datagram.len());
+        let Some(other) = self.members_by_addr.get(&to).copied() else { return };
+        let delays = self.network.delivery_delays(member, other, &mut self.rng);
+        for delay in delays {
+            let at = self.now + delay;
+            self.schedule(at, ScheduledEvent::Arrival { from, to, datagram: datagram.clone() });
         }
     }
 
-    /// How one sees another.
-    pub fn sees(&self, who: usize, other: usize) -> Option<State> {
+    /// Returns the state of member `other` as seen by `member`, or `None` if `member` is not running or
+    /// does not know the other.
+    pub fn observed_state(&self, member: usize, other: usize) -> Option<State> {
         let other = &self.nodes[other].name;
-        self.membership(who)?.state_of(other).map(|(state, _)| state)
+        self.membership(member)?.state_of(other).map(|(state, _)| state)
     }
 
-    /// Everybody who runs is in, and sees exactly those who run as there.
+    /// Returns `true` if all running members are in the fleet and see exactly the running members as
+    /// present.
     pub fn all_agree(&self) -> bool {
-        let running: Vec<_> = (0..self.nodes.len()).filter(|n| self.runs(*n)).collect();
-        running.iter().all(|&who| {
-            self.membership(who).is_some_and(|r| r.phase() == Phase::In)
-                && (0..self.nodes.len()).filter(|&other| other != who).all(|other| {
-                    let there = self.sees(who, other).is_some_and(State::is_present);
-                    there == self.runs(other)
+        let running: Vec<_> = (0..self.nodes.len()).filter(|n| self.is_running(*n)).collect();
+        running.iter().all(|&member| {
+            self.membership(member).is_some_and(|m| m.phase() == Phase::In)
+                && (0..self.nodes.len()).filter(|&other| other != member).all(|other| {
+                    let is_present = self.observed_state(member, other).is_some_and(State::is_present);
+                    is_present == self.is_running(other)
                 })
         })
     }
 
-    /// Those who were declared failed: by whom, whom, when.
+    /// Returns the recorded failure declarations: time, number of the declaring member and name of the
+    /// failed member.
     pub fn declared_failed(&self) -> impl Iterator<Item = (Time, usize, &Name)> {
         self.history.iter().filter_map(|h| match &h.event {
-            Event::Member { name, to: State::Failed, .. } => Some((h.at, h.who, name)),
+            Event::Member { name, to: State::Failed, .. } => Some((h.at, h.member, name)),
             _ => None,
         })
     }
 }
 
-/// An address of its own for each member and place.
-fn address(who: usize, place: u8) -> SocketAddrV4 {
-    let [_, _, high, low] = (who as u32 + 1).to_be_bytes();
-    SocketAddrV4::new(Ipv4Addr::new(127, 100 + place, high, low), 7_000)
+/// Returns an address that is unique for each member and subnet.
+fn address(member: usize, subnet: u8) -> SocketAddrV4 {
+    let [_, _, high, low] = (member as u32 + 1).to_be_bytes();
+    SocketAddrV4::new(Ipv4Addr::new(127, 100 + subnet, high, low), 7_000)
 }
--- a/crates/emulator/src/fleet/processes.rs
+++ b/crates/emulator/src/fleet/processes.rs
@@ -1,112 +1,115 @@
-//! Processes of the fleet: starts, kills, moves, copies and pauses.
+//! Processes of the members: start, kill, change of address, copy, pause and departure.
 
 use super::*;
 
 impl Fleet {
-    pub(super) fn begin(&mut self, who: usize) -> Identity {
-        let seeds: Vec<_> = (0..self.plan.seeds.min(self.nodes.len())).map(|n| self.nodes[n].addr).collect();
-        let node = &mut self.nodes[who];
-        node.runs += 1;
+    /// Creates the process of a member from its disk. Does not carry out its actions.
+    pub(super) fn create_process(&mut self, member: usize) -> Identity {
+        let seeds: Vec<_> =
+            (0..self.config.seeds.min(self.nodes.len())).map(|n| self.nodes[n].addr).collect();
+        let node = &mut self.nodes[member];
+        node.run += 1;
         let membership = Membership::new(
-            self.now + node.ahead,
+            self.now + node.clock_offset,
             MembershipConfig {
                 fleet: name("f", 1),
                 name: node.name.clone(),
-                zone: node.hall.clone(),
+                zone: node.zone.clone(),
                 addr: node.addr,
                 seeds,
-                run: self.chance.random(),
-                seed: self.chance.random(),
+                run: self.rng.random(),
+                seed: self.rng.random(),
                 last_incarnation: node.disk.last,
                 known_members: node.disk.known.clone(),
                 notices: node.disk.notices.clone(),
-                times: self.plan.times,
-                disabled: self.plan.broken,
+                times: self.config.times,
+                disabled: self.config.disabled,
             },
         );
-        let me = membership.local().clone();
+        let identity = membership.local().clone();
         node.process = Some(Process {
             membership,
-            stopped: false,
-            buffer: VecDeque::new(),
-            buffered: 0,
-            wakes_at: None,
+            paused: false,
+            receive_buffer: VecDeque::new(),
+            buffered_bytes: 0,
+            next_tick_at: None,
         });
-        me
+        identity
     }
 
-    /// Starts a member's process with what it has on disk.
-    pub fn start(&mut self, who: usize) {
-        if self.nodes[who].process.is_none() {
-            self.begin(who);
-            self.after(who);
+    /// Starts a member with the contents of its disk. Does nothing if it is running.
+    pub fn start(&mut self, member: usize) {
+        if self.nodes[member].process.is_none() {
+            self.create_process(member);
+            self.carry_out_actions(member);
         }
     }
 
-    /// Ends it without a word. Its disk stays.
-    pub fn kill(&mut self, who: usize) {
-        self.nodes[who].process = None;
+    /// Ends the process of a member without notice. Its disk stays.
+    pub fn kill(&mut self, member: usize) {
+        self.nodes[member].process = None;
     }
 
-    /// Starts it again somewhere else; nobody is at the old address.
-    pub fn move_to(&mut self, who: usize, place: u8) {
-        let old = self.nodes[who].addr;
-        self.places.remove(&old);
-        self.nodes[who].addr = address(who, place);
-        self.places.insert(self.nodes[who].addr, who);
+    /// Moves a member to its address in another subnet. Datagrams to the old address are lost.
+    pub fn change_address(&mut self, member: usize, subnet: u8) {
+        let old = self.nodes[member].addr;
+        self.members_by_addr.remove(&old);
+        self.nodes[member].addr = address(member, subnet);
+        self.members_by_addr.insert(self.nodes[member].addr, member);
     }
 
-    /// It is at the address that another had, who is at none any more.
-    pub fn take_place(&mut self, who: usize, of: usize) {
-        let (old, place) = (self.nodes[who].addr, self.nodes[of].addr);
-        self.places.remove(&old);
-        self.nodes[who].addr = place;
-        self.places.insert(place, who);
+    /// Moves a member to the address of another one, which is unreachable from then on.
+    pub fn take_address(&mut self, member: usize, previous_holder: usize) {
+        let (old, addr) = (self.nodes[member].addr, self.nodes[previous_holder].addr);
+        self.members_by_addr.remove(&old);
+        self.nodes[member].addr = addr;
+        self.members_by_addr.insert(addr, member);
     }
 
-    /// One more process under the name of another, with a copy of its disk, at an address of its own. Its
-    /// number.
-    pub fn copy(&mut self, of: usize) -> usize {
-        let who = self.nodes.len();
-        let (name, hall) = (self.nodes[of].name.clone(), self.nodes[of].hall.clone());
-        let (addr, disk) = (address(who, 0), self.nodes[of].disk.clone());
-        let ahead = self.nodes[of].ahead;
-        self.nodes.push(Node { name, hall, addr, disk, process: None, runs: 0, ahead });
-        self.places.insert(addr, who);
-        self.start(who);
-        who
+    /// Starts a further member with the name, the zone and a copy of the disk of another, at an address
+    /// of its own. Returns its number.
+    pub fn start_copy(&mut self, original: usize) -> usize {
+        let member = self.nodes.len();
+        let (name, zone) = (self.nodes[original].name.clone(), self.nodes[original].zone.clone());
+        let (addr, disk) = (address(member, 0), self.nodes[original].disk.clone());
+        let clock_offset = self.nodes[original].clock_offset;
+        self.nodes.push(Node { name, zone, addr, disk, process: None, run: 0, clock_offset });
+        self.members_by_addr.insert(addr, member);
+        self.start(member);
+        member
     }
 
-    /// It stands still: its socket fills, its timers pass.
-    pub fn pause(&mut self, who: usize) {
-        if let Some(process) = self.nodes[who].process.as_mut() {
-            process.stopped = true;
+    /// Pauses a process: datagrams fill its socket buffer, and its timers are delayed.
+    pub fn pause(&mut self, member: usize) {
+        if let Some(process) = self.nodes[member].process.as_mut() {
+            process.paused = true;
         }
     }
 
-    /// It goes on, first with what lies in its socket or first with its timers, as chance has it.
-    pub fn resume(&mut self, who: usize) {
-        let timers_first: bool = self.chance.random();
-        let (now, run, clock) = (self.now, self.nodes[who].runs, self.clock(who));
-        let Some(process) = self.nodes[who].process.as_mut().filter(|p| p.stopped) else { return };
-        process.stopped = false;
-        process.wakes_at = None;
+    /// Resumes a paused process. It handles either its timers or the buffered datagrams first, at random.
+    pub fn resume(&mut self, member: usize) {
+        let timers_first: bool = self.rng.random();
+        let (now, run, clock) = (self.now, self.nodes[member].run, self.clock(member));
+        let Some(process) = self.nodes[member].process.as_mut().filter(|p| p.paused) else { return };
+        process.paused = false;
+        process.next_tick_at = None;
         if timers_first {
             process.membership.tick(clock);
         }
-        process.buffered = 0;
-        for (from, datagram) in std::mem::take(&mut process.buffer) {
+        process.buffered_bytes = 0;
+        for (from, datagram) in std::mem::take(&mut process.receive_buffer) {
             process.membership.receive(clock, from, &datagram);
         }
-        self.plan_next(now, Next::Wakes { who, run });
-        self.after(who);
+        self.schedule(now, ScheduledEvent::Tick { member, run });
+        self.carry_out_actions(member);
     }
 
-    pub fn leave(&mut self, who: usize) {
-        let now = self.clock(who);
-        if let Some(process) = self.nodes[who].process.as_mut() {
+    /// Makes a member announce its departure from the fleet.
+    pub fn leave(&mut self, member: usize) {
+        let now = self.clock(member);
+        if let Some(process) = self.nodes[member].process.as_mut() {
             process.membership.leave(now);
         }
-        self.after(who);
+        self.carry_out_actions(member);
     }
 }
--- a/crates/emulator/src/owners/processes.rs
+++ b/crates/emulator/src/owners/processes.rs
@@ -1,140 +1,150 @@
-//! Processes and their disks: starts, kills, pauses, and what becomes of their records.
+//! Processes of the members and their disks: start, kill, pause, and faults of the disks.
 
 use super::*;
 
-impl Owners {
-    /// Starts a process with what is on its disk.
-    pub fn start(&mut self, who: usize) {
-        self.start_having_lost(who, false);
+impl OwnershipSimulation {
+    /// Starts a member with the contents of its disk. Does nothing if it is running.
+    pub fn start(&mut self, member: usize) {
+        self.start_with_lost_records(member, false);
     }
 
-    /// The same; the end of its records is missing.
-    pub fn start_having_lost(&mut self, who: usize, lost: bool) {
-        if self.nodes[who].process.is_some() {
+    /// Starts a member like [`Self::start`]. `lost_records` tells the voter that records are missing at
+    /// the end of its disk.
+    pub fn start_with_lost_records(&mut self, member: usize, lost_records: bool) {
+        if self.nodes[member].process.is_some() {
             return;
         }
-        let named: Vec<_> = (0..self.plan.voters).map(|v| (name(v), address(v))).collect();
-        let (seed, stand) = (self.chance.next_u64(), self.chance.next_u64());
-        let now = self.clock(who);
-        let image = PersistentState::decode(&self.nodes[who].disk).expect("its own records");
-        let (times, broken) = (self.plan.times, self.plan.broken);
+        let initial_voters: Vec<_> = (0..self.config.voters).map(|v| (member_name(v), address(v))).collect();
+        let (seed, holder_incarnation) = (self.rng.next_u64(), self.rng.next_u64());
+        let now = self.clock(member);
+        let persistent_state = PersistentState::decode(&self.nodes[member].disk)
+            .expect("the records were encoded by this simulation");
+        let (times, disabled_parts) = (self.config.times, self.config.disabled);
         let voter = Voter::new(
             now,
             VoterConfig {
                 fleet: "f".to_string(),
-                name: name(who),
-                addr: address(who),
-                initial_voters: named.clone(),
-                state: image,
-                has_lost_records: lost,
+                name: member_name(member),
+                addr: address(member),
+                initial_voters: initial_voters.clone(),
+                state: persistent_state,
+                has_lost_records: lost_records,
                 seed,
                 times,
-                disabled: broken,
+                disabled: disabled_parts,
             },
         );
         let holder = LeaseHolder::new(
             now,
             HolderConfig {
                 fleet: "f".to_string(),
-                name: name(who),
-                voters: named.into_iter().map(|(_, a)| a).collect(),
+                name: member_name(member),
+                voters: initial_voters.into_iter().map(|(_, a)| a).collect(),
                 duties: vec![DUTY.to_string()],
                 seed,
-                incarnation: stand,
+                incarnation: holder_incarnation,
                 times,
-                disabled: broken,
+                disabled: disabled_parts,
             },
         );
-        let node = &mut self.nodes[who];
-        node.runs += 1;
-        let run = node.runs;
-        let buffer = VecDeque::new();
-        let checked = None;
+        let node = &mut self.nodes[member];
+        node.run += 1;
+        let run = node.run;
+        let receive_buffer = VecDeque::new();
+        let pending_effect = None;
         node.process = Some(Process {
             voter,
             holder,
-            stopped: false,
-            buffer,
-            wakes_at: None,
-            checked,
-            effects: 0,
-            last_kept: 0,
+            paused: false,
+            receive_buffer,
+            next_tick_at: None,
+            pending_effect,
+            last_effect: 0,
+            last_stored: 0,
         });
-        self.later(EFFECT, Next::Checks { who, run });
-        self.after(who);
+        self.schedule_after(EFFECT_INTERVAL, ScheduledEvent::EffectCheck { member, run });
+        self.carry_out_actions(member);
     }
 
-    /// Ended without a word. What was being written may be on disk or not.
-    pub fn kill(&mut self, who: usize) {
-        let lost = self.draw(self.nodes[who].untold as u64 + 1) as usize;
-        let node = &mut self.nodes[who];
+    /// Ends the process of a member without notice. A random number of the unacknowledged records at the
+    /// end of its disk is lost.
+    pub fn kill(&mut self, member: usize) {
+        let lost_count = self.random_below(self.nodes[member].unacknowledged_records as u64 + 1) as usize;
+        let node = &mut self.nodes[member];
         node.process = None;
-        node.disk.truncate(node.disk.len().saturating_sub(lost));
-        node.untold = 0;
+        node.disk.truncate(node.disk.len().saturating_sub(lost_count));
+        node.unacknowledged_records = 0;
     }
 
-    /// Ended at the point where it would write or send for this time more: before it, and nothing after it.
-    pub fn die_at(&mut self, who: usize, write_or_send: u64) {
-        self.nodes[who].dies_at = Some(write_or_send);
+    /// Kills a member before it carries out a later write or send. `action_count` is the number of writes
+    /// and sends that it still completes.
+    pub fn kill_before_action(&mut self, member: usize, action_count: u64) {
+        self.nodes[member].actions_until_kill = Some(action_count);
     }
 
-    pub fn empty_disk(&mut self, who: usize) {
-        self.nodes[who].disk.clear();
-        self.nodes[who].untold = 0;
+    /// Erases the disk of a member.
+    pub fn erase_disk(&mut self, member: usize) {
+        self.nodes[member].disk.clear();
+        self.nodes[member].unacknowledged_records = 0;
     }
 
-    /// The last record is gone.
-    pub fn tear_disk(&mut self, who: usize) {
-        self.nodes[who].disk.pop();
+    /// Removes the last record from the disk of a member.
+    pub fn remove_last_record(&mut self, member: usize) {
+        self.nodes[member].disk.pop();
     }
 
-    pub fn disk(&mut self, who: usize) -> &mut Vec<Vec<u8>> {
-        &mut self.nodes[who].disk
+    /// Encoded records on the disk of a member.
+    pub fn disk(&mut self, member: usize) -> &mut Vec<Vec<u8>> {
+        &mut self.nodes[member].disk
     }
 
-    /// Writing takes so long from now on.
-    pub fn slow_disk(&mut self, who: usize, takes: Span) {
-        self.nodes[who].disk_takes = takes;
+    /// Sets the duration of later writes of a member.
+    pub fn set_write_time(&mut self, member: usize, write_time: Span) {
+        self.nodes[member].write_time = write_time;
     }
 
-    pub fn fail_disk(&mut self, who: usize, fails: bool) {
-        self.nodes[who].disk_fails = fails;
+    /// Makes later writes of a member fail or succeed.
+    pub fn set_write_failure(&mut self, member: usize, fails: bool) {
+        self.nodes[member].writes_fail = fails;
     }
 
-    pub fn pause(&mut self, who: usize) {
-        if let Some(process) = self.nodes[who].process.as_mut() {
-            process.stopped = true;
+    /// Pauses a process: datagrams fill its socket buffer, and its timers are delayed.
+    pub fn pause(&mut self, member: usize) {
+        if let Some(process) = self.nodes[member].process.as_mut() {
+            process.paused = true;
         }
     }
 
-    /// It goes on with what it had begun: what was checked before is written now.
-    pub fn resume(&mut self, who: usize) {
-        let now = self.clock(who);
-        let run = self.nodes[who].runs;
-        let timers_first: bool = self.chance.random();
-        let Some(process) = self.nodes[who].process.as_mut().filter(|p| p.stopped) else { return };
-        process.stopped = false;
-        process.wakes_at = None;
+    /// Resumes a paused process. An effect for which the lease was checked before the pause is sent without
+    /// another check.
+    pub fn resume(&mut self, member: usize) {
+        let now = self.clock(member);
+        let run = self.nodes[member].run;
+        let timers_first: bool = self.rng.random();
+        let Some(process) = self.nodes[member].process.as_mut().filter(|p| p.paused) else { return };
+        process.paused = false;
+        process.next_tick_at = None;
         if timers_first {
             process.voter.tick(now);
             process.holder.tick(now);
         }
-        let checked = process.checked.take();
-        for (from, datagram) in std::mem::take(&mut process.buffer) {
-            hear(process, now, from, &datagram);
+        let pending_effect = process.pending_effect.take();
+        for (from, datagram) in std::mem::take(&mut process.receive_buffer) {
+            receive(process, now, from, &datagram);
         }
-        if let Some((epoch, number)) = checked {
-            self.later(ms(1), Next::Lands { who, epoch, number });
+        if let Some((epoch, number)) = pending_effect {
+            self.schedule_after(ms(1), ScheduledEvent::EffectArrival { member, epoch, number });
         }
-        self.later(EFFECT, Next::Checks { who, run });
-        self.after(who);
+        self.schedule_after(EFFECT_INTERVAL, ScheduledEvent::EffectCheck { member, run });
+        self.carry_out_actions(member);
     }
 
-    pub fn leave(&mut self, who: usize) {
-        let now = self.clock(who);
-        if let Some(process) = self.nodes[who].process.as_mut() {
+    /// Makes a member release its duties and stop claiming them.
+    pub fn leave(&mut self, member: usize) {
+        let now = self.clock(member);
+        if let Some(process) = self.nodes[member].process.as_mut() {
             process.holder.leave(now);
         }
-        self.after(who);
+        self.carry_out_actions(member);
     }
 }
