--- a/crates/fault-injection/src/checker/tests.rs
+++ b/crates/fault-injection/src/checker/tests.rs
@@ -53,12 +53,12 @@
 /// 10.
 fn correct_observations() -> TrialTrace {
     let names = ["g1", "g2", "g3"];
-    let process = |me: &str| {
-        let others: Vec<&str> = names.into_iter().filter(|n| *n != me).collect();
+    let process = |own_name: &str| {
+        let others: Vec<&str> = names.into_iter().filter(|n| *n != own_name).collect();
         let mut history = vec![began(1.0, 7, 1)];
         history.extend(others.iter().map(|o| member(2.0, 7, o, ("unknown", 1), ("alive", 1))));
         ProcessTrace {
-            name: me.to_string(),
+            name: own_name.to_string(),
             running: true,
             visible_members: Some(others.iter().map(|o| o.to_string()).collect()),
             history,
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -202,12 +202,14 @@
     /// Relays one connection. No data passes in a direction while its link is cut. A connection that comes
     /// from no gatekeeper (`from` is `None`) is never cut.
     fn relay_connection(self: &Arc<Self>, stream: &TcpStream, from: Option<usize>, to: usize) {
-        let member: SocketAddr = self.addresses.control_addr(to).into();
-        let Ok(other) = TcpStream::connect_timeout(&member, Duration::from_millis(500)) else { return };
-        let (Ok(there), Ok(back)) = (stream.try_clone(), other.try_clone()) else { return };
+        let control_addr: SocketAddr = self.addresses.control_addr(to).into();
+        let Ok(upstream) = TcpStream::connect_timeout(&control_addr, Duration::from_millis(500)) else {
+            return;
+        };
+        let (Ok(client), Ok(server)) = (stream.try_clone(), upstream.try_clone()) else { return };
         let (state, forward_link) = (self.clone(), from.map(|f| (f, to)));
-        let forward = thread::spawn(move || state.pipe(&there, &back, forward_link));
-        self.pipe(&other, stream, from.map(|f| (to, f)));
+        let forward = thread::spawn(move || state.pipe(&client, &server, forward_link));
+        self.pipe(&upstream, stream, from.map(|f| (to, f)));
         let _ = forward.join();
     }
 
--- a/crates/fault-injection/src/run/finish.rs
+++ b/crates/fault-injection/src/run/finish.rs
@@ -102,8 +102,8 @@
     /// Writes the request outcomes and the times of the trial beside the histories.
     pub(super) fn write_traces(&self, trace: &TrialTrace) -> io::Result<()> {
         let mut out = Vec::new();
-        for one in &trace.outcomes {
-            serde_json::to_writer(&mut out, one)?;
+        for outcome in &trace.outcomes {
+            serde_json::to_writer(&mut out, outcome)?;
             out.push(b'\n');
         }
         fs::write(self.dir.join("answered.jsonl"), out)?;
