--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks a member at its control port.
+//! Requests to a member at its control port.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -7,12 +7,12 @@
 use lynxstair_cluster::Config;
 use lynxstair_cluster::protocol::{Request, Response};
 
-/// Asks one thing.
-pub fn ask(addr: SocketAddrV4, ask: &Request) -> Result<Response> {
-    lynxstair_cluster::request(addr, ask).context("not reached")
+/// Sends a request and waits for the response.
+pub fn send_request(addr: SocketAddrV4, request: &Request) -> Result<Response> {
+    lynxstair_cluster::request(addr, request).context("request failed")
 }
 
-/// The addresses to ask: of a fleet file, or the one address that is given.
+/// Returns the given address, or the control address and the seeds of the given fleet file.
 pub fn addresses(file_or_address: &str) -> Result<Vec<SocketAddrV4>> {
     if let Ok(addr) = file_or_address.parse() {
         return Ok(vec![addr]);
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,5 +1,6 @@
-//! `lynxstair fleet`: each member as seen by each member that could be asked. Nothing is averaged, and who
-//! could not be reached is `unknown`, with since when.
+//! `lynxstair fleet`: the state of each member as reported by each reachable member.
+//!
+//! The reports are shown side by side, not merged. A member that can't be reached is `unknown`.
 
 mod arguments;
 
@@ -14,243 +15,277 @@
 use lynxstair_membership::{Name, Phase, State, View};
 use serde::Serialize;
 
-use crate::ask::{addresses, ask};
+use crate::ask::{addresses, send_request};
 use crate::owners;
 
 pub use arguments::Args;
 use arguments::{Command, VotersCommand};
 
-/// Asked at once.
-const AT_ONCE: usize = 32;
+/// Number of members that are queried concurrently.
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// What was found out of a fleet.
+/// Status of a fleet, combined from the answers of its members.
 #[derive(Serialize)]
-struct Status {
+struct FleetStatus {
     fleet: Option<Name>,
-    members: Vec<Member>,
-    /// All could be asked, and all see the same.
+    members: Vec<MemberStatus>,
+    /// `true` if the joined members see each joined member as present and every other member as failed, left
+    /// or shut out.
     agree: bool,
 }
 
-/// One member.
 #[derive(Serialize)]
-struct Member {
+struct MemberStatus {
     name: Name,
-    hall: Name,
+    #[serde(rename = "hall")]
+    zone: Name,
     addr: SocketAddrV4,
     incarnation: u64,
-    /// What it says of itself; none: it could not be asked.
-    says: Option<Said>,
-    /// Why it could not be asked, and since when others do not see it as there; `unknown` where nobody can
-    /// say.
-    unreached: Option<Unreached>,
-    /// By state: who sees it so.
-    seen: BTreeMap<State, Vec<Seen>>,
+    /// `None` if the member did not answer.
+    #[serde(rename = "says")]
+    self_report: Option<SelfReport>,
+    /// `None` if the member answered.
+    #[serde(rename = "unreached")]
+    unreachable: Option<Unreachable>,
+    /// Reports of the other members, by the state that they report.
+    #[serde(rename = "seen")]
+    observations: BTreeMap<State, Vec<Observation>>,
 }
 
+/// State that a member reports of itself.
 #[derive(Serialize)]
-struct Said {
+struct SelfReport {
     phase: Phase,
-    why: String,
+    #[serde(rename = "why")]
+    phase_reason: String,
     version: String,
-    doubt_ms: Option<u64>,
-    disk: Option<String>,
+    #[serde(rename = "doubt_ms")]
+    degraded_ms: Option<u64>,
+    #[serde(rename = "disk")]
+    disk_error: Option<String>,
 }
 
+/// Error of the query to a member that did not answer.
 #[derive(Serialize)]
-struct Unreached {
-    why: String,
-    /// Milliseconds for which those who could be asked have held it so; none: `unknown`, they see it as
-    /// there.
-    for_ms: Option<u64>,
+struct Unreachable {
+    #[serde(rename = "why")]
+    reason: String,
+    /// Longest time for which a member has reported it as not present, in milliseconds; `None` if all report
+    /// it as present.
+    #[serde(rename = "for_ms")]
+    absent_ms: Option<u64>,
 }
 
+/// State of a member as reported by another member.
 #[derive(Clone, Serialize)]
-struct Seen {
-    by: Name,
+struct Observation {
+    #[serde(rename = "by")]
+    observer: Name,
     incarnation: u64,
     for_ms: u64,
-    why: String,
+    #[serde(rename = "why")]
+    reason: String,
 }
 
 pub fn run(args: Args) -> Result<u8> {
     match args.command {
-        Command::Status { member, json } => status(&member, json),
+        Command::Status { member, json } => print_status(&member, json),
         Command::Watch { member, json, r#for } => watch(&member, json, r#for),
         Command::Leave { member } => {
             let addr = addresses(&member)?[0];
-            done(addr, &Request::Leave)
+            send_command(addr, &Request::Leave)
         }
         Command::ShutOut { by, name, why } => {
-            one_of(&by, &Request::ShutOut { name: Name::new(&name)?, reason: why })
+            send_to_any(&by, &Request::ShutOut { name: Name::new(&name)?, reason: why })
         }
-        Command::Owners { member, json } => owners::show(&member, json),
+        Command::Owners { member, json } => owners::print_owners(&member, json),
         Command::HandOver { by, duty, to, id } => {
             let to = Name::new(&to)?;
-            owners::operate(&by, id, |id| Request::HandOver { id, duty: duty.clone(), to: to.clone() })
+            owners::run_command(&by, id, |id| Request::HandOver { id, duty: duty.clone(), to: to.clone() })
         }
         Command::Depose { by, duty, id } => {
-            owners::operate(&by, id, |id| Request::Depose { id, duty: duty.clone() })
+            owners::run_command(&by, id, |id| Request::Depose { id, duty: duty.clone() })
+        }
+        Command::Voters { command: VotersCommand::Show { member, json } } => {
+            owners::print_voters(&member, json)
         }
-        Command::Voters { command: VotersCommand::Show { member, json } } => owners::voters(&member, json),
         Command::Voters { command: VotersCommand::Replace { by, old, new, id } } => {
             let (old, new) = (Name::new(&old)?, Name::new(&new)?);
-            owners::operate(&by, id, |id| Request::ReplaceVoter { id, old: old.clone(), new: new.clone() })
+            owners::run_command(&by, id, |id| Request::ReplaceVoter {
+                id,
+                old: old.clone(),
+                new: new.clone(),
+            })
         }
-        Command::LetIn { by, name } => one_of(&by, &Request::LetIn { name: Name::new(&name)? }),
+        Command::LetIn { by, name } => send_to_any(&by, &Request::LetIn { name: Name::new(&name)? }),
     }
 }
 
-fn done(addr: SocketAddrV4, what: &Request) -> Result<u8> {
-    match ask(addr, what).with_context(|| addr.to_string())? {
+fn send_command(addr: SocketAddrV4, command: &Request) -> Result<u8> {
+    match send_request(addr, command).with_context(|| addr.to_string())? {
         Response::Done => Ok(0),
-        Response::Refused { reason: why } => bail!("{addr}: {why}"),
-        _ => bail!("{addr}: an answer to something else"),
+        Response::Refused { reason } => bail!("{addr}: {reason}"),
+        _ => bail!("{addr}: unexpected response type"),
     }
 }
 
-/// The first that can be asked.
-fn one_of(member: &str, what: &Request) -> Result<u8> {
-    let mut last = None;
+/// Sends the command to one address after another until a member accepts it; returns the last error if none
+/// does.
+fn send_to_any(member: &str, command: &Request) -> Result<u8> {
+    let mut last_error = None;
     for addr in addresses(member)? {
-        match done(addr, what) {
+        match send_command(addr, command) {
             Ok(code) => return Ok(code),
-            Err(e) => last = Some(e),
+            Err(e) => last_error = Some(e),
         }
     }
-    Err(last.unwrap_or_else(|| anyhow::anyhow!("nobody to ask")))
+    Err(last_error.unwrap_or_else(|| anyhow::anyhow!("no address to query")))
 }
 
-/// What one member answered.
-struct Asked {
+/// Answer of a member to a status query.
+struct StatusAnswer {
     fleet: Name,
     version: String,
     view: View,
-    disk: Option<String>,
+    disk_error: Option<String>,
 }
 
-fn status_of(addr: SocketAddrV4) -> Result<Asked> {
-    match ask(addr, &Request::Status)? {
-        Response::Status { fleet, version, view, disk_error: disk, .. } => {
-            Ok(Asked { fleet, version, view: *view, disk })
+fn query_status(addr: SocketAddrV4) -> Result<StatusAnswer> {
+    match send_request(addr, &Request::Status)? {
+        Response::Status { fleet, version, view, disk_error, .. } => {
+            Ok(StatusAnswer { fleet, version, view: *view, disk_error })
         }
-        Response::Refused { reason: why } => bail!(why),
-        _ => bail!("an answer to something else"),
+        Response::Refused { reason } => bail!(reason),
+        _ => bail!("unexpected response type"),
     }
 }
 
-/// Asks one, then everybody whom anybody who was asked knows.
-fn gather(member: &str) -> Result<Status> {
-    let mut asked: BTreeMap<SocketAddrV4, Result<Asked>> = BTreeMap::new();
+/// Queries the given addresses, then every further member that an answer lists, unless its last state is
+/// final.
+fn query_fleet(member: &str) -> Result<FleetStatus> {
+    let mut answers: BTreeMap<SocketAddrV4, Result<StatusAnswer>> = BTreeMap::new();
     let first = addresses(member)?;
-    let mut to_ask: Vec<_> = first.clone();
-    while !to_ask.is_empty() {
+    let mut pending: Vec<_> = first.clone();
+    while !pending.is_empty() {
         let mut found = BTreeSet::new();
-        for some in to_ask.chunks(AT_ONCE) {
-            let answers: Vec<_> = thread::scope(|scope| {
-                let asks: Vec<_> = some.iter().map(|a| scope.spawn(|| status_of(*a))).collect();
-                asks.into_iter().map(|a| a.join().unwrap_or_else(|_| bail!("the asking failed"))).collect()
+        for chunk in pending.chunks(MAX_CONCURRENT_QUERIES) {
+            let chunk_answers: Vec<_> = thread::scope(|scope| {
+                let queries: Vec<_> = chunk.iter().map(|a| scope.spawn(|| query_status(*a))).collect();
+                queries
+                    .into_iter()
+                    .map(|q| q.join().unwrap_or_else(|_| bail!("status query panicked")))
+                    .collect()
             });
-            for (addr, answer) in some.iter().zip(answers) {
-                if let Ok(one) = &answer {
-                    found
-                        .extend(one.view.members.iter().filter(|m| !m.last_state.is_final()).map(|m| m.addr));
+            for (addr, answer) in chunk.iter().zip(chunk_answers) {
+                if let Ok(answer) = &answer {
+                    found.extend(
+                        answer.view.members.iter().filter(|m| !m.last_state.is_final()).map(|m| m.addr),
+                    );
                 }
-                asked.insert(*addr, answer);
+                answers.insert(*addr, answer);
             }
         }
-        // By the address at which it is known; one that is asked at another one answers who it is.
-        let me: BTreeSet<_> = asked.values().flatten().map(|a| a.view.local.addr).collect();
-        to_ask = found.into_iter().filter(|a| !asked.contains_key(a) && !me.contains(a)).collect();
-        if asked.len() == first.len() && asked.values().all(Result::is_err) {
-            let why = asked.iter().map(|(a, e)| format!("{a}: {:#}", e.as_ref().err().expect("all failed")));
-            bail!("nobody could be asked: {}", why.collect::<Vec<_>>().join("; "));
+        // A member may have been queried at an address other than the one it is listed with.
+        let answered: BTreeSet<_> = answers.values().flatten().map(|a| a.view.local.addr).collect();
+        pending = found.into_iter().filter(|a| !answers.contains_key(a) && !answered.contains(a)).collect();
+        if answers.len() == first.len() && answers.values().all(Result::is_err) {
+            let errors =
+                answers.iter().map(|(a, e)| format!("{a}: {:#}", e.as_ref().err().expect("all failed")));
+            bail!("no member could be reached: {}", errors.collect::<Vec<_>>().join("; "));
         }
     }
-    Ok(put_together(&asked))
+    Ok(build_status(&answers))
 }
 
-fn put_together(asked: &BTreeMap<SocketAddrV4, Result<Asked>>) -> Status {
-    let mut members: BTreeMap<Name, Member> = BTreeMap::new();
-    let answers = || asked.values().flatten();
-    for one in answers() {
-        let me = &one.view.local;
-        for seen in &one.view.members {
-            let member = members.entry(seen.name.clone()).or_insert_with(|| Member {
-                name: seen.name.clone(),
-                hall: seen.zone.clone(),
-                addr: seen.addr,
+fn build_status(answers: &BTreeMap<SocketAddrV4, Result<StatusAnswer>>) -> FleetStatus {
+    let mut members: BTreeMap<Name, MemberStatus> = BTreeMap::new();
+    let successful = || answers.values().flatten();
+    for answer in successful() {
+        let local = &answer.view.local;
+        for observed in &answer.view.members {
+            let member = members.entry(observed.name.clone()).or_insert_with(|| MemberStatus {
+                name: observed.name.clone(),
+                zone: observed.zone.clone(),
+                addr: observed.addr,
                 incarnation: 0,
-                says: None,
-                unreached: None,
-                seen: BTreeMap::new(),
+                self_report: None,
+                unreachable: None,
+                observations: BTreeMap::new(),
             });
-            if seen.incarnation.0 >= member.incarnation {
-                (member.incarnation, member.addr) = (seen.incarnation.0, seen.addr);
+            if observed.incarnation.0 >= member.incarnation {
+                (member.incarnation, member.addr) = (observed.incarnation.0, observed.addr);
             }
-            let by = Seen {
-                by: me.name.clone(),
-                incarnation: seen.incarnation.0,
-                for_ms: seen.for_ms,
-                why: seen.reason.clone(),
+            let observation = Observation {
+                observer: local.name.clone(),
+                incarnation: observed.incarnation.0,
+                for_ms: observed.for_ms,
+                reason: observed.reason.clone(),
             };
-            member.seen.entry(seen.state).or_default().push(by);
+            member.observations.entry(observed.state).or_default().push(observation);
         }
     }
-    for one in answers() {
-        let me = &one.view.local;
-        let member = members.entry(me.name.clone()).or_insert_with(|| Member {
-            name: me.name.clone(),
-            hall: me.zone.clone(),
-            addr: me.addr,
+    for answer in successful() {
+        let local = &answer.view.local;
+        let member = members.entry(local.name.clone()).or_insert_with(|| MemberStatus {
+            name: local.name.clone(),
+            zone: local.zone.clone(),
+            addr: local.addr,
             incarnation: 0,
-            says: None,
-            unreached: None,
-            seen: BTreeMap::new(),
+            self_report: None,
+            unreachable: None,
+            observations: BTreeMap::new(),
         });
-        // Of two that bear one name the one that is in says what it is.
-        if member.says.as_ref().is_some_and(|s| s.phase == Phase::In) {
+        // If two processes use the same name, the report of the joined one is kept.
+        if member.self_report.as_ref().is_some_and(|s| s.phase == Phase::In) {
             continue;
         }
-        (member.incarnation, member.addr) = (me.incarnation.0, me.addr);
-        member.says = Some(Said {
-            phase: one.view.phase,
-            why: one.view.phase_reason.clone(),
-            version: one.version.clone(),
-            doubt_ms: one.view.degraded.map(|(_, ms)| ms),
-            disk: one.disk.clone(),
+        (member.incarnation, member.addr) = (local.incarnation.0, local.addr);
+        member.self_report = Some(SelfReport {
+            phase: answer.view.phase,
+            phase_reason: answer.view.phase_reason.clone(),
+            version: answer.version.clone(),
+            degraded_ms: answer.view.degraded.map(|(_, ms)| ms),
+            disk_error: answer.disk_error.clone(),
         });
     }
-    for member in members.values_mut().filter(|m| m.says.is_none()) {
-        let failed = asked.get(&member.addr).and_then(|a| a.as_ref().err());
-        let why = failed.map_or_else(|| "not asked: it is over".to_string(), |e| format!("{e:#}"));
-        let gone = member.seen.iter().filter(|(state, _)| !state.is_present());
-        let for_ms = gone.flat_map(|(_, seen)| seen).map(|s| s.for_ms).max();
-        member.unreached = Some(Unreached { why, for_ms });
+    for member in members.values_mut().filter(|m| m.self_report.is_none()) {
+        let error = answers.get(&member.addr).and_then(|a| a.as_ref().err());
+        let reason =
+            error.map_or_else(|| "not queried: failed, left or shut out".to_string(), |e| format!("{e:#}"));
+        let absent = member.observations.iter().filter(|(state, _)| !state.is_present());
+        let absent_ms = absent.flat_map(|(_, observations)| observations).map(|o| o.for_ms).max();
+        member.unreachable = Some(Unreachable { reason, absent_ms });
     }
-    let agree = agrees(&members);
-    Status {
-        fleet: answers().next().map(|a| a.fleet.clone()),
+    let agree = all_agree(&members);
+    FleetStatus {
+        fleet: successful().next().map(|a| a.fleet.clone()),
         members: members.into_values().collect(),
         agree,
     }
 }
 
-/// Whether all who are in see the same, and all that count as there could be asked.
-fn agrees(members: &BTreeMap<Name, Member>) -> bool {
-    let is_in = |m: &Member| m.says.as_ref().is_some_and(|s| s.phase == Phase::In);
+/// Returns `true` if the joined members see each joined member as present and every other member in a final
+/// state.
+fn all_agree(members: &BTreeMap<Name, MemberStatus>) -> bool {
+    let is_joined = |m: &MemberStatus| m.self_report.as_ref().is_some_and(|s| s.phase == Phase::In);
     members.values().all(|member| {
-        let by_in: Vec<State> = member
-            .seen
+        let states: Vec<State> = member
+            .observations
             .iter()
-            .filter(|(_, seen)| seen.iter().any(|s| members.get(&s.by).is_some_and(is_in)))
+            .filter(|(_, observations)| {
+                observations.iter().any(|o| members.get(&o.observer).is_some_and(is_joined))
+            })
             .map(|(state, _)| *state)
             .collect();
-        if is_in(member) { by_in.iter().all(|s| s.is_present()) } else { by_in.iter().all(|s| s.is_final()) }
+        if is_joined(member) {
+            states.iter().all(|s| s.is_present())
+        } else {
+            states.iter().all(|s| s.is_final())
+        }
     })
 }
 
-fn seconds(ms: u64) -> String {
+fn format_duration(ms: u64) -> String {
     match ms {
         0..10_000 => format!("{:.1} s", ms as f64 / 1e3),
         10_000..600_000 => format!("{} s", ms / 1_000),
@@ -258,7 +293,7 @@
     }
 }
 
-fn word(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Unknown => "unknown",
         State::Joining => "joining",
@@ -270,44 +305,48 @@
     }
 }
 
-/// Who sees it how: by how many, and by whom where they are few.
-fn seen_by(member: &Member) -> String {
-    let words = member.seen.iter().map(|(state, seen)| {
-        let longest = seconds(seen.iter().map(|s| s.for_ms).max().unwrap_or_default());
-        let names: Vec<_> = seen.iter().take(4).map(|s| s.by.as_str()).collect();
-        let more = if seen.len() > 4 { format!(" and {} more", seen.len() - 4) } else { String::new() };
-        format!("{} for {longest}: {}{more}", word(*state), names.join(", "))
+/// Formats one line for each reported state, with at most four of the members that report it.
+fn format_observations(member: &MemberStatus) -> String {
+    let lines = member.observations.iter().map(|(state, observations)| {
+        let longest = format_duration(observations.iter().map(|o| o.for_ms).max().unwrap_or_default());
+        let names: Vec<_> = observations.iter().take(4).map(|o| o.observer.as_str()).collect();
+        let more = if observations.len() > 4 {
+            format!(" and {} more", observations.len() - 4)
+        } else {
+            String::new()
+        };
+        format!("{} for {longest}: {}{more}", state_name(*state), names.join(", "))
     });
-    words.collect::<Vec<_>>().join("\n")
+    lines.collect::<Vec<_>>().join("\n")
 }
 
-fn says(member: &Member) -> String {
-    match (&member.says, &member.unreached) {
-        (Some(said), _) => {
-            let mut text = format!("{:?}", said.phase).to_lowercase();
-            if !matches!(said.phase, Phase::In) {
-                text += &format!(": {}", said.why);
+fn format_self_report(member: &MemberStatus) -> String {
+    match (&member.self_report, &member.unreachable) {
+        (Some(report), _) => {
+            let mut text = format!("{:?}", report.phase).to_lowercase();
+            if !matches!(report.phase, Phase::In) {
+                text += &format!(": {}", report.phase_reason);
             }
-            if let Some(ms) = said.doubt_ms {
-                text += &format!("; doubts itself for {}", seconds(ms));
+            if let Some(ms) = report.degraded_ms {
+                text += &format!("; degraded for {}", format_duration(ms));
             }
-            if let Some(disk) = &said.disk {
-                text += &format!("; {disk}");
+            if let Some(error) = &report.disk_error {
+                text += &format!("; {error}");
             }
             text
         }
-        (None, Some(unreached)) => {
-            let since = unreached
-                .for_ms
-                .map_or("since when: unknown".to_string(), |ms| format!("for {}", seconds(ms)));
-            format!("unknown, {since} ({})", unreached.why)
+        (None, Some(unreachable)) => {
+            let duration = unreachable
+                .absent_ms
+                .map_or("duration unknown".to_string(), |ms| format!("for {}", format_duration(ms)));
+            format!("unknown, {duration} ({})", unreachable.reason)
         }
         (None, None) => "unknown".to_string(),
     }
 }
 
-fn status(member: &str, json: bool) -> Result<u8> {
-    let status = gather(member)?;
+fn print_status(member: &str, json: bool) -> Result<u8> {
+    let status = query_fleet(member)?;
     if json {
         println!("{}", serde_json::to_string(&status)?);
     } else {
@@ -319,74 +358,80 @@
         for m in &status.members {
             let cells = [
                 m.name.to_string(),
-                m.hall.to_string(),
+                m.zone.to_string(),
                 m.addr.to_string(),
                 m.incarnation.to_string(),
-                says(m),
-                seen_by(m),
+                format_self_report(m),
+                format_observations(m),
             ];
             table.add_row(cells);
         }
         let fleet = status.fleet.as_ref().map_or_else(String::new, Name::to_string);
-        println!("{table}\nfleet {fleet}: {}", verdict(&status));
+        println!("{table}\nfleet {fleet}: {}", summary(&status));
     }
     Ok(u8::from(!status.agree))
 }
 
-fn verdict(status: &Status) -> String {
-    let reached = status.members.iter().filter(|m| m.says.is_some()).count();
+fn summary(status: &FleetStatus) -> String {
+    let answered = status.members.iter().filter(|m| m.self_report.is_some()).count();
     let all = status.members.len();
-    let agree = if status.agree { "all that are in see the same" } else { "they do not all see the same" };
-    format!("{reached} of {all} members answered; {agree}")
+    let agree = if status.agree {
+        "all joined members agree"
+    } else {
+        "members disagree, or a present member did not answer"
+    };
+    format!("{answered} of {all} members answered; {agree}")
 }
 
-/// Prints each change of what anybody says, as it is found once a second.
+/// Queries the fleet once a second and prints each state that differs from the previous query.
 fn watch(member: &str, json: bool, seconds: Option<f64>) -> Result<u8> {
-    let began = Instant::now();
-    let mut before: Option<BTreeMap<(String, String), String>> = None;
+    let start = Instant::now();
+    let mut previous: Option<BTreeMap<(String, String), String>> = None;
     loop {
-        match gather(member) {
+        match query_fleet(member) {
             Ok(status) => {
-                let now = flat(&status);
-                tell_changes(before.as_ref(), &now, json)?;
-                before = Some(now);
+                let current = reported_states(&status);
+                print_changes(previous.as_ref(), &current, json)?;
+                previous = Some(current);
             }
-            Err(e) if before.is_none() => return Err(e),
+            Err(e) if previous.is_none() => return Err(e),
             Err(e) => eprintln!("lynxstair: {e:#}"),
         }
-        if seconds.is_some_and(|s| began.elapsed().as_secs_f64() >= s) {
+        if seconds.is_some_and(|s| start.elapsed().as_secs_f64() >= s) {
             return Ok(0);
         }
         thread::sleep(Duration::from_secs(1));
     }
 }
 
-/// Who is seen how by whom; what a member says of itself stands under its own name.
-fn flat(status: &Status) -> BTreeMap<(String, String), String> {
-    let mut all = BTreeMap::new();
+/// Returns the state of each member by (member, observer). The phase that a member reports of itself has the
+/// member as its observer.
+fn reported_states(status: &FleetStatus) -> BTreeMap<(String, String), String> {
+    let mut states = BTreeMap::new();
     for member in &status.members {
         let name = member.name.to_string();
-        let own = match &member.says {
-            Some(said) => format!("{:?}", said.phase).to_lowercase(),
+        let own = match &member.self_report {
+            Some(report) => format!("{:?}", report.phase).to_lowercase(),
             None => "unknown".to_string(),
         };
-        all.insert((name.clone(), name.clone()), own);
-        for (state, seen) in &member.seen {
-            for by in seen {
-                all.insert((name.clone(), by.by.to_string()), word(*state).to_string());
+        states.insert((name.clone(), name.clone()), own);
+        for (state, observations) in &member.observations {
+            for observation in observations {
+                states
+                    .insert((name.clone(), observation.observer.to_string()), state_name(*state).to_string());
             }
         }
     }
-    all
+    states
 }
 
-fn tell_changes(
-    before: Option<&BTreeMap<(String, String), String>>,
-    now: &BTreeMap<(String, String), String>,
+fn print_changes(
+    previous: Option<&BTreeMap<(String, String), String>>,
+    current: &BTreeMap<(String, String), String>,
     json: bool,
 ) -> Result<()> {
-    for ((name, by), state) in now {
-        let was = before.and_then(|b| b.get(&(name.clone(), by.clone())));
+    for ((name, by), state) in current {
+        let was = previous.and_then(|b| b.get(&(name.clone(), by.clone())));
         if was == Some(state) {
             continue;
         }
--- a/crates/cli/src/fleet/arguments.rs
+++ b/crates/cli/src/fleet/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `lynxstair fleet`.
+//! Command-line arguments of `lynxstair fleet`.
 
 use clap::Subcommand;
 
@@ -10,82 +10,83 @@
 
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// Each member as seen by each member that could be asked.
+    /// Shows each member as reported by each reachable member
     ///
-    /// Exit code 0: all could be asked and see the same; 1: some could not, or see it otherwise; 2: nobody
-    /// could be asked.
+    /// Exit code 0: all joined members agree; 1: members disagree, or a present member did not answer; 2: no
+    /// member could be reached.
     Status {
-        /// A fleet file, or the address of a member
+        /// Fleet file or address of a member
         member: String,
         #[arg(long)]
         json: bool,
     },
-    /// Tells what changes, until it is interrupted.
+    /// Prints changes of member states until interrupted
     ///
-    /// Exit code 0; 2: nobody could be asked at first.
+    /// Exit code 0; 2: no member could be reached at the start.
     Watch {
-        /// A fleet file, or the address of a member
+        /// Fleet file or address of a member
         member: String,
         #[arg(long)]
         json: bool,
-        /// Ends after so many seconds
+        /// Ends after this time, in seconds
         #[arg(long, value_name = "SECONDS")]
         r#for: Option<f64>,
     },
-    /// Has a member tell the others that it goes; it serves on.
+    /// Makes a member leave the fleet; it continues to serve requests
     ///
-    /// Exit code 0: it does; 2: it could not be asked.
+    /// Exit code 0: accepted; 2: refused, or the member could not be reached.
     Leave {
-        /// Its fleet file or address
+        /// Fleet file or address of the member
         member: String,
     },
-    /// Takes a member out until it is let in again
+    /// Removes a member from the fleet until it is let in again
     ShutOut {
-        /// A fleet file or address of any other member
+        /// Fleet file or address of any other member
         by: String,
-        /// Who is taken out
+        /// Name of the member to shut out
         name: String,
-        /// Told to it and to whoever asks
+        /// Reason, sent to the member and shown in the status
         #[arg(long)]
         why: String,
     },
-    /// Who owns each duty and since when, as a majority of the voters has it.
+    /// Shows the owner of each duty, as confirmed by a majority of the voters
     ///
-    /// Exit code 0: a majority was reached; 1: unknown; 2: nobody could be asked.
+    /// Exit code 0: confirmed by a majority; 1: unknown; 2: refused, or no member could be reached.
     Owners {
-        /// A fleet file, or the address of a member
+        /// Fleet file or address of a member
         member: String,
         #[arg(long)]
         json: bool,
     },
-    /// Has the owner of a duty give it up to another member.
+    /// Transfers a duty from its owner to another member
     ///
-    /// Exit code 0: done; 1: unknown, ask again by the same --id; 2: no, or nobody could be asked.
+    /// Exit code 0: done; 1: outcome unknown, retry with the same --id; 2: refused, or no member could be
+    /// reached.
     HandOver {
-        /// A fleet file or address of any member
+        /// Fleet file or address of any member
         by: String,
         duty: String,
         to: String,
-        /// Nothing happens twice by one id; missing: a new one
+        /// Idempotency key of the command; a new one by default
         #[arg(long)]
         id: Option<u64>,
     },
-    /// Takes a duty from its owner, whether it can be reached or not. Exit codes as hand-over.
+    /// Revokes a duty from its owner, which need not be reachable. Exit codes as hand-over
     Depose {
-        /// A fleet file or address of any member
+        /// Fleet file or address of any member
         by: String,
         duty: String,
         #[arg(long)]
         id: Option<u64>,
     },
-    /// Those who keep the record of owners
+    /// Shows or replaces the voters, which store the owners of duties
     Voters {
         #[command(subcommand)]
         command: VotersCommand,
     },
-    /// Lets a member in again
+    /// Allows a member that was shut out to join again
     LetIn {
-        /// A fleet file or address of any other member
+        /// Fleet file or address of any other member
         by: String,
         name: String,
     },
@@ -93,16 +94,16 @@
 
 #[derive(Subcommand)]
 pub(super) enum VotersCommand {
-    /// Who they are, and what each says of itself. Exit codes as owners
+    /// Lists the voters, with the state that each reports of itself. Exit codes as owners
     Show {
-        /// A fleet file, or the address of a member
+        /// Fleet file or address of a member
         member: String,
         #[arg(long)]
         json: bool,
     },
-    /// Puts a member in the place of a voter; the fleet goes on meanwhile. Exit codes as hand-over
+    /// Replaces a voter by another member without interrupting the fleet. Exit codes as hand-over
     Replace {
-        /// A fleet file or address of any member
+        /// Fleet file or address of any member
         by: String,
         old: String,
         new: String,
--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -1,5 +1,5 @@
-//! `lynxstair fleet owners`, `hand-over`, `depose` and `voters`: who owns what, as a majority has it. What no
-//! majority says is `unknown`.
+//! `lynxstair fleet owners`, `hand-over`, `depose` and `voters`: owners of duties as confirmed by a majority of
+//! the voters. Without a majority the owners are `unknown`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -12,25 +12,29 @@
 use lynxstair_leases::{DutyView, VoterView};
 use serde::Serialize;
 
-use crate::ask::{addresses, ask};
+use crate::ask::{addresses, send_request};
 
-/// A member is asked again for so long, as it asks the voters for five seconds itself.
-const WAITS: Duration = Duration::from_millis(7_000);
-const TURN: Duration = Duration::from_millis(20);
+/// Time for which a pending request is repeated. Longer than the 5 s for which the member retries it at the
+/// voters.
+const PENDING_TIMEOUT: Duration = Duration::from_millis(7_000);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// All that was found out.
+/// Owners and voters as reported by one member.
 #[derive(Serialize)]
-struct Shown {
-    /// None: no majority was reached.
+struct OwnersReport {
+    /// `None` if no majority of the voters was reached.
     duties: Option<Vec<DutyStatus>>,
     voters: Option<Vec<VoterStatus>>,
     leader: Option<String>,
-    /// Why it is unknown.
-    unknown: Option<String>,
-    /// Who was asked.
-    by: SocketAddrV4,
-    /// What the member that was asked last heard of each duty; true some time ago.
-    heard: Vec<DutyView>,
+    /// Reason if no majority was reached.
+    #[serde(rename = "unknown")]
+    unknown_reason: Option<String>,
+    /// Address of the queried member.
+    #[serde(rename = "by")]
+    queried_addr: SocketAddrV4,
+    /// View of each duty by the queried member; may be outdated.
+    #[serde(rename = "heard")]
+    local_duties: Vec<DutyView>,
 }
 
 fn new_id() -> u64 {
@@ -38,153 +42,171 @@
     now ^ u64::from(std::process::id()) << 48
 }
 
-/// Asks until it is known, or known to be unknown. The first member that can be asked is asked.
-fn settled(member: &str, what: &Request) -> Result<(SocketAddrV4, Response)> {
-    let mut last = None;
+/// Sends the request to the first reachable member, and repeats it while the response is pending.
+fn request_until_settled(member: &str, request: &Request) -> Result<(SocketAddrV4, Response)> {
+    let mut last_error = None;
     for addr in addresses(member)? {
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
-            match ask(addr, what) {
-                Ok(Response::Pending) if began.elapsed() < WAITS => thread::sleep(TURN),
+            match send_request(addr, request) {
+                Ok(Response::Pending) if start.elapsed() < PENDING_TIMEOUT => thread::sleep(RETRY_DELAY),
                 Ok(Response::Pending) => {
                     return Ok((addr, Response::Unknown { reason: "no answer in time".to_string() }));
                 }
                 Ok(answer) => return Ok((addr, answer)),
                 Err(e) => {
-                    last = Some(e.context(addr.to_string()));
+                    last_error = Some(e.context(addr.to_string()));
                     break;
                 }
             }
         }
     }
-    Err(last.unwrap_or_else(|| anyhow::anyhow!("nobody to ask")))
+    Err(last_error.unwrap_or_else(|| anyhow::anyhow!("no address to query")))
 }
 
-/// An operator's command, by an id.
-pub fn operate(member: &str, id: Option<u64>, what: impl Fn(u64) -> Request) -> Result<u8> {
+/// Runs an operator's command. `id` is its idempotency key; `None` draws a new one.
+pub fn run_command(member: &str, id: Option<u64>, command: impl Fn(u64) -> Request) -> Result<u8> {
     let id = id.unwrap_or_else(new_id);
-    match settled(member, &what(id))? {
+    match request_until_settled(member, &command(id))? {
         (_, Response::Done) => Ok(0),
-        (addr, Response::Refused { reason: why }) => bail!("{addr}: {why}"),
-        (addr, Response::Unknown { reason: why }) => {
-            eprintln!("lynxstair: {addr}: unknown whether it is done: {why}; ask again with --id {id}");
+        (addr, Response::Refused { reason }) => bail!("{addr}: {reason}"),
+        (addr, Response::Unknown { reason }) => {
+            eprintln!("lynxstair: {addr}: outcome unknown: {reason}; retry with --id {id}");
             Ok(1)
         }
-        (addr, _) => bail!("{addr}: an answer to something else"),
+        (addr, _) => bail!("{addr}: unexpected response type"),
     }
 }
 
-fn found(member: &str) -> Result<Shown> {
-    let (by, answer) = settled(member, &Request::Owners { id: new_id() })?;
-    let heard = match ask(by, &Request::LocalRoles) {
+fn query_owners(member: &str) -> Result<OwnersReport> {
+    let (queried_addr, response) = request_until_settled(member, &Request::Owners { id: new_id() })?;
+    let local_duties = match send_request(queried_addr, &Request::LocalRoles) {
         Ok(Response::LocalRoles { duties, .. }) => duties,
         _ => Vec::new(),
     };
-    let shown = Shown { duties: None, voters: None, leader: None, unknown: None, by, heard };
-    match answer {
+    let report = OwnersReport {
+        duties: None,
+        voters: None,
+        leader: None,
+        unknown_reason: None,
+        queried_addr,
+        local_duties,
+    };
+    match response {
         Response::Owners { duties, voters, leader } => {
-            Ok(Shown { duties: Some(duties), voters: Some(voters), leader: Some(leader), ..shown })
+            Ok(OwnersReport { duties: Some(duties), voters: Some(voters), leader: Some(leader), ..report })
         }
-        Response::Unknown { reason: why } => Ok(Shown { unknown: Some(why), ..shown }),
-        Response::Refused { reason: why } => bail!("{by}: {why}"),
-        _ => bail!("{by}: an answer to something else"),
+        Response::Unknown { reason } => Ok(OwnersReport { unknown_reason: Some(reason), ..report }),
+        Response::Refused { reason } => bail!("{queried_addr}: {reason}"),
+        _ => bail!("{queried_addr}: unexpected response type"),
     }
 }
 
-fn ago(unix_ms: u64) -> String {
+fn format_age(unix_ms: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
     format!("{:.1} s", now.saturating_sub(unix_ms) as f64 / 1e3)
 }
 
-pub fn show(member: &str, json: bool) -> Result<u8> {
-    let shown = found(member)?;
+pub fn print_owners(member: &str, json: bool) -> Result<u8> {
+    let report = query_owners(member)?;
     if json {
-        println!("{}", serde_json::to_string(&shown)?);
-        return Ok(u8::from(shown.unknown.is_some()));
+        println!("{}", serde_json::to_string(&report)?);
+        return Ok(u8::from(report.unknown_reason.is_some()));
     }
     let mut table = Table::new();
     table.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     table.set_header(["duty", "owner", "epoch", "since (by the clock of)", "asked member heard"]);
-    let mut names: Vec<String> = shown.heard.iter().map(|h| h.duty.clone()).collect();
-    names.extend(shown.duties.iter().flatten().map(|d| d.duty.clone()));
+    let mut names: Vec<String> = report.local_duties.iter().map(|d| d.duty.clone()).collect();
+    names.extend(report.duties.iter().flatten().map(|d| d.duty.clone()));
     names.sort();
     names.dedup();
     for name in names {
-        let held = shown.duties.iter().flatten().find(|d| d.duty == name);
-        let heard = shown.heard.iter().find(|h| h.duty == name).map_or("nothing".to_string(), |h| {
-            let who = h.owner.as_deref().unwrap_or("nobody");
+        let confirmed = report.duties.iter().flatten().find(|d| d.duty == name);
+        let local = report.local_duties.iter().find(|h| h.duty == name).map_or("nothing".to_string(), |h| {
+            let owner = h.owner.as_deref().unwrap_or("nobody");
             match h.last_received_ms_ago {
-                Some(ms) => format!("{who} in epoch {}, {:.1} s ago", h.epoch.0, ms as f64 / 1e3),
+                Some(ms) => format!("{owner} in epoch {}, {:.1} s ago", h.epoch.0, ms as f64 / 1e3),
                 None => "nothing".to_string(),
             }
         });
-        let cells = match (held, &shown.unknown) {
+        let cells = match (confirmed, &report.unknown_reason) {
             (Some(h), _) => [
                 name,
                 h.owner.clone().unwrap_or_else(|| "nobody".to_string()),
                 h.epoch.0.to_string(),
-                format!("{} ({})", ago(h.since_unix_ms), h.granted_by),
-                heard,
+                format!("{} ({})", format_age(h.since_unix_ms), h.granted_by),
+                local,
             ],
-            (None, None) => [name, "nobody yet".to_string(), "0".to_string(), String::new(), heard],
-            (None, Some(_)) => [name, "unknown".to_string(), "unknown".to_string(), String::new(), heard],
+            (None, None) => [name, "nobody yet".to_string(), "0".to_string(), String::new(), local],
+            (None, Some(_)) => [name, "unknown".to_string(), "unknown".to_string(), String::new(), local],
         };
         table.add_row(cells);
     }
-    match (&shown.unknown, &shown.leader) {
-        (Some(why), _) => println!("{table}\nunknown: no majority of the voters was reached ({why})"),
+    match (&report.unknown_reason, &report.leader) {
+        (Some(reason), _) => println!("{table}\nunknown: no majority of the voters was reached ({reason})"),
         (None, leader) => {
-            println!("{table}\nas a majority has it, told by {}", leader.as_deref().unwrap_or(""))
+            println!("{table}\nconfirmed by a majority, leader {}", leader.as_deref().unwrap_or(""))
         }
     }
-    Ok(u8::from(shown.unknown.is_some()))
+    Ok(u8::from(report.unknown_reason.is_some()))
 }
 
-/// What each voter says of itself, where it could be asked.
-pub fn voters(member: &str, json: bool) -> Result<u8> {
-    let shown = found(member)?;
-    let mut says: BTreeMap<String, Result<(VoterView, Option<String>), String>> = BTreeMap::new();
-    for voter in shown.voters.iter().flatten() {
-        let answer = match ask(voter.addr, &Request::LocalRoles) {
-            Ok(Response::LocalRoles { voter, disk_error: disk, .. }) => Ok((voter, disk)),
-            Ok(_) => Err("an answer to something else".to_string()),
+/// Prints the voters, each with the state that it reports of itself if it can be reached.
+pub fn print_voters(member: &str, json: bool) -> Result<u8> {
+    let report = query_owners(member)?;
+    let mut self_reports: BTreeMap<String, Result<(VoterView, Option<String>), String>> = BTreeMap::new();
+    for voter in report.voters.iter().flatten() {
+        let answer = match send_request(voter.addr, &Request::LocalRoles) {
+            Ok(Response::LocalRoles { voter, disk_error, .. }) => Ok((voter, disk_error)),
+            Ok(_) => Err("unexpected response type".to_string()),
             Err(e) => Err(format!("{e:#}")),
         };
-        says.insert(voter.name.clone(), answer);
+        self_reports.insert(voter.name.clone(), answer);
     }
     if json {
         #[derive(Serialize)]
-        struct Said<'a> {
+        struct VotersReport<'a> {
             voters: &'a Option<Vec<VoterStatus>>,
             leader: &'a Option<String>,
-            unknown: &'a Option<String>,
-            says: BTreeMap<&'a str, Option<&'a VoterView>>,
+            #[serde(rename = "unknown")]
+            unknown_reason: &'a Option<String>,
+            #[serde(rename = "says")]
+            self_reports: BTreeMap<&'a str, Option<&'a VoterView>>,
         }
-        let says = says.iter().map(|(n, s)| (n.as_str(), s.as_ref().ok().map(|(v, _)| v))).collect();
-        let (voters, leader, unknown) = (&shown.voters, &shown.leader, &shown.unknown);
-        println!("{}", serde_json::to_string(&Said { voters, leader, unknown, says })?);
-        return Ok(u8::from(shown.unknown.is_some()));
+        let self_reports =
+            self_reports.iter().map(|(n, s)| (n.as_str(), s.as_ref().ok().map(|(v, _)| v))).collect();
+        let (voters, leader, unknown_reason) = (&report.voters, &report.leader, &report.unknown_reason);
+        println!(
+            "{}",
+            serde_json::to_string(&VotersReport { voters, leader, unknown_reason, self_reports })?
+        );
+        return Ok(u8::from(report.unknown_reason.is_some()));
     }
     let mut table = Table::new();
     table.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     table.set_header(["voter", "address", "identity", "says of itself"]);
-    for voter in shown.voters.iter().flatten() {
-        let said = match &says[&voter.name] {
+    for voter in report.voters.iter().flatten() {
+        let self_report = match &self_reports[&voter.name] {
             Ok((view, _)) if view.id.0 != voter.id => {
-                format!("{:?}, as another identity: {}", view.phase, view.reason)
+                format!("{:?} with another identity: {}", view.phase, view.reason)
             }
-            Ok((view, disk)) => {
-                let leads = if shown.leader.as_ref() == Some(&voter.name) { ", leads" } else { "" };
-                let disk = disk.as_ref().map_or(String::new(), |d| format!("; {d}"));
-                format!("{:?} in term {}{leads}{disk}", view.phase, view.term)
+            Ok((view, disk_error)) => {
+                let leads = if report.leader.as_ref() == Some(&voter.name) { ", leads" } else { "" };
+                let disk_error = disk_error.as_ref().map_or(String::new(), |e| format!("; {e}"));
+                format!("{:?} in term {}{leads}{disk_error}", view.phase, view.term)
             }
-            Err(why) => format!("unknown ({why})"),
+            Err(reason) => format!("unknown ({reason})"),
         };
-        table.add_row([voter.name.clone(), voter.addr.to_string(), format!("{:016x}", voter.id), said]);
+        table.add_row([
+            voter.name.clone(),
+            voter.addr.to_string(),
+            format!("{:016x}", voter.id),
+            self_report,
+        ]);
     }
-    match &shown.unknown {
-        Some(why) => println!("{table}\nunknown: no majority of the voters was reached ({why})"),
+    match &report.unknown_reason {
+        Some(reason) => println!("{table}\nunknown: no majority of the voters was reached ({reason})"),
         None => println!("{table}"),
     }
-    Ok(u8::from(shown.unknown.is_some()))
+    Ok(u8::from(report.unknown_reason.is_some()))
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -21,7 +21,7 @@
     until("they see each other", || hand.status(0).0 == 0);
     let (code, out) = hand.status(2);
     assert_eq!(code, 0, "{out}");
-    assert!(out.contains("3 of 3 members answered; all that are in see the same"), "{out}");
+    assert!(out.contains("3 of 3 members answered; all joined members agree"), "{out}");
     // By the file as by the address.
     let (code, out, _) = run(&["fleet", "status", &hand.fleet_file(1).display().to_string(), "--json"]);
     assert_eq!(code, 0, "{out}");
@@ -35,7 +35,7 @@
     // As long as it is not yet seen as failed, since when nobody can say; a slow machine may be past that.
     let (code, out) = hand.status(0);
     let past = out.contains("failed for");
-    assert!(past || code == 1 && out.contains("unknown, since when: unknown (not reached"), "{out}");
+    assert!(past || code == 1 && out.contains("unknown, duration unknown (request failed"), "{out}");
     // One finds out before the other: only once both have, all that are in see the same.
     until("its death is seen by both", || {
         let (code, out) = hand.status(0);
@@ -49,7 +49,7 @@
     (0..3).for_each(|n| hand.kill(n));
     let (code, out) = hand.status(0);
     assert_eq!(code, 2, "{out}");
-    assert!(out.contains("nobody could be asked"), "{out}");
+    assert!(out.contains("no member could be reached"), "{out}");
 }
 
 /// The files of the README's example can be used.
@@ -75,7 +75,7 @@
     until("it says that it does not know", || hand.status(0).1.contains("unknown for"));
     let (code, out) = hand.status(0);
     assert_eq!(code, 1, "{out}");
-    assert!(out.contains("doubts itself for"), "{out}");
+    assert!(out.contains("degraded for"), "{out}");
     hand.signal(1, Signal::SIGCONT);
     hand.signal(2, Signal::SIGCONT);
     until("all is well again", || hand.status(0).0 == 0);
