--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -1,4 +1,4 @@
-//! `lynxstair experiment`: the tables and plots of the results page, on the virtual clock.
+//! `lynxstair experiment`: simulations on a virtual clock, reported as Markdown tables and SVG plots.
 
 use std::path::{Path, PathBuf};
 
@@ -21,33 +21,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How soon deaths are known, how often living ones are declared dead, what it costs in bytes.
+    /// Measures failure detection times, false detections and traffic of the membership protocol
     ///
-    /// Prints tables in Markdown, and writes plots. All cores, some minutes; --quick: some seconds.
+    /// Prints tables in Markdown and writes plots. Uses all cores for some minutes, with --quick for some
+    /// seconds.
     Membership {
         #[arg(long)]
         quick: bool,
-        /// Where plots go
+        /// Directory for the plots
         #[arg(long, value_name = "DIR", default_value = "docs/plots")]
         out: PathBuf,
     },
-    /// Stories of the system's core, each judged by what its callers saw.
+    /// Simulates fault scenarios of controllers, proxies and workers, and checks what their clients observed
     ///
-    /// Prints a table in Markdown, and what each broken scenario would need to be looked at; ends with 1 where one broke.
+    /// Prints a table in Markdown, then the violations and event logs of up to three failed runs of each
+    /// scenario. Exit code 1 if a run failed.
     Core {
-        /// How many scenarios in all, shared by the kinds
+        /// Total number of runs, divided among the scenarios
         #[arg(long, default_value_t = 1_000)]
         seeds: u64,
-        /// The first seed of each kind
+        /// First seed of each scenario
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Only scenarios of this name
+        /// Runs only the scenario of this name
         #[arg(long)]
         scenario: Option<String>,
     },
-    /// How long a duty has no owner after what; and what owners and voters send at rest.
+    /// Measures how long a duty has no owner after a fault, and the idle traffic of owners and voters
     ///
-    /// Prints tables in Markdown. --quick: fewer runs.
+    /// Prints tables in Markdown. Fewer runs with --quick.
     Ownership {
         #[arg(long)]
         quick: bool,
@@ -58,66 +60,66 @@
     let (quick, out) = match args.command {
         Command::Membership { quick, out } => (quick, out),
         Command::Ownership { quick } => {
-            ownership(quick);
+            report_ownership(quick);
             return Ok(0);
         }
-        Command::Core { seeds, from, scenario } => return core(seeds, from, scenario.as_deref()),
+        Command::Core { seeds, from, scenario } => return report_core(seeds, from, scenario.as_deref()),
     };
     std::fs::create_dir_all(&out).with_context(|| out.display().to_string())?;
-    detection(quick, &out)?;
-    loss(quick)?;
-    wrong(quick, &out)?;
-    cost(quick, &out)?;
-    one_link(quick);
+    report_detection_times(quick, &out)?;
+    report_detection_under_loss(quick)?;
+    report_false_detections(quick, &out)?;
+    report_traffic(quick, &out)?;
+    report_single_link(quick);
     Ok(0)
 }
 
-/// So many broken scenarios of a kind are told in full.
-const TOLD: usize = 3;
+/// Number of failed runs of each scenario whose event logs are printed.
+const MAX_EVENT_LOGS: usize = 3;
 
-fn core(seeds: u64, from: u64, only: Option<&str>) -> Result<u8> {
-    let stories: Vec<Scenario> =
+fn report_core(seeds: u64, from: u64, only: Option<&str>) -> Result<u8> {
+    let scenarios: Vec<Scenario> =
         Scenario::ALL.into_iter().filter(|s| only.is_none_or(|name| s.name() == name)).collect();
-    if stories.is_empty() {
-        return Err(anyhow!("no story has this name: {}", only.unwrap_or_default()));
+    if scenarios.is_empty() {
+        return Err(anyhow!("unknown scenario: {}", only.unwrap_or_default()));
     }
-    let each = seeds.div_ceil(stories.len() as u64);
+    let runs = seeds.div_ceil(scenarios.len() as u64);
     println!("| story | seeds | broken | changes acknowledged | orders and reads sent | hours there |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    let mut told = Vec::new();
-    for scenario in stories {
-        let all: Vec<(u64, SimulationResult)> =
-            (from..from + each).into_par_iter().map(|seed| (seed, simulate(scenario, seed, None))).collect();
-        let sum = |of: fn(&SimulationResult) -> f64| all.iter().map(|(_, v)| of(v)).sum::<f64>();
-        let broken: Vec<_> = all.iter().filter(|(_, v)| !v.violations.is_empty()).collect();
+    let mut event_logs = Vec::new();
+    for scenario in scenarios {
+        let results: Vec<(u64, SimulationResult)> =
+            (from..from + runs).into_par_iter().map(|seed| (seed, simulate(scenario, seed, None))).collect();
+        let sum = |value: fn(&SimulationResult) -> f64| results.iter().map(|(_, r)| value(r)).sum::<f64>();
+        let failed: Vec<_> = results.iter().filter(|(_, r)| !r.violations.is_empty()).collect();
         println!(
-            "| {} | {each} | {} | {:.0} | {:.0} | {:.1} |",
+            "| {} | {runs} | {} | {:.0} | {:.0} | {:.1} |",
             scenario.name(),
-            broken.len(),
-            sum(|v| v.acknowledged as f64),
-            sum(|v| v.call_count as f64),
-            sum(|v| v.duration.secs() / 3_600.0)
+            failed.len(),
+            sum(|r| r.acknowledged as f64),
+            sum(|r| r.call_count as f64),
+            sum(|r| r.duration.secs() / 3_600.0)
         );
-        for (seed, verdict) in broken.into_iter().take(TOLD) {
-            told.push(format!(
+        for (seed, result) in failed.into_iter().take(MAX_EVENT_LOGS) {
+            event_logs.push(format!(
                 "\n{} {seed}: {:#?}\n{}",
                 scenario.name(),
-                verdict.violations,
-                verdict.event_log.join("\n")
+                result.violations,
+                result.event_log.join("\n")
             ));
         }
     }
-    told.iter().for_each(|t| println!("{t}"));
-    Ok(u8::from(!told.is_empty()))
+    event_logs.iter().for_each(|log| println!("{log}"));
+    Ok(u8::from(!event_logs.is_empty()))
 }
 
-fn ownership(quick: bool) {
+fn report_ownership(quick: bool) {
     let seeds = if quick { 40 } else { 1_000 };
     println!(
         "\n| members | what happens to the owner | runs | median | 99 of 100 | worst | none within 20 s |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let kinds = [
+    let causes = [
         (TakeoverCause::Kill, "killed"),
         (TakeoverCause::KillLeader, "killed, and it leads the voters"),
         (TakeoverCause::Pause, "paused"),
@@ -125,16 +127,16 @@
         (TakeoverCause::HandOver, "told to hand over"),
     ];
     for members in [5, 40] {
-        for (takes, what) in kinds {
-            let all: Vec<Option<f64>> =
-                (1..=seeds).into_par_iter().map(|s| takeover_time(members, takes, s)).collect();
-            let mut took: Vec<f64> = all.iter().flatten().copied().collect();
-            took.sort_by(f64::total_cmp);
-            let [median, most, worst] = [0.5, 0.99, 1.0].map(|share| quantile(&took, share));
-            let never = all.len() - took.len();
+        for (cause, label) in causes {
+            let results: Vec<Option<f64>> =
+                (1..=seeds).into_par_iter().map(|s| takeover_time(members, cause, s)).collect();
+            let mut times_s: Vec<f64> = results.iter().flatten().copied().collect();
+            times_s.sort_by(f64::total_cmp);
+            let [median, p99, worst] = [0.5, 0.99, 1.0].map(|share| quantile(&times_s, share));
+            let timed_out = results.len() - times_s.len();
             println!(
-                "| {members} | {what} | {} | {median:.2} s | {most:.2} s | {worst:.2} s | {never} |",
-                all.len()
+                "| {members} | {label} | {} | {median:.2} s | {p99:.2} s | {worst:.2} s | {timed_out} |",
+                results.len()
             );
         }
     }
@@ -144,92 +146,101 @@
     }
 }
 
-/// The value below which this share lies.
+/// Returns the smallest value that at least this share of the values doesn't exceed; NaN without values.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let at = (sorted.len() as f64 * share).ceil() as usize;
-    sorted.get(at.saturating_sub(1)).copied().unwrap_or(f64::NAN)
+    let rank = (sorted.len() as f64 * share).ceil() as usize;
+    sorted.get(rank.saturating_sub(1)).copied().unwrap_or(f64::NAN)
 }
 
-struct Times {
-    many: usize,
-    first: f64,
-    median: f64,
-    most: f64,
-    worst: f64,
+/// Statistics of failure detection times, in seconds.
+struct DetectionStats {
+    failure_count: usize,
+    /// Median time until the first member detected the failure.
+    first_median_s: f64,
+    /// Median time until all members detected the failure.
+    median_s: f64,
+    /// 99th percentile of the time until all members detected the failure.
+    p99_s: f64,
+    /// Longest time until all members detected the failure.
+    worst_s: f64,
 }
 
-fn times(members: usize, kills: usize, seeds: u64, lost: f64) -> Times {
-    let all: Vec<_> = (1..=seeds)
+fn detection_stats(members: usize, kills: usize, seeds: u64, loss_share: f64) -> DetectionStats {
+    let detections: Vec<_> = (1..=seeds)
         .into_par_iter()
-        .flat_map_iter(|s| failure_detection_times(members, kills, lost, s))
+        .flat_map_iter(|s| failure_detection_times(members, kills, loss_share, s))
         .collect();
-    let sorted = |of: fn(&lynxstair_emulator::experiment::DetectionTimes) -> f64| {
-        let mut all: Vec<f64> = all.iter().map(of).collect();
-        all.sort_by(f64::total_cmp);
-        all
+    let sorted = |value: fn(&lynxstair_emulator::experiment::DetectionTimes) -> f64| {
+        let mut values: Vec<f64> = detections.iter().map(value).collect();
+        values.sort_by(f64::total_cmp);
+        values
     };
-    let (first, known) = (sorted(|d| d.first_s), sorted(|d| d.all_s));
-    Times {
-        many: all.len(),
-        first: quantile(&first, 0.5),
-        median: quantile(&known, 0.5),
-        most: quantile(&known, 0.99),
-        worst: known.last().copied().unwrap_or(f64::NAN),
+    let (first, all) = (sorted(|d| d.first_s), sorted(|d| d.all_s));
+    DetectionStats {
+        failure_count: detections.len(),
+        first_median_s: quantile(&first, 0.5),
+        median_s: quantile(&all, 0.5),
+        p99_s: quantile(&all, 0.99),
+        worst_s: all.last().copied().unwrap_or(f64::NAN),
     }
 }
 
-const HEAD: &str = "deaths | first to know, median | known to all, median | 99 of 100 | worst |";
+const DETECTION_COLUMNS: &str = "deaths | first to know, median | known to all, median | 99 of 100 | worst |";
 
-fn row(name: &str, t: &Times) {
+fn print_detection_row(label: &str, stats: &DetectionStats) {
     println!(
-        "| {name} | {} | {:.2} s | {:.2} s | {:.2} s | {:.2} s |",
-        t.many, t.first, t.median, t.most, t.worst
+        "| {label} | {} | {:.2} s | {:.2} s | {:.2} s | {:.2} s |",
+        stats.failure_count, stats.first_median_s, stats.median_s, stats.p99_s, stats.worst_s
     );
 }
 
-fn detection(quick: bool, out: &Path) -> Result<()> {
-    // Sizes, deaths in a run, runs.
+fn report_detection_times(quick: bool, out: &Path) -> Result<()> {
+    // Members, kills in each run, runs.
     let sizes: &[(usize, usize, u64)] = if quick {
         &[(10, 4, 12), (100, 4, 6)]
     } else {
         &[(10, 4, 120), (100, 20, 12), (1_000, 10, 6), (3_000, 1, 3)]
     };
-    println!("\n| members | {HEAD}\n| --- | --- | --- | --- | --- | --- |");
+    println!("\n| members | {DETECTION_COLUMNS}\n| --- | --- | --- | --- | --- | --- |");
     let mut points = Vec::new();
     for &(members, kills, seeds) in sizes {
-        let t = times(members, kills, seeds, 0.0);
-        row(&members.to_string(), &t);
-        points.push((members as f64, t.median, t.most));
+        let stats = detection_stats(members, kills, seeds, 0.0);
+        print_detection_row(&members.to_string(), &stats);
+        points.push((members as f64, stats.median_s, stats.p99_s));
     }
-    let line = |of: fn(&(f64, f64, f64)) -> f64| points.iter().map(|p| (p.0, of(p))).collect::<Vec<_>>();
-    plot(
+    let line =
+        |value: fn(&(f64, f64, f64)) -> f64| points.iter().map(|p| (p.0, value(p))).collect::<Vec<_>>();
+    plot_lines(
         &out.join("membership-detection.svg"),
-        "Time until a death is known to all (emulated)",
+        "Time until all members detect a failure (simulated)",
         ("members", "seconds"),
         &[("median", line(|p| p.1)), ("99 of 100", line(|p| p.2))],
     )
 }
 
-fn loss(quick: bool) -> Result<()> {
+fn report_detection_under_loss(quick: bool) -> Result<()> {
     let (kills, seeds) = if quick { (4, 6) } else { (20, 12) };
-    println!("\n| lost, 100 members | {HEAD}\n| --- | --- | --- | --- | --- | --- |");
-    for lost in [0.0, 0.05, 0.2, 0.4] {
-        row(&format!("{}%", (lost * 100.0) as u32), &times(100, kills, seeds, lost));
+    println!("\n| lost, 100 members | {DETECTION_COLUMNS}\n| --- | --- | --- | --- | --- | --- |");
+    for loss_share in [0.0, 0.05, 0.2, 0.4] {
+        print_detection_row(
+            &format!("{}%", (loss_share * 100.0) as u32),
+            &detection_stats(100, kills, seeds, loss_share),
+        );
     }
     Ok(())
 }
 
-/// Mean and half the width of its 95% interval.
-fn mean(of: &[f64]) -> (f64, f64) {
-    let n = of.len() as f64;
-    let mean = of.iter().sum::<f64>() / n;
-    let variance = of.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
+/// Returns the mean and half the width of its 95% confidence interval.
+fn mean_with_interval(values: &[f64]) -> (f64, f64) {
+    let n = values.len() as f64;
+    let mean = values.iter().sum::<f64>() / n;
+    let variance = values.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
     (mean, 1.96 * (variance / n).sqrt())
 }
 
-fn wrong(quick: bool, out: &Path) -> Result<()> {
+fn report_false_detections(quick: bool, out: &Path) -> Result<()> {
     let (members, minutes, seeds) = if quick { (20, 1, 4) } else { (40, 5, 8) };
-    let weathers = [
+    let patterns = [
         ("nothing lost", FaultPattern::Loss(0.0)),
         ("5% lost", FaultPattern::Loss(0.05)),
         ("20% lost", FaultPattern::Loss(0.2)),
@@ -238,74 +249,75 @@
         ("2% of links cut one way", FaultPattern::OneWayCuts(0.02)),
         ("10% of links cut one way", FaultPattern::OneWayCuts(0.1)),
     ];
-    let cases: Vec<_> = (0..weathers.len()).flat_map(|w| (1..=seeds).map(move |s| (w, s))).collect();
-    let rate = |(dead, hours): (usize, f64)| dead as f64 / hours * 1_000.0;
-    let found: Vec<_> = cases
+    let cases: Vec<_> = (0..patterns.len()).flat_map(|p| (1..=seeds).map(move |s| (p, s))).collect();
+    let rate = |(detections, hours): (usize, f64)| detections as f64 / hours * 1_000.0;
+    let rates: Vec<_> = cases
         .par_iter()
-        .map(|&(w, s)| {
-            let at = |care| rate(false_failure_detections(members, weathers[w].1, care, minutes, s));
-            (w, at(Safeguards::Enabled), at(Safeguards::Disabled))
+        .map(|&(p, s)| {
+            let rate_with =
+                |safeguards| rate(false_failure_detections(members, patterns[p].1, safeguards, minutes, s));
+            (p, rate_with(Safeguards::Enabled), rate_with(Safeguards::Disabled))
         })
         .collect();
     let hours = members as f64 * minutes as f64 / 60.0 * seeds as f64;
     println!(
-        "\nDeclared deaths of living members in 1,000 member-hours; {members} members, {hours:.0} member-hours each,"
+        "\nFalse failure detections in 1,000 member-hours; {members} members, {hours:.0} member-hours each,"
     );
-    println!("means with 95% intervals, the difference of pairs of one seed.\n");
+    println!("means with 95% confidence intervals; differences are of runs with the same seed.\n");
     println!("| | with | without | difference |\n| --- | --- | --- | --- |");
     let (mut with, mut without) = (Vec::new(), Vec::new());
-    for (w, (name, _)) in weathers.iter().enumerate() {
-        let of = |take: fn(&(usize, f64, f64)) -> f64| {
-            mean(&found.iter().filter(|f| f.0 == w).map(take).collect::<Vec<_>>())
+    for (p, (name, _)) in patterns.iter().enumerate() {
+        let mean_of = |value: fn(&(usize, f64, f64)) -> f64| {
+            mean_with_interval(&rates.iter().filter(|r| r.0 == p).map(value).collect::<Vec<_>>())
         };
-        let (a, b, d) = (of(|f| f.1), of(|f| f.2), of(|f| f.2 - f.1));
+        let (a, b, d) = (mean_of(|r| r.1), mean_of(|r| r.2), mean_of(|r| r.2 - r.1));
         println!("| {name} | {:.0} ± {:.0} | {:.0} ± {:.0} | {:.0} ± {:.0} |", a.0, a.1, b.0, b.1, d.0, d.1);
-        with.push((w as f64, a.0 + 1.0));
-        without.push((w as f64, b.0 + 1.0));
+        with.push((p as f64, a.0 + 1.0));
+        without.push((p as f64, b.0 + 1.0));
     }
-    bars(&out.join("membership-wrong.svg"), &weathers.map(|(n, _)| n), &with, &without)
+    plot_bars(&out.join("membership-wrong.svg"), &patterns.map(|(n, _)| n), &with, &without)
 }
 
-fn cost(quick: bool, out: &Path) -> Result<()> {
+fn report_traffic(quick: bool, out: &Path) -> Result<()> {
     let sizes: &[usize] = if quick { &[10, 100] } else { &[10, 30, 100, 300, 1_000, 3_000] };
-    let found: Vec<_> = sizes.par_iter().map(|n| (*n, traffic(*n, 1))).collect();
+    let results: Vec<_> = sizes.par_iter().map(|n| (*n, traffic(*n, 1))).collect();
     println!(
         "\n| members | bytes a second a member | datagrams a second a member | largest datagram while some die |"
     );
     println!("| --- | --- | --- | --- |");
-    for (members, (bytes, datagrams, largest)) in &found {
+    for (members, (bytes, datagrams, largest)) in &results {
         println!("| {members} | {bytes:.0} | {datagrams:.1} | {largest} bytes |");
     }
-    let line = found.iter().map(|(n, t)| (*n as f64, t.0)).collect();
-    plot(
+    let line = results.iter().map(|(n, t)| (*n as f64, t.0)).collect();
+    plot_lines(
         &out.join("membership-bytes.svg"),
-        "Bytes a second a member, at rest (emulated)",
-        ("members", "bytes a second"),
+        "Bytes per second and member of an idle fleet (simulated)",
+        ("members", "bytes per second"),
         &[("sent", line)],
     )
 }
 
-fn one_link(quick: bool) {
+fn report_single_link(quick: bool) {
     let (sizes, seeds): (&[usize], u64) = if quick { (&[6, 10], 20) } else { (&[6, 8, 10, 20, 40], 200) };
     println!("\n| heard by one only, of | declared failed | declared others failed |\n| --- | --- | --- |");
     for &members in sizes {
-        let found: Vec<_> =
+        let results: Vec<_> =
             (1..=seeds).into_par_iter().map(|s| failures_with_single_link(members, s)).collect();
-        let of_it = found.iter().filter(|f| f.0).count();
-        let by_it = found.iter().filter(|f| f.1).count();
-        println!("| {members} | {of_it} of {seeds} runs | {by_it} of {seeds} runs |");
+        let declared_failed = results.iter().filter(|r| r.0).count();
+        let declared_others = results.iter().filter(|r| r.1).count();
+        println!("| {members} | {declared_failed} of {seeds} runs | {declared_others} of {seeds} runs |");
     }
 }
 
 type Lines<'a> = [(&'a str, Vec<(f64, f64)>)];
 
-fn drawn<E: std::error::Error>(file: &Path) -> impl Fn(E) -> anyhow::Error + '_ {
+fn plot_error<E: std::error::Error>(file: &Path) -> impl Fn(E) -> anyhow::Error + '_ {
     move |e| anyhow!("{}: {e}", file.display())
 }
 
-/// Lines over a number of members.
-fn plot(file: &Path, title: &str, (x, y): (&str, &str), lines: &Lines<'_>) -> Result<()> {
-    let e = || drawn(file);
+/// Plots lines over the number of members, on a logarithmic axis.
+fn plot_lines(file: &Path, title: &str, (x, y): (&str, &str), lines: &Lines<'_>) -> Result<()> {
+    let e = || plot_error(file);
     let points = || lines.iter().flat_map(|(_, p)| p.iter());
     let (low, high) = points().fold((f64::MAX, 1.0f64), |(l, h), p| (l.min(p.0), h.max(p.0)));
     let top = points().fold(0.0f64, |t, p| t.max(p.1)) * 1.15;
@@ -337,21 +349,23 @@
     root.present().map_err(e())
 }
 
-/// With and without, side by side, on a logarithmic scale from one.
-fn bars(file: &Path, names: &[&str], with: &[(f64, f64)], without: &[(f64, f64)]) -> Result<()> {
-    let e = || drawn(file);
+/// Plots rates with and without the safeguards side by side, on a logarithmic axis from 1.
+fn plot_bars(file: &Path, names: &[&str], with: &[(f64, f64)], without: &[(f64, f64)]) -> Result<()> {
+    let e = || plot_error(file);
     let top = with.iter().chain(without).fold(10.0f64, |t, p| t.max(p.1)) * 2.0;
     let root = SVGBackend::new(file, (860, 420)).into_drawing_area();
     root.fill(&WHITE).map_err(e())?;
     let label = |x: &f64| {
-        let near = (x - x.round()).abs() < 0.01;
-        names.get(x.round() as usize).filter(|_| near && *x >= 0.0).copied().unwrap_or_default().to_string()
+        let is_integer = (x - x.round()).abs() < 0.01;
+        names
+            .get(x.round() as usize)
+            .filter(|_| is_integer && *x >= 0.0)
+            .copied()
+            .unwrap_or_default()
+            .to_string()
     };
     let mut chart = ChartBuilder::on(&root)
-        .caption(
-            "Living members declared failed, in 1,000 member-hours (emulated; one added)",
-            ("sans-serif", 18),
-        )
+        .caption("False failure detections in 1,000 member-hours, plus one (simulated)", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(56)
@@ -366,7 +380,7 @@
         .draw()
         .map_err(e())?;
     for (n, (name, points)) in
-        [("with own lateness and links", with), ("without", without)].iter().enumerate()
+        [("with local health and relays", with), ("without", without)].iter().enumerate()
     {
         let color = Palette99::pick(n).to_rgba();
         let left = n as f64 * 0.35 - 0.35;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The `lynxstair` command. `lynxstair fleet` asks the members of a fleet; `lynxstair trial` plays trials;
-//! `lynxstair experiment` measures on the virtual clock.
+//! The `lynxstair` command: queries and operates a fleet of gatekeepers, and runs fault-injection trials,
+//! soak tests and simulations.
 #![forbid(unsafe_code)]
 
 mod ask;
@@ -23,25 +23,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Who is there, as each member sees it
+    /// Shows and changes the members, duty owners and voters of a fleet
     Fleet(fleet::Args),
-    /// Several processes with faults between them
+    /// Runs fault-injection trials with several gatekeepers
     Trial(trial::Args),
-    /// The system's own programs under signals, restarts and changes that overlap
+    /// Runs controllers and proxies under overlapping signals, restarts and configuration changes
     Soak(soak::Args),
-    /// The project's own code on a virtual clock, at sizes that sockets don't reach
+    /// Runs simulations on a virtual clock and prints their results
     Experiment(experiment::Args),
 }
 
-/// What the exit codes mean: 0 all is well, 1 something is not, 2 it could not be found out.
+/// Exit codes: 0 if the check or command succeeded, 1 if a check failed or the outcome is unknown, 2 on an
+/// error.
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Fleet(args) => fleet::run(args),
         Command::Trial(args) => trial::run(args),
         Command::Soak(args) => soak::run(&args),
         Command::Experiment(args) => experiment::run(args),
     };
-    match done {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(e) => {
             eprintln!("lynxstair: {e:#}");
--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -1,5 +1,5 @@
-//! `lynxstair fleet owners`, `hand-over`, `depose` and `voters`: owners of duties as confirmed by a majority of
-//! the voters. Without a majority the owners are `unknown`.
+//! `lynxstair fleet owners`, `hand-over`, `depose` and `voters`: owners of duties as confirmed by a majority
+//! of the voters. Without a majority the owners are `unknown`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,4 +1,4 @@
-//! `lynxstair soak`: the system's own programs under signals, restarts and changes that overlap.
+//! `lynxstair soak`: controllers and proxies under overlapping signals, restarts and configuration changes.
 
 use std::path::PathBuf;
 
@@ -9,50 +9,50 @@
 use lynxstair_fault_injection::soak::{SoakPlan, SoakReport, SoakShape, SoakStage, run as play};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Starts controllers and proxies with clients, workers and an operator; signals, kills, pauses, restarts and changes come in
-/// series that overlap.
+/// Runs controllers and proxies with clients, workers and an operator, under overlapping series of signals,
+/// kills, pauses, restarts and configuration changes
 ///
-/// Exit code 0: all that must hold held; 1: something broke; 2: the machine failed it.
+/// Exit code 0: no rule was broken; 1: a rule was broken; 2: the soak could not be run.
 #[derive(clap::Args)]
 pub struct Args {
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after another
+    /// Number of consecutive seeds, run one after another
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long each takes, in seconds, without its start and end
+    /// Duration of each run in seconds, without start-up and shutdown
     #[arg(long, default_value_t = 25.0)]
     seconds: f64,
-    /// Proxies
+    /// Number of proxies
     #[arg(long, default_value_t = 6)]
     proxies: usize,
-    /// Clients
+    /// Number of clients
     #[arg(long, default_value_t = 24)]
     clients: usize,
-    /// Workers at a time
+    /// Number of concurrent workers
     #[arg(long, default_value_t = 4)]
     workers: usize,
-    /// `grace-s` of the settings
+    /// Value of the setting `grace-s`
     #[arg(long, default_value_t = 6.0)]
     grace: f64,
-    /// Leaves logs and data here, in a folder for each seed that broke something
+    /// Keeps logs and data of each failed seed in a subdirectory of DIR
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
-    /// The folder of the system's programs; else the one of this program
+    /// Directory of lynxstair-proxy and lynxstair-controller; by default the directory of this program
     #[arg(long, value_name = "DIR")]
     programs: Option<PathBuf>,
 }
 
 pub fn run(args: &Args) -> Result<u8> {
-    let own = std::env::current_exe()?;
-    let programs = match (&args.programs, own.parent()) {
+    let current_exe = std::env::current_exe()?;
+    let programs = match (&args.programs, current_exe.parent()) {
         (Some(programs), _) => programs.clone(),
-        (None, Some(folder)) => folder.to_path_buf(),
-        (None, None) => bail!("{}: in no folder", own.display()),
+        (None, Some(directory)) => directory.to_path_buf(),
+        (None, None) => bail!("{}: path has no directory", current_exe.display()),
     };
     if !programs.join("lynxstair-proxy").exists() {
-        bail!("{}: no lynxstair-proxy there; build it, or name its folder by --programs", programs.display());
+        bail!("{}: no lynxstair-proxy in this directory; build it, or set --programs", programs.display());
     }
     let shape = SoakShape {
         seconds: args.seconds,
@@ -63,7 +63,7 @@
     };
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM, SIGHUP] {
-        signal_hook::flag::register(signal, stop.clone()).context("signals")?;
+        signal_hook::flag::register(signal, stop.clone()).context("cannot register signal handler")?;
     }
     let stage = SoakStage { programs: &programs, keep: args.keep.as_deref(), stop: &stop };
     let mut code = 0;
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! `lynxstair trial`: plays trial files and says what broke.
+//! `lynxstair trial`: runs trial files and prints the rules that were broken.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -10,54 +10,53 @@
 use lynxstair_membership::DisabledParts;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Parts that can be taken out, to see that trials miss them.
+/// Parts that can be disabled, to check that trials detect their absence.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Part {
     Suspicion,
     Lateness,
     Incarnation,
     Relays,
-    /// A voter that lost its records votes on under its old identity
+    /// A voter that lost its records continues to vote under its old identity
     Identity,
-    /// Voters answer before it is on disk
+    /// Voters answer before their records are on disk
     Disk,
     Epochs,
     Leases,
-    /// Effects of an earlier epoch are taken where they land
+    /// Receivers accept effects of earlier epochs
     Refusal,
 }
 
-/// Starts several gatekeepers with links between them, plays the faults, stops everything, judges the
-/// histories.
+/// Starts several gatekeepers, injects faults into their processes and links, and checks the recorded
+/// histories
 ///
-/// Exit code 0: all that must hold held; 1: something broke; 2: a file can't be played, or the machine failed
-/// it.
+/// Exit code 0: no rule was broken; 1: a rule was broken; 2: a file is invalid, or a trial could not be run.
 #[derive(clap::Args)]
 pub struct Args {
-    /// Trial files, played one after another
+    /// Trial files, run one after another
     files: Vec<PathBuf>,
-    /// Takes the place of the seed in the file
+    /// Overrides the seed in the file
     #[arg(long)]
     seed: Option<u64>,
-    /// Verdicts as JSON, one a line
+    /// Prints verdicts as JSON, one per line
     #[arg(long)]
     json: bool,
-    /// Leaves histories, logs and records here, in a folder for each trial
+    /// Keeps histories, logs and records of each trial in a subdirectory of DIR
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
-    /// Lists what must always hold
+    /// Lists the rules that trials check
     #[arg(long)]
     rules: bool,
-    /// Plays so many trials with faults drawn at random, and prints a file for each that broke
+    /// Runs N trials with random faults, and prints a minimal trial file for each that broke a rule
     #[arg(long, value_name = "N", requires = "base")]
     hunt: Option<u64>,
-    /// What a hunt's trials are like besides their faults
+    /// Trial file with all settings of the random trials except their faults
     #[arg(long, value_name = "FILE")]
     base: Option<PathBuf>,
-    /// The gatekeeper's program; else the one beside this
+    /// Gatekeeper program; by default lynxstair-gatekeeper in the directory of this program
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Takes a part out, to show that a trial would miss it
+    /// Disables a part, to check that a trial detects its absence
     #[arg(long, value_name = "PART")]
     without: Vec<Part>,
 }
@@ -74,7 +73,7 @@
         None => std::env::current_exe()?.with_file_name("lynxstair-gatekeeper"),
     };
     if !program.exists() {
-        bail!("{}: no such program; build it, or name it by --program", program.display());
+        bail!("{}: program not found; build it, or set --program", program.display());
     }
     let (mut broken, mut broken_ownership) =
         (DisabledParts::default(), lynxstair_leases::DisabledParts::default());
@@ -93,34 +92,34 @@
     }
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM, SIGHUP] {
-        signal_hook::flag::register(signal, stop.clone()).context("signals")?;
+        signal_hook::flag::register(signal, stop.clone()).context("cannot register signal handler")?;
     }
     if let Some(keep) = &args.keep {
         std::fs::create_dir_all(keep).with_context(|| keep.display().to_string())?;
     }
     let stage =
         Stage { program: &program, keep: args.keep.as_deref(), broken, broken_ownership, stop: &stop };
-    if let (Some(many), Some(base)) = (args.hunt, &args.base) {
-        return hunt(&args, many, base, &stage);
+    if let (Some(trial_count), Some(base)) = (args.hunt, &args.base) {
+        return hunt(&args, trial_count, base, &stage);
     }
     if args.files.is_empty() {
-        bail!("no trial file is named");
+        bail!("no trial file given");
     }
-    // All are read before the first is played.
+    // An invalid file is rejected before the first trial starts.
     let trials = args.files.iter().map(|f| Trial::read(f, args.seed)).collect::<Result<Vec<_>, _>>()?;
     let mut code = 0;
     for trial in &trials {
         if stop.load(Ordering::SeqCst) {
-            bail!("told to stop");
+            bail!("interrupted by a signal");
         }
         let verdict = play(trial, &stage).with_context(|| trial.name.clone())?;
-        tell(&verdict, args.json)?;
+        print_verdict(&verdict, args.json)?;
         code |= u8::from(!verdict.kept);
     }
     Ok(code)
 }
 
-/// The first rule that broke decides the last line.
+/// Returns the last line of the output, which names the first broken rule.
 fn last_line(verdict: &Verdict) -> String {
     match verdict.breaks.first() {
         None => format!("trial kept {}", verdict.name),
@@ -128,7 +127,7 @@
     }
 }
 
-fn tell(verdict: &Verdict, json: bool) -> Result<()> {
+fn print_verdict(verdict: &Verdict, json: bool) -> Result<()> {
     if json {
         println!("{}", serde_json::to_string(verdict)?);
     } else {
@@ -139,37 +138,37 @@
         let i = &verdict.invocations;
         if i.sent > 0 {
             println!(
-                "invocations: {} sent, {} succeeded, {} throttled, {} errored, {} without an answer",
+                "invocations: {} sent, {} succeeded, {} throttled, {} errored, {} unanswered",
                 i.sent, i.succeeded, i.throttled, i.errored, i.unanswered
             );
         }
         if let Some(e) = &verdict.effects {
             println!(
-                "effects at the sink: {} taken, {} there already, {} late ones refused",
+                "effects at the sink: {} accepted, {} duplicates, {} of earlier epochs refused",
                 e.taken, e.again, e.refused
             );
         }
         for d in &verdict.detections {
             println!(
-                "{} was killed: seen failed after {:.2} s by the first, {:.2} s by the last",
+                "{} was killed: detected after {:.2} s by the first gatekeeper, {:.2} s by the last",
                 d.who, d.first, d.last
             );
         }
         if let Some(after) = verdict.agreed_after {
-            println!("all agreed {after:.2} s after the last fault");
+            println!("all gatekeepers agreed {after:.2} s after the last fault ended");
         }
         if let Some(cpu) = verdict.cpu {
-            println!("CPU of a gatekeeper: {:.2}% of a core", cpu * 100.0);
+            println!("CPU use per gatekeeper: {:.2}% of a core", cpu * 100.0);
         }
     }
     println!("{}", last_line(verdict));
     Ok(())
 }
 
-fn hunt(args: &Args, many: u64, base: &Path, stage: &Stage<'_>) -> Result<u8> {
+fn hunt(args: &Args, trial_count: u64, base: &Path, stage: &Stage<'_>) -> Result<u8> {
     let base = Trial::read(base, args.seed)?;
     let mut code = 0;
-    for n in 0..many {
+    for n in 0..trial_count {
         let trial = drawn(&base, base.seed.wrapping_add(n));
         let verdict = play(&trial, stage).with_context(|| trial.name.clone())?;
         if verdict.kept {
@@ -177,15 +176,16 @@
             continue;
         }
         code = 1;
-        tell(&verdict, args.json)?;
+        print_verdict(&verdict, args.json)?;
         let rule = verdict.breaks[0].rule;
-        let least = shortened(&trial, |t| Ok::<_, lynxstair_fault_injection::Failed>(!play(t, stage)?.kept))
-            .with_context(|| trial.name.clone())?;
-        println!("# broke {rule}; {} of {} faults are needed", least.faults.len(), trial.faults.len());
-        println!("{}", least.to_toml());
+        let minimal =
+            shortened(&trial, |t| Ok::<_, lynxstair_fault_injection::Failed>(!play(t, stage)?.kept))
+                .with_context(|| trial.name.clone())?;
+        println!("# broke {rule}; reduced to {} of {} faults", minimal.faults.len(), trial.faults.len());
+        println!("{}", minimal.to_toml());
         if let Some(keep) = &args.keep {
             let file = keep.join(format!("hunt-{}.toml", trial.seed));
-            std::fs::write(&file, least.to_toml()).with_context(|| file.display().to_string())?;
+            std::fs::write(&file, minimal.to_toml()).with_context(|| file.display().to_string())?;
         }
     }
     Ok(code)
