--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The two programs, and a few gatekeepers of a fleet started by hand.
+//! Runs the `lynxstair` command, and starts gatekeepers of a small fleet as processes.
 #![allow(dead_code)]
 
 use std::fs;
@@ -18,92 +18,105 @@
     Command::new(env!("CARGO_BIN_EXE_lynxstair"))
 }
 
-/// Built with the workspace; it lies beside the command.
-pub fn gatekeeper() -> PathBuf {
-    let beside = Path::new(env!("CARGO_BIN_EXE_lynxstair")).with_file_name("lynxstair-gatekeeper");
-    assert!(beside.exists(), "{}: run the tests with --workspace", beside.display());
-    beside
+/// Returns the gatekeeper program, which a build of the workspace places in the directory of the command.
+pub fn gatekeeper_program() -> PathBuf {
+    let program = Path::new(env!("CARGO_BIN_EXE_lynxstair")).with_file_name("lynxstair-gatekeeper");
+    assert!(program.exists(), "{}: run the tests with --workspace", program.display());
+    program
 }
 
+/// Runs the command. Returns its exit code, standard output and standard error.
 pub fn run(args: &[&str]) -> (i32, String, String) {
     let Output { status, stdout, stderr } = lynxstair().args(args).output().expect("runs");
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
     (status.code().unwrap_or(-1), text(stdout), text(stderr))
 }
 
-pub fn until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !is_so() {
-        assert!(began.elapsed() < Duration::from_secs(20), "not in time: {what}");
+/// Waits until the condition holds. Panics after 20 s.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < Duration::from_secs(20), "time-out while waiting until {description}");
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Some gatekeepers of one fleet, g1 and so on.
-pub struct Hand {
+/// Gatekeepers of one fleet, named g1, g2 and so on.
+pub struct TestFleet {
     pub folder: TempDir,
     pub children: Vec<Option<Child>>,
-    net: String,
-    /// Added to each fleet file.
-    more: String,
-    /// What the gatekeepers serve with; none: nobody is there.
-    load: Option<(String, std::net::SocketAddr, std::net::SocketAddr)>,
+    network_prefix: String,
+    /// Further settings in each fleet file.
+    extra_settings: String,
+    /// Worker list, counter address and discovery address; `None` if the gatekeepers have no back ends.
+    backends: Option<(String, std::net::SocketAddr, std::net::SocketAddr)>,
 }
 
-impl Hand {
-    pub fn start(many: usize) -> Hand {
-        Hand::start_with(many, false, |_| String::new(), None)
+impl TestFleet {
+    pub fn start(count: usize) -> TestFleet {
+        TestFleet::start_with(count, false, |_| String::new(), None)
     }
 
-    /// The first three are voters, where `voters`; `more` is added to each fleet file.
-    pub fn start_with(many: usize, voters: bool, more: impl Fn(&str) -> String, load: Option<&Load>) -> Hand {
+    /// Starts the gatekeepers and waits until they serve. With `has_voters` the first three are voters.
+    pub fn start_with(
+        count: usize,
+        has_voters: bool,
+        extra_settings: impl Fn(&str) -> String,
+        load: Option<&Load>,
+    ) -> TestFleet {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let next = NEXT.fetch_add(1, Ordering::SeqCst);
-        // Addresses of its own: no other test, and no trial, is there.
-        let net = format!("127.{}.{}", 16 + next, std::process::id() % 250 + 1);
+        // Addresses that no other test and no trial uses.
+        let network_prefix = format!("127.{}.{}", 16 + next, std::process::id() % 250 + 1);
         let folder = tempfile::tempdir().expect("a folder");
-        let load = load.map(|l| (l.worker_list(), l.counter.addr, l.discovery.addr));
-        let mut hand =
-            Hand { folder, children: (0..many).map(|_| None).collect(), net, more: String::new(), load };
-        if voters {
-            let voter = |v: usize| format!("{{ name = \"g{}\", addr = \"{}\" }}", v + 1, hand.member(v));
+        let backends = load.map(|l| (l.worker_list(), l.counter.addr, l.discovery.addr));
+        let mut fleet = TestFleet {
+            folder,
+            children: (0..count).map(|_| None).collect(),
+            network_prefix,
+            extra_settings: String::new(),
+            backends,
+        };
+        if has_voters {
+            let voter =
+                |v: usize| format!("{{ name = \"g{}\", addr = \"{}\" }}", v + 1, fleet.member_addr(v));
             let all: Vec<_> = (0..3).map(voter).collect();
-            hand.more = format!("voters = [{}]\n", all.join(", "));
+            fleet.extra_settings = format!("voters = [{}]\n", all.join(", "));
         }
-        hand.more += &more(&hand.net);
-        (0..many).for_each(|n| hand.start_one(n));
-        hand
+        fleet.extra_settings += &extra_settings(&fleet.network_prefix);
+        (0..count).for_each(|n| fleet.start_gatekeeper(n));
+        fleet
     }
 
-    pub fn member(&self, n: usize) -> SocketAddrV4 {
-        format!("{}.{}:7100", self.net, n + 1).parse().expect("an address")
+    pub fn member_addr(&self, n: usize) -> SocketAddrV4 {
+        format!("{}.{}:7100", self.network_prefix, n + 1).parse().expect("an address")
     }
 
-    pub fn serving(&self, n: usize) -> SocketAddrV4 {
-        format!("{}.{}:8443", self.net, n + 1).parse().expect("an address")
+    pub fn serving_addr(&self, n: usize) -> SocketAddrV4 {
+        format!("{}.{}:8443", self.network_prefix, n + 1).parse().expect("an address")
     }
 
     pub fn fleet_file(&self, n: usize) -> PathBuf {
         self.folder.path().join(format!("g{}.toml", n + 1))
     }
 
-    pub fn start_one(&mut self, n: usize) {
+    pub fn start_gatekeeper(&mut self, n: usize) {
         let name = format!("g{}", n + 1);
-        let nobody = unused_address();
-        let known = r#"{"revision":1,"complete":true,"members":[]}"#;
-        let (known, counter, discovery) =
-            self.load.as_ref().map_or((known, nobody, nobody), |(k, c, d)| (k.as_str(), *c, *d));
-        let config = named_gatekeeper_config(&name, self.serving(n).into(), known, counter, discovery);
+        let unused = unused_address();
+        let workers = r#"{"revision":1,"complete":true,"members":[]}"#;
+        let (workers, counter, discovery) =
+            self.backends.as_ref().map_or((workers, unused, unused), |(w, c, d)| (w.as_str(), *c, *d));
+        let config = named_gatekeeper_config(&name, self.serving_addr(n).into(), workers, counter, discovery);
         let fleet = format!(
             "fleet = \"hand\"\nname = \"{name}\"\nhall = \"h1\"\nbind = \"{}\"\nseeds = [\"{}\"]\ndata = \"{name}\"\n{}",
-            self.member(n),
-            self.member(0),
-            self.more
+            self.member_addr(n),
+            self.member_addr(0),
+            self.extra_settings
         );
         let config_file = self.folder.path().join(format!("{name}.json"));
         fs::write(&config_file, config).expect("written");
         fs::write(self.fleet_file(n), fleet).expect("written");
-        let child = Command::new(gatekeeper())
+        let child = Command::new(gatekeeper_program())
             .arg("--fleet")
             .arg(self.fleet_file(n))
             .env("RELAY_CONFIG", config_file)
@@ -113,8 +126,8 @@
             .spawn()
             .expect("starts");
         self.children[n] = Some(child);
-        let addr = self.serving(n);
-        until("it serves", || {
+        let addr = self.serving_addr(n);
+        wait_until("the gatekeeper serves", || {
             TcpStream::connect(addr)
                 .is_ok_and(|s| exchange(&s, "GET /up HTTP/1.1\r\n\r\n").is_some_and(|m| m.status() == 200))
         });
@@ -136,12 +149,12 @@
     }
 
     pub fn status(&self, n: usize) -> (i32, String) {
-        let (code, out, err) = run(&["fleet", "status", &self.member(n).to_string()]);
+        let (code, out, err) = run(&["fleet", "status", &self.member_addr(n).to_string()]);
         (code, out + &err)
     }
 }
 
-impl Drop for Hand {
+impl Drop for TestFleet {
     fn drop(&mut self) {
         (0..self.children.len()).for_each(|n| self.kill(n));
     }
