--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -9,7 +9,7 @@
 
 /// Sends a request and waits for the response.
 pub fn send_request(addr: SocketAddrV4, request: &Request) -> Result<Response> {
-    lynxstair_cluster::request(addr, request).context("request failed")
+    lynxstair_cluster::request(addr, request).context("no valid response")
 }
 
 /// Returns the given address, or the control address and the seeds of the given fleet file.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -251,7 +251,7 @@
     for member in members.values_mut().filter(|m| m.self_report.is_none()) {
         let error = answers.get(&member.addr).and_then(|a| a.as_ref().err());
         let reason =
-            error.map_or_else(|| "not queried: failed, left or shut out".to_string(), |e| format!("{e:#}"));
+            error.map_or_else(|| "not queried: no longer in the fleet".to_string(), |e| format!("{e:#}"));
         let absent = member.observations.iter().filter(|(state, _)| !state.is_present());
         let absent_ms = absent.flat_map(|(_, observations)| observations).map(|o| o.for_ms).max();
         member.unreachable = Some(Unreachable { reason, absent_ms });
--- a/crates/cli/src/owners.rs
+++ b/crates/cli/src/owners.rs
@@ -122,19 +122,19 @@
     names.dedup();
     for name in names {
         let confirmed = report.duties.iter().flatten().find(|d| d.duty == name);
-        let local = report.local_duties.iter().find(|h| h.duty == name).map_or("nothing".to_string(), |h| {
-            let owner = h.owner.as_deref().unwrap_or("nobody");
-            match h.last_received_ms_ago {
-                Some(ms) => format!("{owner} in epoch {}, {:.1} s ago", h.epoch.0, ms as f64 / 1e3),
+        let local = report.local_duties.iter().find(|d| d.duty == name).map_or("nothing".to_string(), |d| {
+            let owner = d.owner.as_deref().unwrap_or("nobody");
+            match d.last_received_ms_ago {
+                Some(ms) => format!("{owner} in epoch {}, {:.1} s ago", d.epoch.0, ms as f64 / 1e3),
                 None => "nothing".to_string(),
             }
         });
         let cells = match (confirmed, &report.unknown_reason) {
-            (Some(h), _) => [
+            (Some(d), _) => [
                 name,
-                h.owner.clone().unwrap_or_else(|| "nobody".to_string()),
-                h.epoch.0.to_string(),
-                format!("{} ({})", format_age(h.since_unix_ms), h.granted_by),
+                d.owner.clone().unwrap_or_else(|| "nobody".to_string()),
+                d.epoch.0.to_string(),
+                format!("{} ({})", format_age(d.since_unix_ms), d.granted_by),
                 local,
             ],
             (None, None) => [name, "nobody yet".to_string(), "0".to_string(), String::new(), local],
