--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -21,7 +21,7 @@
 const DRAIN_GRACE_NS: u64 = 1_000_000_000;
 /// Suspicions of one member by one peer that are allowed in an interval with only link cuts.
 const MAX_SUSPICIONS: usize = 2;
-/// Least share of requests that must succeed at an undisturbed gatekeeper.
+/// Least share of the undisturbed requests to a gatekeeper that must succeed.
 const MIN_SUCCESS_SHARE: f64 = 0.8;
 
 /// An invariant that every trial must satisfy.
@@ -74,11 +74,11 @@
     },
     Rule {
         name: "seen-failed",
-        requirement: "all other gatekeepers declare each member under must.seen_failed failed at some time",
+        requirement: "members under must.seen_failed are declared failed by all others not killed or stopped",
     },
     Rule {
         name: "epoch-has-one-owner",
-        requirement: "an epoch of a duty is granted to one owner, and no other gatekeeper acts in it",
+        requirement: "an epoch of a duty is granted to one owner, and no other gatekeeper owns it then",
     },
     Rule {
         name: "epochs-forward",
@@ -124,7 +124,7 @@
 pub struct Violation {
     /// Name of the violated rule.
     pub rule: &'static str,
-    /// Time of the violation, in seconds since all gatekeepers served.
+    /// Time of the violation, in seconds since the trial began.
     #[serde(rename = "at")]
     pub at_s: f64,
     /// Names of the gatekeepers involved.
@@ -149,11 +149,11 @@
     /// Violations, ordered by time.
     #[serde(rename = "breaks")]
     pub violations: Vec<Violation>,
-    /// Seconds from the end of the last fault until all running gatekeepers agreed for good. `None` if the
-    /// gatekeepers never joined.
+    /// Seconds from the end of the last fault until all running gatekeepers agreed for good, or until the end
+    /// of the trial if they disagree then. `None` if the gatekeepers did not join.
     #[serde(rename = "agreed_after")]
     pub agreed_after_s: Option<f64>,
-    /// Detection times of killed gatekeepers. A kill that no other gatekeeper detected has no entry.
+    /// Detection times of killed gatekeepers. A kill that was not detected has no entry.
     pub detections: Vec<Detection>,
     /// Counts of client requests and worker deliveries.
     #[serde(rename = "invocations")]
@@ -161,12 +161,12 @@
     /// Counts of export batches at the sink, or `None` if the trial has no sink.
     #[serde(rename = "effects")]
     pub batches: Option<BatchCounts>,
-    /// Mean CPU use of the gatekeepers that ran without interruption, in cores.
+    /// Mean CPU use of the gatekeepers that no fault killed or stopped, in cores.
     #[serde(rename = "cpu")]
     pub cpu_cores: Option<f64>,
 }
 
-/// Time until the other gatekeepers declared a killed gatekeeper failed.
+/// Time until the other gatekeepers, except killed or stopped ones, declared a killed gatekeeper failed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Detection {
     /// Name of the killed gatekeeper.
@@ -225,15 +225,17 @@
     /// `true` if it was killed or stopped while its disk was full: usage records held only in memory are
     /// lost.
     pub usage_lost: bool,
-    /// Intervals in which faults acted on the process itself.
+    /// Intervals in which a fault kept the process from running, each with the time to catch up.
     pub disturbed_ns: Vec<(u64, u64)>,
     /// Times at which it was killed.
     pub kill_times_ns: Vec<u64>,
     /// Time and reason of the first unexpected exit.
     pub unexpected_exit: Option<(u64, String)>,
-    /// Members that its status listed as present at the end, or `None` if it did not answer.
+    /// Members that its status listed as present at the end, or `None` if it was not running or did not
+    /// answer.
     pub visible_members: Option<BTreeSet<String>>,
-    /// Duties that it reported to own at the end, with the epoch, or `None` if it did not answer.
+    /// Duties that it reported to own at the end, with the epoch, or `None` if the trial has no voters or the
+    /// process did not run or answer.
     pub owned_duties: Option<BTreeMap<String, u64>>,
     /// Lines of its history file.
     pub history: Vec<String>,
@@ -251,7 +253,7 @@
 pub struct TrialTrace {
     /// The trial's name.
     pub name: String,
-    /// Time at which all gatekeepers had joined and the trial began.
+    /// Time at which the trial began: all gatekeepers had joined, or the join had timed out.
     pub start_ns: u64,
     /// End of the last fault.
     pub faults_end_ns: u64,
@@ -279,7 +281,7 @@
     pub cut_only_ns: Vec<(u64, u64)>,
     /// Reason why not all gatekeepers joined before the time-out.
     pub join_failure: Option<String>,
-    /// Mean CPU use of the gatekeepers that ran without interruption, in cores.
+    /// Mean CPU use of the gatekeepers that no fault killed or stopped, in cores.
     pub cpu_cores: Option<f64>,
 }
 
@@ -297,7 +299,7 @@
     }
 }
 
-fn is_gone(state: &str) -> bool {
+fn is_final(state: &str) -> bool {
     matches!(state, "failed" | "left" | "shut_out")
 }
 
@@ -487,7 +489,7 @@
                 );
                 self.report("incarnation-forward", line.mono_ns, &[observer, &other], what, evidence());
             }
-            if incarnation == previous && is_gone(&from) && (is_present(&to) || to == "joining") {
+            if incarnation == previous && is_final(&from) && (is_present(&to) || to == "joining") {
                 let what = format!(
                     "{observer} sees {other} change from {from} to {to} within incarnation {incarnation}"
                 );
--- a/crates/fault-injection/src/checker/agreement.rs
+++ b/crates/fault-injection/src/checker/agreement.rs
@@ -31,8 +31,8 @@
         changes
     }
 
-    /// Checks that all running processes see the same members. Returns the seconds from the last fault until
-    /// they agreed for good.
+    /// Checks that all running processes see the same members. Returns the seconds from the end of the last
+    /// fault until they agreed for good, or `None` if the gatekeepers did not join.
     pub(super) fn check_agreement(&mut self) -> Option<f64> {
         let trace = self.trace;
         if trace.join_failure.is_some() {
@@ -132,13 +132,14 @@
         let trace = self.trace;
         for index in 0..self.lines.len() {
             for (from, to) in &trace.cut_only_ns {
-                let mut times: BTreeMap<String, Vec<HistoryLine>> = BTreeMap::new();
+                let mut suspicions: BTreeMap<String, Vec<HistoryLine>> = BTreeMap::new();
                 for line in self.lines[index].iter().filter(|l| (*from..=*to).contains(&l.mono_ns)) {
                     if line.is_event("member") && line.text("to") == "suspected" {
-                        times.entry(line.text("name").to_string()).or_default().push(line.clone());
+                        suspicions.entry(line.text("name").to_string()).or_default().push(line.clone());
                     }
                 }
-                for (other, lines) in times.into_iter().filter(|(_, lines)| lines.len() > MAX_SUSPICIONS) {
+                for (other, lines) in suspicions.into_iter().filter(|(_, lines)| lines.len() > MAX_SUSPICIONS)
+                {
                     let observer = trace.processes[index].name.clone();
                     let what = format!(
                         "{observer} suspects {other} {} times in {:.1} s",
--- a/crates/fault-injection/src/checker/tests.rs
+++ b/crates/fault-injection/src/checker/tests.rs
@@ -29,7 +29,7 @@
     )
 }
 
-/// A batch with one unit of tenant 5 at g1.
+/// A batch with one unit of tenant 5 at g1. Batches after number 1 count as already stored.
 fn received_batch(epoch: u64, number: u64, at: u64) -> ReceivedBatch {
     let stream = StreamId { gatekeeper: "g1".to_string(), directory_id: 1 };
     let sums = vec![UsageSum { tenant: 5, operation: 0, window: 1, milli_units: 1_000 }];
@@ -49,9 +49,9 @@
     )
 }
 
-/// Observations of three gatekeepers that run and agree from second 1 to second 30; the faults end at second
-/// 10.
-fn correct_observations() -> TrialTrace {
+/// Trace of three gatekeepers that agree from second 2 until the trial ends at second 30; the faults end at
+/// second 10.
+fn correct_trace() -> TrialTrace {
     let names = ["g1", "g2", "g3"];
     let process = |own_name: &str| {
         let others: Vec<&str> = names.into_iter().filter(|n| *n != own_name).collect();
@@ -100,11 +100,11 @@
 
 type Mutation = fn(&mut TrialTrace);
 
-/// Correct observations pass. Each case violates exactly one rule, and only that rule is reported.
+/// A correct trace passes. Each case violates exactly one rule, and only that rule is reported.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one case for each rule")]
 fn each_rule_reports_its_violation() {
-    assert_eq!(violated_rules(&correct_observations()), Vec::<&str>::new());
+    assert_eq!(violated_rules(&correct_trace()), Vec::<&str>::new());
     let cases: [(&str, Mutation); 33] = [
         ("effects-in-order", |s| {
             s.outcomes = vec![answered(1, "get", Some(200))];
@@ -220,12 +220,12 @@
         }),
     ];
     for (n, (rule, mutate)) in cases.into_iter().enumerate() {
-        let mut trace = correct_observations();
+        let mut trace = correct_trace();
         mutate(&mut trace);
         assert_eq!(violated_rules(&trace), [rule], "case {n}: {:?}", check_trial(&trace).violations);
     }
     // Holding a running member failed violates two rules.
-    let mut trace = correct_observations();
+    let mut trace = correct_trace();
     trace.processes[0].history.push(member(6.0, 7, "g2", ("alive", 1), ("failed", 1)));
     trace.processes[0].visible_members = Some(BTreeSet::from(["g3".to_string()]));
     assert_eq!(violated_rules(&trace), ["not-failed-for-good", "all-agree"]);
@@ -234,7 +234,7 @@
 /// Effects of the faults themselves are not violations.
 #[test]
 fn direct_effects_of_faults_are_allowed() {
-    let mut trace = correct_observations();
+    let mut trace = correct_trace();
     // No answer while the gatekeeper was paused.
     trace.outcomes = vec![answered(1, "get", None)];
     trace.processes[0].disturbed_ns = vec![(4 * SECOND, 7 * SECOND)];
--- a/crates/fault-injection/src/file.rs
+++ b/crates/fault-injection/src/file.rs
@@ -1,6 +1,7 @@
 //! Trial files: the model of a trial, and its TOML format.
 //!
-//! A file is validated before any process starts. Errors name the file, line, key and the valid values.
+//! A file is validated before any process starts. Errors name the file, and the line, key and valid values if
+//! they apply.
 
 mod reader;
 mod writer;
@@ -60,7 +61,7 @@
     pub agree_within_s: f64,
     /// Gatekeepers that no other may declare failed.
     pub never_failed: Vec<usize>,
-    /// Gatekeepers that all others must declare failed at some time.
+    /// Gatekeepers that all others, except killed or stopped ones, must declare failed at some time.
     pub seen_failed: Vec<usize>,
 }
 
@@ -171,7 +172,7 @@
         kind
     }
 
-    /// Returns `true` if a target is the owner of a duty.
+    /// Returns `true` if a target or an end of a link is an owner placeholder.
     pub fn targets_owner(&self) -> bool {
         let links = match self {
             FaultKind::Cut { links }
--- a/crates/fault-injection/src/file/reader.rs
+++ b/crates/fault-injection/src/file/reader.rs
@@ -197,7 +197,8 @@
         Ok(Links(links))
     }
 
-    /// Returns the keys that a kind takes besides `at` and `kind`, or an error if the fault has another key.
+    /// Returns the keys that a kind takes besides `at` and `kind`, or an error if the kind is unknown or the
+    /// fault has another key.
     fn check_keys(&self, text: &FaultText, kind: &str) -> Result<&'static [&'static str], ConfigError> {
         let keys: &'static [&'static str] = match kind {
             "pause" | "disk_full" => &["lasts", "who"],
@@ -261,11 +262,11 @@
         let kind = text.kind.get_ref().as_str();
         let keys = self.check_keys(text, kind)?;
         let start = self.in_range("at", &text.at, 0.0, trial_duration_s)?;
-        let positive = |key: &str, value: &Option<Spanned<f64>>| {
+        let optional_seconds = |key: &str, value: &Option<Spanned<f64>>| {
             value.as_ref().map(|v| self.in_range(key, v, 0.0, MAX_SECONDS)).transpose()
         };
-        let duration_s = positive("lasts", &text.lasts)?;
-        let restart_after_s = positive("restart_after", &text.restart_after)?;
+        let duration_s = optional_seconds("lasts", &text.lasts)?;
+        let restart_after_s = optional_seconds("restart_after", &text.restart_after)?;
         let missing = |key: &str| self.invalid(at, key, format!("missing; {kind} requires it"));
         let share = || {
             let share = text.share.as_ref().ok_or_else(|| missing("share"))?;
@@ -281,7 +282,7 @@
             Ok((self.in_range("ms", ms, 0.0, 60_000.0)?, jitter.transpose()?.unwrap_or_default()))
         };
         let disk = self.parse_disk(text)?;
-        // All values are validated before targets are drawn, so that the draws depend only on the seed.
+        // Values are validated before targets are drawn.
         let (probability, period_s, delay) = match kind {
             "lose" | "double" | "reorder" => (share()?, 0.0, (0.0, 0.0)),
             "flap" => (0.0, period()?, (0.0, 0.0)),
@@ -317,7 +318,7 @@
     /// Reads a trial file. `seed` overrides the seed in the file.
     ///
     /// # Errors
-    /// Returns an error with file, line, key and the valid values if the file can't be read or is invalid.
+    /// Returns an error that names the file if it can't be read, and also the line and key if it is invalid.
     pub fn read(file: &Path, seed: Option<u64>) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file).map_err(|e| ConfigError::unreadable(file, &e))?;
         Trial::parse(file, &text, seed)
--- a/crates/fault-injection/src/ports.rs
+++ b/crates/fault-injection/src/ports.rs
@@ -24,7 +24,7 @@
             let at = pid.wrapping_mul(64).wrapping_add(n) % (200 * 250);
             let addresses =
                 TrialAddresses { second_octet: (20 + at / 250) as u8, third_octet: (at % 250 + 1) as u8 };
-            match addresses.is_free(gatekeepers) {
+            match addresses.check_free(gatekeepers) {
                 Ok(()) => return Ok(addresses),
                 Err(e) => last = Some(e),
             }
@@ -32,7 +32,7 @@
         Err(last.unwrap_or_else(|| std::io::Error::other("no free address")))
     }
 
-    fn is_free(self, gatekeepers: usize) -> std::io::Result<()> {
+    fn check_free(self, gatekeepers: usize) -> std::io::Result<()> {
         for n in 0..gatekeepers {
             for addr in [self.control_addr(n), self.relay_addr(n)] {
                 UdpSocket::bind(addr)?;
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relay between gatekeepers that injects link faults into datagrams and connections, per sender and
-//! receiver.
+//! Relay between gatekeepers that injects link faults, per sender and receiver. Connections are only affected
+//! by cuts, datagrams by all link faults.
 //!
 //! Each gatekeeper has a relay address at which all others reach it. The sender of a datagram is identified
 //! by its source address. A datagram is forwarded from the relay address of its sender, so that replies pass
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -54,7 +54,7 @@
 const BATCH_START_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest wait for a duty to have an owner before a fault is injected into the owner.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time-out for the usage of all answered requests to reach the sink.
+/// Time-out for the usage of the succeeded requests to reach the sink.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -279,8 +279,8 @@
         Ok(trace)
     }
 
-    /// Waits until all gatekeepers serve and see each other. Returns the reason if they do not before the
-    /// time-out.
+    /// Waits until all gatekeepers serve, have joined, see each other and, in a trial with voters, know the
+    /// owner of each duty. Returns the reason if they do not before the time-out.
     fn wait_for_join(&mut self) -> Result<Option<String>, TrialError> {
         let began = Instant::now();
         loop {
--- a/crates/fault-injection/src/run/faults.rs
+++ b/crates/fault-injection/src/run/faults.rs
@@ -53,7 +53,7 @@
         self.wait_until_offset(self.trial.duration_s)?;
         trace.faults_end_ns = faults_end_ns;
         trace.cpu_cores = self.mean_cpu_cores();
-        // Covers the agreement deadline and the hold time. All flaps have ended.
+        // Waits until the agreement has held after its deadline. No flap is active, so links need no updates.
         let agree = Duration::from_secs_f64(self.trial.expectations.agree_within_s);
         let since = Duration::from_nanos(monotonic_nanos() - faults_end_ns);
         let left = (agree + AGREEMENT_HOLD_TIME).saturating_sub(since);
@@ -101,7 +101,7 @@
     }
 
     /// Returns the interval since the last step, without the time to detect cuts, if link cuts were the only
-    /// active faults in it.
+    /// active faults in it and no process was disturbed.
     pub(super) fn cut_only_interval(&self, since: u64) -> Option<(u64, u64)> {
         let (from, to) = (since + CUT_DETECTION_NS, monotonic_nanos());
         let faults = || self.active_faults.iter().map(|f| &self.faults[*f].kind);
--- a/crates/fault-injection/src/run/finish.rs
+++ b/crates/fault-injection/src/run/finish.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 impl TrialRun<'_> {
-    /// Waits until the usage of all answered requests is at the sink, or a time-out expires. The checker
-    /// decides whether the usage is complete.
+    /// Waits until the usage of the succeeded requests is at the sink, or a time-out expires. Ignores
+    /// gatekeepers that may have lost usage. The checker decides if the usage is complete.
     pub(super) fn wait_for_export(&mut self) -> Result<(), TrialError> {
         let (Some(load), Some(sink)) = (&self.load, &self.sink) else { return Ok(()) };
-        let answered = load.traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
+        let outcomes = load.traffic.outcomes.lock().map(|a| a.clone()).unwrap_or_default();
         let retains_usage = |g: &GatekeeperProcess| {
             g.child.is_some() && g.trace.disk_lost_ns.is_empty() && !g.trace.usage_lost
         };
         let is_checked =
             |name: &str| self.gatekeepers.iter().any(|g| g.trace.name == name && retains_usage(g));
-        let answered_count =
-            answered.iter().filter(|a| a.status == Some(200) && is_checked(&a.gatekeeper)).count() as u64;
+        let succeeded_count =
+            outcomes.iter().filter(|a| a.status == Some(200) && is_checked(&a.gatekeeper)).count() as u64;
         let began = Instant::now();
         loop {
             let accepted = sink
@@ -25,7 +25,7 @@
                 .filter(|l| is_checked(&l.batch.stream.gatekeeper))
                 .map(|l| l.batch.milli_units())
                 .sum();
-            if accepted >= answered_count * 1_000 || began.elapsed() > EXPORT_TIMEOUT {
+            if accepted >= succeeded_count * 1_000 || began.elapsed() > EXPORT_TIMEOUT {
                 break;
             }
             thread::sleep(10 * POLL_INTERVAL);
@@ -33,7 +33,7 @@
         self.wait_until(Instant::now() + AGREEMENT_HOLD_TIME)
     }
 
-    /// Returns the mean CPU use of the gatekeepers that ran without interruption, in cores.
+    /// Returns the mean CPU use of the gatekeepers that no fault killed or stopped, in cores.
     pub(super) fn mean_cpu_cores(&self) -> Option<f64> {
         let seconds = self.began.elapsed().as_secs_f64();
         let uninterrupted = self.gatekeepers.iter().filter(|g| !g.trace.was_terminated);
@@ -61,7 +61,7 @@
                 }
             }
         }
-        // History lines written before the status queries reach the files.
+        // Lets history lines from before the status queries reach the files.
         thread::sleep(Duration::from_millis(150));
         for n in 0..self.gatekeepers.len() {
             self.signal(n, Signal::SIGTERM);
--- a/crates/fault-injection/src/run/processes.rs
+++ b/crates/fault-injection/src/run/processes.rs
@@ -115,7 +115,7 @@
         let lost = match disk {
             DiskState::Intact => false,
             DiskState::Emptied => fs::remove_dir_all(&data).is_ok(),
-            // Only voters have the second ledger.
+            // Only voters have `voter/ledger`.
             DiskState::Torn => {
                 let voter = truncate_last_record(&data.join("voter/ledger")).is_ok();
                 truncate_last_record(&data.join("ledger")).is_ok() || voter
@@ -139,7 +139,7 @@
         let ended = if paused { None } else { wait_for_exit(&mut child) };
         match ended {
             Some(status) if status.success() => {}
-            // The signal arrived before the process installed its handlers.
+            // The signal can arrive before the process has installed its handlers.
             Some(status) if status.signal().is_some() && gatekeeper.started.elapsed() < SIGNAL_SETUP_TIME => {
             }
             Some(status) => {
@@ -206,7 +206,7 @@
 }
 
 /// Cuts the last bytes off a ledger, so that its last record is incomplete. Leaves a ledger without records
-/// unchanged, because a truncated header is rejected at the start.
+/// unchanged, because a truncated header is rejected at start-up.
 pub(super) fn truncate_last_record(ledger: &Path) -> io::Result<()> {
     let bytes = fs::read(ledger)?;
     let header_len = 46 + usize::from(bytes.get(9).copied().unwrap_or_default());
--- a/crates/fault-injection/src/soak.rs
+++ b/crates/fault-injection/src/soak.rs
@@ -1,6 +1,6 @@
 //! Soak test of the programs of the system.
 //!
-//! Runs controllers and proxies as processes on loopback, with clients, workers and an operator, and injects
+//! Runs controllers and proxies as processes on loopback, with clients, workers and operators, and injects
 //! overlapping series of signals, kills, pauses, restarts and configuration changes, drawn from a seed.
 //! Clients use a connection until it ends. [`run`] executes one soak and checks its history.
 //!
@@ -92,7 +92,7 @@
         let to = keep.join(format!("soak-{}", plan.seed));
         std::fs::create_dir_all(keep).map_err(SoakError::io(keep.display().to_string()))?;
         let from = dir.keep();
-        // Renaming fails across file systems; the logs then stay in the temporary directory.
+        // If the directory can't be renamed, as across file systems, the logs stay where they are.
         kept_dir = Some(if std::fs::rename(&from, &to).is_ok() { to } else { from });
     }
     Ok(SoakReport { seed: plan.seed, findings, summary, kept_dir })
--- a/crates/fault-injection/src/soak/checker.rs
+++ b/crates/fault-injection/src/soak/checker.rs
@@ -10,10 +10,9 @@
 use super::plan::{ProcessName, SoakPlan};
 use super::workers::Run;
 
-/// A proxy may abort a request that was sent in the grace period before this share of it has passed, and that
-/// is still being processed after [`LATE_GRACE_SHARE`].
+/// Share of the grace period before which a request must have been sent so that a proxy may abort it.
 const EARLY_GRACE_SHARE: f64 = 0.5;
-/// Share of the grace period after which a proxy may abort requests.
+/// Share of the grace period after which a proxy may abort requests that are still being processed.
 const LATE_GRACE_SHARE: f64 = 5.0 / 6.0;
 /// Tolerance for the delay between an event and the recording of its time.
 const CLOCK_SLACK_S: f64 = 0.15;
@@ -36,8 +35,8 @@
     WrongResponse,
     /// A process exited by itself, with an error, or too late.
     UnexpectedExit,
-    /// Two changes with the same base were accepted, a valid change was rejected, or an accepted change was
-    /// lost.
+    /// Two changes with the same base were accepted, a valid change was rejected, an accepted change was
+    /// lost, or the configuration could not be read at the end.
     ConfigInconsistent,
     /// A worker received more requests in a second of its warm-up than allowed.
     WorkerOverloaded,
@@ -84,7 +83,7 @@
     pub failed: usize,
     /// Requests without an answer: the connection closed or timed out.
     pub unanswered: usize,
-    /// Signals sent to processes.
+    /// Signals sent to processes, without repeated SIGTERM and without SIGCONT.
     pub signals: usize,
     /// Accepted changes of the configuration.
     pub changes: usize,
@@ -189,15 +188,15 @@
     })
 }
 
-/// Returns the time of the SIGTERM in whose grace period the request ended, if any.
+/// Returns the time of the last SIGTERM in whose grace period, or up to 1 s after it, the request ended.
 fn terminated_at(plan: &SoakPlan, history: &History, request: &SentRequest) -> Option<f64> {
     let is_under = |at: f64| at <= request.ended_s && request.ended_s <= at + plan.shape.grace_s + 1.0;
     let events = events_of(history, request).iter().rev();
     events.filter(|(_, event)| *event == ProcessEvent::Terminated).map(|(at, _)| *at).find(|at| is_under(*at))
 }
 
-/// Returns `true` if the request was sent early enough in the grace period, and processed late enough, to be
-/// aborted.
+/// Returns `true` if the proxy may abort the request: it was sent before or early in the grace period, and
+/// was being processed late in it.
 fn may_be_aborted(plan: &SoakPlan, terminated_s: f64, request: &SentRequest, runs: &[&Run]) -> bool {
     let grace = plan.shape.grace_s;
     request.sent_s <= terminated_s + EARLY_GRACE_SHARE * grace
@@ -216,7 +215,7 @@
     }
     match terminated_at(plan, history, request) {
         Some(terminated_s) => !may_be_aborted(plan, terminated_s, request, runs),
-        // At most settings or configuration changed, and that must not lose requests.
+        // SIGHUP and changes of the configuration must not lose requests.
         None => true,
     }
 }
@@ -263,11 +262,11 @@
     let mut add_finding = |description: String| {
         findings.push(Finding { rule: SoakRule::ConfigInconsistent, at_s: 0.0, description })
     };
-    let mut accepted_on: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut accepted_by_base: BTreeMap<u64, u64> = BTreeMap::new();
     for change in &history.changes {
         match change.outcome {
             ChangeOutcome::Accepted => {
-                if let Some(other) = accepted_on.insert(change.base, change.generation) {
+                if let Some(other) = accepted_by_base.insert(change.base, change.generation) {
                     add_finding(format!(
                         "generations {other} and {} were both accepted with base {}",
                         change.generation, change.base
@@ -280,7 +279,7 @@
             ChangeOutcome::Conflict | ChangeOutcome::Unknown => {}
         }
     }
-    let newest = accepted_on.values().copied().max().unwrap_or(0);
+    let newest = accepted_by_base.values().copied().max().unwrap_or(0);
     match history.final_generation {
         None => add_finding("no controller answers a read of the configuration".to_string()),
         Some(read) if read < newest => {
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -24,11 +24,11 @@
 /// Read time-out on a connection, longer than the deadline of a request.
 const READ_TIMEOUT: Duration = Duration::from_millis(TIME_LEFT_MS + 1_500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest pause between two batches on a connection.
+/// Upper bound of the random pause between two batches on a connection, in milliseconds.
 const MAX_PAUSE_MS: u64 = 150;
 /// Longest `Retry-After` that a client observes.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
-/// Longest time for which an answer of the directory is used.
+/// Greatest age at which an answer of the directory is used without a new query.
 const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(9);
 
 /// Outcome of a request at its client.
@@ -74,7 +74,7 @@
     requests: Arc<Mutex<Vec<SentRequest>>>,
     addresses: Vec<SocketAddr>,
     looked_up_at: Instant,
-    /// Time before which no batch is sent, from the last `Retry-After`.
+    /// Time before which no further batch is sent on the same connection, from the `Retry-After` headers.
     retry_at: Instant,
     sent: u64,
 }
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Sends batches until the connection ends. Returns `true` if a batch succeeded.
+    /// Sends batches until the connection ends. Returns `true` if it stayed open after at least one batch.
     fn send_over_connection(&mut self, address: SocketAddr, proxy: usize, is_over: &AtomicBool) -> bool {
         let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else { return false };
         let _ = stream.set_nodelay(true);
@@ -179,7 +179,7 @@
         batches > 0
     }
 
-    /// Sends one request, or several pipelined safe ones. Returns `false` if the connection has ended.
+    /// Sends one request, or several pipelined safe ones. Returns `false` if the connection ends with them.
     fn send_batch(&mut self, stream: &TcpStream, reader: &mut BufReader<&TcpStream>, proxy: usize) -> bool {
         let depth = if self.rng.random_bool(0.3) { self.rng.random_range(2..5) } else { 1 };
         let is_safe = depth > 1 || self.rng.random_bool(0.5);
--- a/crates/fault-injection/src/soak/driver.rs
+++ b/crates/fault-injection/src/soak/driver.rs
@@ -22,7 +22,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Time after the grace period at which a process that has not exited is killed.
 const KILL_SLACK_S: f64 = 1.0;
-/// Time for which the clients continue after the end of the plan.
+/// Least time for which the clients continue after the end of the plan.
 const QUIET_PERIOD_S: f64 = 1.0;
 
 /// Event of a process.
@@ -65,7 +65,7 @@
     operators: Operators,
     is_over: Arc<AtomicBool>,
     events: BTreeMap<ProcessName, Vec<(f64, ProcessEvent)>>,
-    /// Time until which a process may take to exit after SIGTERM.
+    /// Time at which a process that received SIGTERM is killed if it has not exited.
     exit_deadlines: BTreeMap<ProcessName, f64>,
     /// Time at which a paused process is resumed.
     resume_times: BTreeMap<ProcessName, f64>,
--- a/crates/fault-injection/src/soak/flooding.rs
+++ b/crates/fault-injection/src/soak/flooding.rs
@@ -25,7 +25,7 @@
     let sent: HashMap<&str, f64> = requests.iter().map(|request| (&request.id[..], request.sent_s)).collect();
     let mut arrivals_by_worker: HashMap<usize, Vec<Arrival>> = HashMap::new();
     for run in runs {
-        // Requests still pending at the end have no client record.
+        // The time of sending is only known from the client.
         let Some(sent) = sent.get(&run.id[..]) else { continue };
         arrivals_by_worker
             .entry(run.worker)
--- a/crates/fault-injection/src/soak/system.rs
+++ b/crates/fault-injection/src/soak/system.rs
@@ -28,8 +28,8 @@
 pub(super) struct Net(u8);
 
 impl Net {
-    /// Finds a free network. The search starts at a position derived from the process id, so that concurrent
-    /// soaks rarely collide.
+    /// Finds a network in which the address of the first controller is free. The search starts at a position
+    /// derived from the process id, so that concurrent soaks rarely collide.
     fn find() -> Result<Net, SoakError> {
         let first = std::process::id() % 40;
         let mut last = std::io::Error::other("no addresses");
--- a/crates/fault-injection/src/soak/tests.rs
+++ b/crates/fault-injection/src/soak/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn unanswered_requests_are_lost_unless_a_kill_or_the_end_of_the_grace_period_explains_it() {
+fn unanswered_requests_are_lost_unless_a_kill_a_pause_or_the_grace_period_explains_it() {
     let terminated = [(10.0, ProcessEvent::Terminated), (15.5, ProcessEvent::Exited(Some(0)))];
     let killed = [(15.0, ProcessEvent::Killed), (15.1, ProcessEvent::Exited(None))];
     let hung_up = [(12.0, ProcessEvent::HungUp)];
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn executions_refusals_and_responses_are_compared() {
+fn repeated_executions_executed_refusals_and_foreign_responses_are_reported() {
     let ran_twice = [(10.0, 10.1), (10.2, 10.3)];
     let success = RequestEnd::Response { status: 200, is_own: true };
     assert_eq!(rules(&history(request(9.9, 10.4, success), &ran_twice, &[])), [SoakRule::ExecutedTwice]);
--- a/crates/fault-injection/src/soak/workers.rs
+++ b/crates/fault-injection/src/soak/workers.rs
@@ -14,7 +14,7 @@
 
 /// Interval between heartbeats.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
-/// Time for which a worker keeps serving after its draining state is acknowledged.
+/// Time from the acknowledgement of the draining state until a worker deregisters.
 const DRAIN_PERIOD: Duration = Duration::from_secs(4);
 /// Time-out for connecting, and for each read of a response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -54,7 +54,7 @@
     pub id: String,
     /// Start, in seconds since the start of the soak.
     pub start_s: f64,
-    /// Time at which the worker finishes.
+    /// Time at which the processing is due to end.
     pub end_s: f64,
 }
 
@@ -215,7 +215,7 @@
     while !is_over.load(Ordering::Relaxed) {
         let is_draining = leave_requested.load(Ordering::Relaxed);
         let state = if is_draining { "draining" } else { "ready" };
-        // Each call reports the state at the time of the call.
+        // The remaining warm-up time is computed anew for each call.
         let body = |sequence: usize| {
             let warming_up_until = *warming_up_until.lock().unwrap_or_else(PoisonError::into_inner);
             let warmup_left =
