--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -9,7 +9,7 @@
 use lynxstair_fault_injection::soak::{SoakOptions, SoakPlan, SoakReport, SoakShape, run as run_soak};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Runs controllers and proxies with clients, workers and an operator, under overlapping series of signals,
+/// Runs controllers and proxies with clients, workers and operators, under overlapping series of signals,
 /// kills, pauses, restarts and configuration changes
 ///
 /// Exit code 0: no rule was broken; 1: a rule was broken; 2: the soak could not be run.
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -25,7 +25,7 @@
     Disk,
     Epochs,
     Leases,
-    /// Receivers accept effects of earlier epochs
+    /// The sink accepts batches of earlier epochs
     Refusal,
 }
 
@@ -52,7 +52,7 @@
     /// Runs N trials with random faults, and prints a minimal trial file for each that broke a rule
     #[arg(long, value_name = "N", requires = "base")]
     hunt: Option<u64>,
-    /// Trial file with all settings of the random trials except their faults
+    /// Trial file with the settings of the random trials, except faults, never_failed and seen_failed
     #[arg(long, value_name = "FILE")]
     base: Option<PathBuf>,
     /// Gatekeeper program; by default lynxstair-gatekeeper in the directory of this program
@@ -126,7 +126,7 @@
     Ok(code)
 }
 
-/// Returns the last line of the output, which names the first broken rule.
+/// Returns the last line of the output, which names the first broken rule if there is one.
 fn last_line(verdict: &Verdict) -> String {
     match verdict.violations.first() {
         None => format!("trial kept {}", verdict.name),
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -13,10 +13,10 @@
 use nix::sys::signal::Signal;
 use support::{TestFleet, gatekeeper_program, run, wait_until};
 
-/// All agree at first; a killed member is shown as unknown with the time since then; a fleet without
-/// reachable members is an error.
+/// All agree at first; a killed member is shown as unknown, with the time since its failure was detected; a
+/// fleet without reachable members is an error.
 #[test]
-fn status_of_three_gatekeepers() {
+fn status_shows_agreement_and_a_killed_member() {
     let mut fleet = TestFleet::start(3);
     wait_until("the members see each other", || fleet.status(0).0 == 0);
     let (code, out) = fleet.status(2);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn leave_and_shut_out() {
+fn members_leave_are_shut_out_and_are_let_in() {
     let fleet = TestFleet::start(3);
     wait_until("the members see each other", || fleet.status(0).0 == 0);
     let addr = fleet.member_addr(0).to_string();
--- a/crates/cli/tests/owners.rs
+++ b/crates/cli/tests/owners.rs
@@ -22,7 +22,7 @@
 
 /// A repeated command takes effect once; without a majority of the voters the owner is unknown.
 #[test]
-fn owner_and_voter_commands() {
+fn commands_change_owners_and_voters() {
     let mut fleet = TestFleet::start_with(4, true, |_| String::new(), None);
     wait_until("the duty has an owner", || owner(&fleet, 3).is_some());
     let (first, epoch) = owner(&fleet, 3).expect("the duty has an owner");
