--- a/crates/emulator/src/core/checker.rs
+++ b/crates/emulator/src/core/checker.rs
@@ -7,7 +7,7 @@
 
 use super::linearizability::{Call, CallInput, CallOutput, Version, check_linearizability};
 
-// Limits up to `DRAIN_TIME`: as in the operators' settings of a small site.
+// The limits up to `DRAIN_TIME` are those of the settings of a small site.
 
 /// Time after a fault within which the controllers have a leader and proxies are in contact with it.
 pub(crate) const CONTACT_TIME: Span = Span::from_millis(5_000);
@@ -21,8 +21,8 @@
 pub(crate) const DRAIN_TIME: Span = Span::from_millis(2_500);
 /// Longest time until a definite answer while the core is settled.
 pub(crate) const ACK_TIMEOUT: Span = Span::from_millis(4_000);
-/// Time after which a call without an answer is abandoned. Its command takes no effect once a later
-/// command for the same zone is acknowledged.
+/// Time after its sending from which an unanswered call counts as abandoned: its command can no longer take
+/// effect after a later command for the same zone.
 const CALL_LIFETIME: Span = Span::from_millis(1_100);
 
 /// Checked property. The core is settled if no fault began or ended within `CONTACT_TIME`, no disk is
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Returns whether a zone must be evacuated, by the commands acknowledged up to `before`. `None` if
-    /// that is not certain.
+    /// Returns `Some(true)` if a zone must be evacuated and `Some(false)` if it must not be, by the commands
+    /// acknowledged up to `before`. `None` if that is not certain.
     pub fn expected_evacuation(&self, zone: usize, before: Time) -> Option<bool> {
         let calls: Vec<&ZoneCall> = self.zone_calls.iter().filter(|c| c.zone == zone).collect();
         let last =
--- a/crates/emulator/src/core/disk.rs
+++ b/crates/emulator/src/core/disk.rs
@@ -47,8 +47,8 @@
         self.writing.is_none()
     }
 
-    /// Begins the next write, or retries the current one. Returns the time at which it ends, or `None` if
-    /// there is nothing to write.
+    /// Begins the next write, or retries the current one. Returns the time at which it ends, or is retried
+    /// if the disk is full. `None` if there is nothing to write.
     pub fn begin_write(&mut self, now: Time) -> Option<Time> {
         if self.writing.is_none() {
             self.writing = self.queued.take();
--- a/crates/emulator/src/core/faults.rs
+++ b/crates/emulator/src/core/faults.rs
@@ -202,7 +202,7 @@
             }
             Scenario::WipedAfterAck => {
                 for _ in 0..2 {
-                    // With slow disks, an acknowledged change is stored on no more disks than necessary.
+                    // With slow disks, an acknowledged change is often stored on only a majority of them.
                     for n in 0..2 {
                         let target = if n == 0 { Target::Follower } else { Target::Any };
                         faults.push((at, SlowDisk { target, sync: rng.random_range(5..400), long: 2_500 }));
--- a/crates/emulator/src/core/world.rs
+++ b/crates/emulator/src/core/world.rs
@@ -208,7 +208,7 @@
     slow_disk_until: Time,
     /// Fault to inject after the next acknowledgement of a command.
     fault_after_ack: Option<Fault>,
-    /// How long to cut off the next candidate that receives a vote.
+    /// Duration for which the next candidate that receives a vote is cut off.
     cut_after_vote: Option<Span>,
     removed_machine: Option<usize>,
     tolerated_disk_losses: usize,
--- a/crates/emulator/src/core/world/clients.rs
+++ b/crates/emulator/src/core/world/clients.rs
@@ -139,7 +139,7 @@
                 self.schedule(delay, WorldEvent::OperatorTurn { operator });
             }
             CallOutput::Taken if !self.operators[operator].is_repeat && self.rng.random_bool(0.3) => {
-                // The answer is lost on its way to the operator, which sends the same command again.
+                // The operator sends the acknowledged command once more, as after a lost answer.
                 let task = self.operators[operator].task.clone();
                 self.operators[operator].begin(now, task);
                 self.operators[operator].is_repeat = true;
--- a/crates/emulator/src/core/world/machines.rs
+++ b/crates/emulator/src/core/world/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Starts the process of a machine, with what its disk holds.
+    /// Starts the process of a machine with the contents of its disk.
     pub(super) fn start(&mut self, machine: usize) {
         let clock_offset = ms(self.rng.random_range(1..7_200_000));
         let seed = self.rng.random();
--- a/crates/emulator/src/core/world/probes.rs
+++ b/crates/emulator/src/core/world/probes.rs
@@ -27,7 +27,8 @@
         self.checker.calls.iter().any(|c| matches!(c.output, CallOutput::Holds(_)) && c.sent_at >= since)
     }
 
-    /// Returns whether the configuration of a proxy is freshly confirmed, and its version.
+    /// Returns `true` if the configuration of a proxy is freshly confirmed, and the version of the
+    /// configuration.
     pub fn proxy_status(&self, proxy: usize) -> (bool, Option<crate::core::linearizability::Version>) {
         let clock = self.clock(proxy);
         self.proxy(proxy).map_or((false, None), |p| (p.is_fresh(clock), p.active_config().map(|(v, _)| v)))
@@ -46,7 +47,7 @@
     }
 
     /// Returns the largest group of running controllers that are connected to one of them. `None` if it
-    /// is not a majority, or if the core was disturbed within the contact time.
+    /// is not a majority, if the core was disturbed within the contact time, or if a disk is slow.
     pub fn settled_majority(&self) -> Option<Vec<usize>> {
         if self.now - self.last_disturbed_at < CONTACT_TIME || self.slow_disk_until > self.now {
             return None;
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -178,8 +178,8 @@
     (idle_rates.0, idle_rates.1, fleet.largest_datagram_bytes)
 }
 
-/// Runs a fleet for 30 s in which member 0 has a working link to member 3 only. Returns whether member 0
-/// was declared failed by any member, and whether it declared another one failed.
+/// Runs a fleet for 30 s in which member 0 has a working link to member 3 only. The first result is `true` if
+/// any member declared member 0 failed, the second if member 0 declared another one failed.
 pub fn failures_with_single_link(members: usize, seed: u64) -> (bool, bool) {
     let mut fleet = settled(members, seed, Safeguards::Enabled);
     fleet.run_for(Span::from_millis(5_000));
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -22,7 +22,7 @@
 const SOCKET_BUFFER_BYTES: usize = 212_992;
 /// Buffer space that the kernel charges for a datagram in addition to its payload.
 const DATAGRAM_OVERHEAD_BYTES: usize = 576;
-/// Duration of the write of a record.
+/// Duration of the write of an incarnation. Other records are written at once.
 const WRITE_TIME: Span = Span::from_millis(2);
 
 /// Contents of a member's disk.
@@ -329,7 +329,7 @@
                 }
                 let clock_offset = self.nodes[member].clock_offset;
                 let Some(process) = self.nodes[member].process.as_mut().filter(|p| !p.paused) else { return };
-                // A later tick is scheduled instead.
+                // The next tick is due later.
                 if process.next_tick_at.is_some_and(|at| at > now) {
                     return;
                 }
--- a/crates/emulator/src/owners/checker.rs
+++ b/crates/emulator/src/owners/checker.rs
@@ -1,5 +1,5 @@
-//! Rules checked during the simulation: one owner per epoch, leases that do not overlap, and acknowledged
-//! state that is not lost.
+//! Checks during the simulation that an epoch has one owner, that leases do not overlap, and that
+//! acknowledged state is not lost.
 
 use super::*;
 
@@ -32,8 +32,8 @@
             self.nodes[member].process.as_mut().and_then(|p| p.pending_effect.take())
         {
             // Half of the effects are held back, as if the process stalled after the check. The next
-            // check replaces the effect while the lease is held; otherwise, or on resume after a pause,
-            // it is sent late.
+            // check replaces the effect while the lease is held. Otherwise a later check, or the resume
+            // after a pause, sends it late.
             if self.rng.random_bool(0.5) {
                 self.schedule_after(delay, ScheduledEvent::EffectArrival { member, epoch, number });
             } else if let Some(process) = self.nodes[member].process.as_mut() {
--- a/crates/emulator/src/owners/processes.rs
+++ b/crates/emulator/src/owners/processes.rs
@@ -8,8 +8,8 @@
         self.start_with_lost_records(member, false);
     }
 
-    /// Starts a member like [`Self::start`]. `lost_records` tells the voter that records are missing at
-    /// the end of its disk.
+    /// Starts a member like [`Self::start`]. If `lost_records` is `true`, the voter starts with
+    /// the information that records are missing at the end of its disk.
     pub fn start_with_lost_records(&mut self, member: usize, lost_records: bool) {
         if self.nodes[member].process.is_some() {
             return;
--- a/crates/emulator/tests/membership.rs
+++ b/crates/emulator/tests/membership.rs
@@ -262,7 +262,7 @@
 
 /// Datagrams are lost, duplicated and reordered. Up to a loss of 20%, nobody may be declared failed.
 #[test]
-fn lossy_networks() {
+fn members_tolerate_and_recover_from_datagram_loss() {
     for (loss_rate, is_tolerated) in [(0.05, true), (0.2, true), (0.4, false)] {
         seeds().for_each(|seed| {
             let mut fleet = start_fleet(6, seed);
@@ -485,11 +485,11 @@
 #[test]
 fn invalid_datagrams_are_dropped() {
     let mut fleet = start_fleet(3, 5);
-    let junk: Vec<Vec<u8>> = (0..300usize)
+    let invalid_datagrams: Vec<Vec<u8>> = (0..300usize)
         .map(|n| (0..n * 5).map(|i| (i.wrapping_mul(2_654_435_761).wrapping_add(n) >> 7) as u8).collect())
         .collect();
     let before = fleet.membership(0).expect("runs").counters().clone();
-    junk.into_iter().for_each(|bytes| fleet.inject(1, 0, bytes));
+    invalid_datagrams.into_iter().for_each(|bytes| fleet.inject(1, 0, bytes));
     fleet.run_for(ms(5));
     let after = fleet.membership(0).expect("runs").counters().clone();
     let dropped: u64 = after.dropped.values().sum::<u64>() - before.dropped.values().sum::<u64>();
@@ -513,7 +513,7 @@
     assert_eq!(run(), run());
 }
 
-/// For each safeguard, a scenario shows a fault if and only if the safeguard is disabled.
+/// For each safeguard, a simulation shows the wrong behavior if and only if the safeguard is disabled.
 #[test]
 fn disabled_safeguards_are_detected() {
     let start_with = |disabled: DisabledParts| {
--- a/crates/emulator/tests/ownership.rs
+++ b/crates/emulator/tests/ownership.rs
@@ -95,7 +95,7 @@
 /// Each member in turn can only receive or only send. The duty must have one owner meanwhile and
 /// afterwards.
 #[test]
-fn one_way_isolated_members() {
+fn duty_has_one_owner_despite_one_way_isolation() {
     seeds(12).for_each(|seed| {
         for can_receive in [false, true] {
             for member in 0..5 {
@@ -252,8 +252,8 @@
     });
 }
 
-/// The link between two of the three voters is cut and healed each second, which causes at most three
-/// elections.
+/// The link between two of the three voters is cut and healed in turn, each for a second, which causes at
+/// most three elections.
 #[test]
 fn flapping_link_causes_few_elections() {
     seeds(12).for_each(|seed| {
@@ -282,7 +282,7 @@
 /// A hand-over repeated with the same id takes effect once. Of two concurrent depositions at least one
 /// succeeds, and the deposed owner does not get the duty back at once.
 #[test]
-fn operator_commands() {
+fn hand_over_takes_effect_once_and_a_deposed_owner_is_replaced() {
     seeds(12).for_each(|seed| {
         let mut simulation = start_with_owner(seed);
         let owner = simulation.owners()[0];
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn random_faults() {
+fn random_faults_violate_no_rule() {
     let count = std::env::var("LYNXSTAIR_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(200);
     seeds(count).for_each(|seed| drop(run_with_random_faults(seed, DisabledParts::default())));
 }
