--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -40,7 +40,7 @@
     /// Overrides the seed in the file
     #[arg(long)]
     seed: Option<u64>,
-    /// Prints verdicts as JSON, one per line
+    /// Prints each verdict as a line of JSON, then the result as text
     #[arg(long)]
     json: bool,
     /// Keeps histories, logs and records of each trial in a subdirectory of DIR
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -48,7 +48,7 @@
     network_prefix: String,
     /// Further settings in each fleet file.
     extra_settings: String,
-    /// Worker list, counter address and discovery address; `None` if the gatekeepers have no back ends.
+    /// Worker list, counter address and discovery address; `None` without a load.
     backends: Option<(String, std::net::SocketAddr, std::net::SocketAddr)>,
 }
 
@@ -66,7 +66,7 @@
     ) -> TestFleet {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let next = NEXT.fetch_add(1, Ordering::SeqCst);
-        // Addresses that no other test and no trial uses.
+        // The second octet differs between the fleets of a test process, the third usually between processes.
         let network_prefix = format!("127.{}.{}", 16 + next, std::process::id() % 250 + 1);
         let folder = tempfile::tempdir().expect("a folder");
         let backends = load.map(|l| (l.worker_list(), l.counter.addr, l.discovery.addr));
--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -78,7 +78,7 @@
     },
     Rule {
         name: "epoch-has-one-owner",
-        requirement: "an epoch of a duty is granted to one owner, and no other gatekeeper owns it then",
+        requirement: "each epoch of a duty is granted to one owner; no other gatekeeper owns the duty in it",
     },
     Rule {
         name: "epochs-forward",
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -45,7 +45,7 @@
     rng: Mutex<Pcg64Mcg>,
     delayed: Mutex<DelayedDatagrams>,
     wake_up: Condvar,
-    order: AtomicU64,
+    delayed_count: AtomicU64,
     stop: AtomicBool,
 }
 
@@ -77,7 +77,7 @@
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
             delayed: Mutex::default(),
             wake_up: Condvar::new(),
-            order: AtomicU64::new(0),
+            delayed_count: AtomicU64::new(0),
             stop: AtomicBool::new(false),
         });
         let mut threads = Vec::new();
@@ -125,7 +125,7 @@
                 if after.is_zero() {
                     self.send(from, to, &buffer[..len]);
                 } else {
-                    let order = self.order.fetch_add(1, Ordering::SeqCst);
+                    let order = self.delayed_count.fetch_add(1, Ordering::SeqCst);
                     let datagram = (Instant::now() + after, order, from, to, buffer[..len].to_vec());
                     lock(&self.delayed).push(Reverse(datagram));
                     self.wake_up.notify_one();
--- a/crates/fault-injection/src/soak/operator.rs
+++ b/crates/fault-injection/src/soak/operator.rs
@@ -1,5 +1,5 @@
 //! Operators of a soak. They change the configuration, each change based on the newest generation that they
-//! know, and repeat a call unchanged until its outcome is clear.
+//! know, and repeat a call unchanged until its outcome is clear or a time-out expires.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
