--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -71,7 +71,7 @@
         let mut port = LastWorkerPort::default();
         let now = Time::from_nanos(1_000_000_000_000);
         let mut gatekeeper = Gatekeeper::new(now, 7, &settings(), &mut port);
-        let line = |n: u64| WorkerInfo {
+        let worker_info = |n: u64| WorkerInfo {
             worker: WorkerId(n),
             zone: ZoneId((n % 3) as u16),
             kind: KindId(0),
@@ -80,7 +80,7 @@
             weight: 1.0,
             started_at: None,
         };
-        gatekeeper.on_worker_list(now, ListUpdate::Full, &(0..workers).map(line).collect::<Vec<_>>());
+        gatekeeper.on_worker_list(now, ListUpdate::Full, &(0..workers).map(worker_info).collect::<Vec<_>>());
         let max_in_flight = (workers as usize / 2).max(1);
         let request_interval = DURATION.times(1.0 / max_in_flight as f64);
         let in_flight = VecDeque::new();
@@ -144,7 +144,7 @@
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision");
     group.sample_size(20).measurement_time(std::time::Duration::from_secs(2));
-    // A million tenants take too long, as each tick visits all of them.
+    // Workers and tenants. Each tick visits all tenants, so that more of them take too long.
     let sizes = [(20, 100), (200, 100), (2000, 100), (20, 10_000)];
     for (workers, tenants) in sizes {
         let mut harness = Harness::new(workers, tenants);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,7 @@
 //! The decision module of a gatekeeper: admission control, worker selection, retries and quotas.
 //!
 //! Callers report events to a [`Gatekeeper`], which acts through a [`Port`] before each call returns. Its
-//! state is in `src/state.rs`. The module is independent of protocols, deployments and other instances.
+//! state is in `src/state.rs`. The module performs no I/O and is independent of protocols.
 
 mod deliveries;
 mod quota;
--- a/src/policy/deliveries.rs
+++ b/src/policy/deliveries.rs
@@ -119,10 +119,11 @@
         }
     }
 
-    /// Updates the statistics of a worker and the typical latency with the outcome of an attempt.
+    /// Updates the concurrency limit, the worker's statistics and the typical latency after an attempt.
+    /// Ejects the worker if it was silent or its connection failed.
     fn record_outcome(&mut self, now: Time, report: &AttemptReport, attempt: &Attempt, port: &mut impl Port) {
         let duration = report.duration.secs();
-        // Time-outs do not count as late: a lost answer looks like a failed worker.
+        // Time-outs do not count as late: the answer may have been lost.
         let is_answered = matches!(report.outcome, Outcome::Succeeded | Outcome::Errored);
         let was_running = now != self.state.resumed_at;
         let operation = attempt.work.0;
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Hedges or cancels a late attempt if its worker is unhealthy. At a responsive worker the attempt is
-    /// left alone, as a hedge would add to the load that delays it.
+    /// Hedges or cancels a late attempt if its worker is unhealthy or no longer listed. At a healthy worker
+    /// the attempt continues, as a hedge would add to the load that delays it.
     pub(super) fn check_attempt(&mut self, now: Time, key: AttemptKey, port: &mut impl Port) {
         let (id, number) = key;
         let Some(attempt) = self.attempts.get(&key) else { return };
@@ -175,7 +176,7 @@
         if request.stage == RequestStage::Sent && self.settings.allows_hedging {
             self.retry(now, id, &mut request, port);
         } else if request.stage == RequestStage::Sent && self.settings.can_cancel && self.has_retry_budget() {
-            // The cancelled attempt is followed by a retry.
+            // The end of the cancelled attempt leads to a retry.
             port.cancel(id, number);
         }
         self.requests.insert(id, request);
@@ -185,7 +186,8 @@
         self.state.retry_budget >= 1.0
     }
 
-    /// Sends another attempt if it can still be useful and the retry budget allows it.
+    /// Sends another attempt if the operation, the retry budget and the remaining time allow it and a worker
+    /// is available. Returns `true` if it was sent.
     fn retry(&mut self, now: Time, id: RequestId, request: &mut OpenRequest, port: &mut impl Port) -> bool {
         let idempotency = self.settings.operation(request.operation).idempotency;
         if idempotency == Idempotency::NonIdempotent && request.first_possible_run.is_some() {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -4,7 +4,7 @@
 
 /// Weight of a new sample in the mean gap between a tenant's requests.
 const GAP_WEIGHT: f64 = 0.3;
-/// Delay of a report if the last total is old, as a fraction of the report interval.
+/// Delay of a report if there is no recent total, as a fraction of the report interval.
 const EARLY_REPORT_FRACTION: f64 = 0.2;
 /// Shortest window, in report intervals, and the longest time that the counter keeps a count.
 pub(super) const MIN_WINDOW_INTERVALS: f64 = 20.0;
@@ -127,7 +127,7 @@
             return;
         }
         let Some(amount) = tenant.shared.in_flight.take() else { return };
-        // Failed or late calls mean that all gatekeepers together overload the counter.
+        // Failed or late calls are a sign that all gatekeepers together overload the counter.
         let is_late = now - tenant.shared.called_at > self.settings.counter_timeout;
         let state = &mut self.state;
         if outcome == Outcome::Succeeded && !is_late {
@@ -191,7 +191,8 @@
     tenant.tokens.level -= additional;
 }
 
-/// Charges the peers' part of a new total in place of the estimate.
+/// Charges the peers' part of a new total in place of the estimate, and throttles the tenant if the total
+/// exceeds the window's quota.
 fn apply_total(tenant: &mut Tenant, plan: &PlanLimits, now: Time, total: f64, amount: f64) {
     let shared = &mut tenant.shared;
     if total + 0.001 < shared.total {
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Fraction of the latency objective above which an attempt is late, and the fraction of late attempts above
-/// which the concurrency limit is cut; below half of that it grows.
+/// which the concurrency limit is cut; below half of that it may grow.
 const LATE_LATENCY_FRACTION: f64 = 0.4;
 const MAX_LATE_FRACTION: f64 = 0.2;
 /// Attempts in flight per warm worker that are always allowed, over all gatekeepers together.
@@ -39,7 +39,8 @@
 }
 
 impl Gatekeeper {
-    /// Picks the cheaper of two workers drawn at random (power of two choices); `None` if none is available.
+    /// Picks the cheaper of two workers drawn at random (power of two choices). Returns `None` if no worker
+    /// is eligible or the concurrency limit is reached.
     pub(super) fn pick_worker(&mut self, now: Time, request: &OpenRequest) -> Option<WorkerId> {
         if self.is_at_concurrency_limit(now, request) {
             return None;
@@ -123,8 +124,8 @@
     }
 
     /// Refills the slow-start tokens. A worker that is warming up gets the rate of a warm worker of its
-    /// weight, scaled by its current capacity, and at least the minimum rate. The reference is the recent
-    /// peak of successes, so that congestion at the other workers does not starve it.
+    /// weight, scaled by its current capacity with headroom, and at least the minimum rate. The reference is
+    /// the recent peak of successes, so that congestion at the other workers does not starve it.
     fn refill_slow_start(&mut self, now: Time) {
         let settings = &self.settings;
         for worker in self.workers.values_mut().filter(|worker| worker.started_at.is_some()) {
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -14,7 +14,7 @@
 
     /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
-        // The constants avoid the state of all zeros, which the generator never leaves.
+        // `| 1` avoids the state of all zeros, which the generator never leaves.
         let mut rng = Rng { word: (seed & 0xffff_ffff) ^ 0x9e37_79b9, carry: (seed >> 32) | 1 };
         for _ in 0..Self::DISCARDED {
             rng.next_u32();
--- a/src/state.rs
+++ b/src/state.rs
@@ -73,7 +73,7 @@
     pub tenant: TenantId,
     /// Units charged.
     pub units: f64,
-    /// Arrival time.
+    /// Arrival time; estimated if the request waited during a stall of the process.
     pub arrived_at: Time,
     /// Time after which the client no longer waits.
     pub deadline: Time,
@@ -81,8 +81,8 @@
     pub tried: Vec<WorkerId>,
     /// Number of attempts that may have been processed.
     pub possibly_run: u32,
-    /// Send time of the first attempt that may have been processed, and its worker's zone and cell at that
-    /// time.
+    /// Send time of the first attempt since `possibly_run` was last 0, and its worker's zone and cell at that
+    /// time; `None` if `possibly_run` is 0.
     pub first_possible_run: Option<(Time, ZoneId, CellId)>,
 }
 
@@ -141,7 +141,8 @@
     pub failure_rates: BTreeMap<WorkKind, (f64, Time)>,
     /// End of the ejection. Until then the worker only receives attempts if no healthy worker is eligible.
     pub ejected_until: Time,
-    /// Time at which a connection was last left open; `None` if the last attempt closed its connection.
+    /// Time at which a connection was last left open; `None` before the first attempt has ended, and after
+    /// one that closed its connection.
     pub connection_idle_since: Option<Time>,
     /// `true` if a health check is scheduled or in flight.
     pub is_being_checked: bool,
@@ -203,7 +204,7 @@
 pub struct SharedCount {
     /// Number of the window.
     pub window: u64,
-    /// Last total returned by the counter.
+    /// Last total returned by the counter, plus amounts added since then whose total was unreadable.
     pub total: f64,
     /// Total held by the counter before it lost its state.
     pub lost: f64,
@@ -220,7 +221,7 @@
 pub struct Tenant {
     /// Plan of the tenant.
     pub plan: PlanId,
-    /// Number of gatekeepers that receive the tenant's requests.
+    /// Number of gatekeepers that receive the tenant's requests, the largest value so far.
     pub spread: f64,
     /// Token bucket of the quota.
     pub tokens: TokenBucket,
@@ -232,7 +233,7 @@
     pub last_request_at: Time,
     /// Mean time between requests at this gatekeeper, in seconds.
     pub arrival_gap_s: f64,
-    /// Units admitted here that are not reported to the counter.
+    /// Units admitted here that are not yet reported to the counter.
     pub unreported: f64,
     /// `true` if a report is scheduled.
     pub is_report_due: bool,
@@ -244,7 +245,7 @@
     pub admitted_since_total: f64,
     /// Units charged since the last total for the estimated usage at other gatekeepers.
     pub peer_estimate: f64,
-    /// Time of the last total.
+    /// Time of the last total, or the start of the window or of this state if later.
     pub total_at: Time,
     /// End of the throttling that follows an exhausted window quota.
     pub throttled_until: Time,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Replaces the estimated charge of a request by its actual units.
+    /// Replaces the units charged to the quota for a request by its actual units.
     pub fn correct_charge(&mut self, charged: f64, actual: f64) {
         self.tokens.level -= actual - charged;
         self.unreported += actual - charged;
@@ -313,9 +314,9 @@
     pub client_timeout_s: Vec<f64>,
     /// Typical latency of each operation and size class, in seconds.
     pub typical_latency_s: Vec<Vec<f64>>,
-    /// Moving average of the fraction of attempts that are late.
+    /// Moving average of the fraction of answered attempts that are late.
     pub late_fraction: f64,
-    /// Maximum number of attempts in flight.
+    /// Adapted maximum number of attempts in flight; 0 until it is first adapted.
     pub concurrency_limit: f64,
     /// Time of the last reduction of the concurrency limit.
     pub limit_cut_at: Time,
@@ -424,7 +425,7 @@
     pub warm_up: Span,
     /// Multiple of its current capacity that a worker may be sent while it is warming up.
     pub slow_start_headroom: f64,
-    /// Attempts per second that slow start always admits.
+    /// Minimum rate at which slow start admits attempts at a worker, per second.
     pub min_slow_start_rate: f64,
     /// Delay before a failed subscription is repeated.
     pub resubscribe_after: Span,
--- a/src/types.rs
+++ b/src/types.rs
@@ -2,7 +2,7 @@
 
 use std::ops::{Add, Sub};
 
-/// A point in time of the instance's own clock, in nanoseconds.
+/// A point in time, in nanoseconds since the clock's zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
@@ -213,7 +213,7 @@
 /// Scope of an update to the list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Replaces only the listed workers.
+    /// Adds, updates or removes only the listed workers.
     Delta,
     /// Replaces the whole list; workers that are not listed are removed.
     Full,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -67,6 +67,7 @@
         // Without a rate there is no quota. A hard limit starts empty, so that a restart does not refill it.
         (2, 2.0, 1.0, 10),
         (1, 2.0, 1.0, 0),
+        // An unknown plan.
         (7, 1.0, 1.0, 0),
     ];
     for (plan, spread, units, wanted) in cases {
@@ -93,8 +94,8 @@
 fn counter_replies_update_reports_and_throttling() {
     use Outcome::*;
     // Replies in order (outcome, total); expected amount of the last report; whether a request is admitted.
-    type Answers = &'static [(Outcome, f32)];
-    let cases: [(Answers, f32, bool); 6] = [
+    type Replies = &'static [(Outcome, f32)];
+    let cases: [(Replies, f32, bool); 6] = [
         (&[(Succeeded, 2.0)], 0.0, true),
         (&[(Full, 0.0)], 2.0, true),
         // A report that timed out may have been added: it is not repeated.
@@ -105,12 +106,12 @@
         // A counter that lost its state neither ends the throttling nor resets the usage.
         (&[(Succeeded, 27.0), (Succeeded, 3.0)], 0.0, false),
     ];
-    for (answers, wanted, is_admitted) in cases {
+    for (replies, wanted, is_admitted) in cases {
         let mut harness = Harness::new(&settings(), 4);
         harness.send_request(1, 1, 0, 0, 1.0, 2.0);
         harness.send_request(1, 2, 0, 0, 1.0, 2.0);
         let mut ms = 1001;
-        for (outcome, total) in answers {
+        for (outcome, total) in replies {
             let outputs = harness.fire_timer(ms, report_tag(1));
             let Some(Output::Add(key, _)) = outputs.last() else { panic!("no report: {outputs:?}") };
             harness.gatekeeper.on_counter_reply(at(ms), *key, *outcome, *total);
@@ -119,17 +120,17 @@
         assert_eq!(harness.fire_timer(ms, report_tag(1)).len(), 1);
         ms += 1000;
         let got = sent_to(&harness.send_request(ms, 50, 0, 0, 0.5, 2.0)).is_some();
-        assert_eq!(got, is_admitted, "{answers:?}");
+        assert_eq!(got, is_admitted, "{replies:?}");
         let mut harness = Harness::new(&settings(), 4);
         harness.send_request(1, 1, 0, 0, 2.0, 2.0);
         let mut last_amount = 0.0;
-        for (n, (outcome, total)) in answers.iter().chain([&(Succeeded, 0.0)]).enumerate() {
+        for (n, (outcome, total)) in replies.iter().chain([&(Succeeded, 0.0)]).enumerate() {
             let outputs = harness.fire_timer(1001 + n as u64, report_tag(1));
             let Some(Output::Add(key, amount)) = outputs.last() else { panic!("no report: {outputs:?}") };
             last_amount = *amount;
             harness.gatekeeper.on_counter_reply(at(1001), *key, *outcome, *total);
         }
-        assert_eq!(last_amount, wanted, "{answers:?}");
+        assert_eq!(last_amount, wanted, "{replies:?}");
     }
 }
 
@@ -157,9 +158,9 @@
 fn unreadable_totals_are_not_counted_as_peer_usage() {
     let admitted = |failed_reply: (Outcome, f32)| {
         let mut harness = Harness::new(&settings(), 4);
-        let answers =
+        let replies =
             [(101, (Outcome::Succeeded, 1.0)), (201, failed_reply), (301, (Outcome::Succeeded, 3.0))];
-        for (n, (ms, (outcome, total))) in answers.into_iter().enumerate() {
+        for (n, (ms, (outcome, total))) in replies.into_iter().enumerate() {
             if n < 2 {
                 harness.send_request(ms, n as u32, 0, 0, 1.0 + n as f32, 2.0);
             }
@@ -231,9 +232,9 @@
     assert!((1..=3).contains(&tried.count()));
 }
 
-/// A worker that rejects attempts immediately has little load, but is ejected.
+/// A worker that fails attempts immediately has little load, but is not selected again.
 #[test]
-fn failing_workers_are_ejected() {
+fn failing_workers_are_avoided() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Reset] {
         let mut harness = Harness::new(&settings(), 2);
         let worker = sent_to(&harness.send_request(1, 1, 0, 2, 1.0, 1.0)).expect("attempt sent");
@@ -315,10 +316,10 @@
     assert_eq!(run(), run());
 }
 
-/// A concurrency limit below one holds on average, with an allowance for bursts. Attempts past their
-/// objective do not block it permanently.
+/// A small concurrency limit, even below one, holds on average, with an allowance for bursts. Attempts past
+/// their objective do not block it permanently.
 #[test]
-fn fractional_concurrency_limits_hold_on_average() {
+fn small_concurrency_limits_hold_on_average() {
     // gatekeepers, attempts sent at once, range of attempts sent for 500 requests in 10 s without replies
     for (gatekeepers, at_once, fewest, most) in [(10, 6, 30, 70), (400, 1, 1, 6)] {
         let large = Settings { gatekeepers, ..settings() };
@@ -404,7 +405,8 @@
     }
 }
 
-/// A worker that fails one kind of work is avoided for that kind only, and a health check does not reset it.
+/// A worker that fails one kind of work is avoided for that kind only, and a successful health check does
+/// not reset the failure rate.
 #[test]
 fn failure_rates_are_kept_by_kind_of_work() {
     for outcome in [Outcome::Full, Outcome::Errored] {
@@ -453,7 +455,8 @@
         harness.gatekeeper = Gatekeeper::new(at(0), seed, &large, &mut harness.port);
         let warming_up = WorkerInfo { started_at: Some(at(0)), ..worker_info(0, WorkerPhase::Ready) };
         harness.gatekeeper.on_worker_list(at(0), ListUpdate::Full, &[warming_up]);
-        // The minimum rate of all gatekeepers is one attempt per 2 s, for 10 s; initial tokens add to it.
+        // Half of the 100 gatekeepers run, for 10 s. The minimum rate of all together is one attempt per 2 s;
+        // initial tokens add to it.
         got += (0..50)
             .filter(|n| sent_to(&harness.send_request(u64::from(*n) * 200, *n, 1, 2, 1.0, 1.0)).is_some())
             .count();
@@ -464,7 +467,8 @@
 /// Workers with an open connection are preferred, unless they are idle for too long, slow or failing.
 #[test]
 fn connected_workers_are_preferred() {
-    // duration of an attempt, gap between requests, outcome; range of workers selected in 200 requests
+    // milliseconds from request to outcome and between requests, outcome; range of workers selected in 200
+    // requests
     let cases = [
         (50, 60, Outcome::Succeeded, 1, 60),
         // The connection is closed by then.
