--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -233,7 +233,8 @@
     })
 }
 
-/// Reads the end of an attempt up to the worker's load report. A use or an amount of 0 means none.
+/// Reads the end of an attempt up to the worker's load report. `quota_used` is sent as a percentage plus 1. A
+/// value of 0 for it or for `actual_units` means `None`.
 fn read_report<'a>(cursor: &mut Cursor) -> Result<AttemptReport<'a>, RecordError> {
     let request_id = RequestId(cursor.u32()?);
     let duration = cursor.span()?;
--- a/crates/config/src/json.rs
+++ b/crates/config/src/json.rs
@@ -185,7 +185,7 @@
             }
             out.push('}');
         }
-        // Only non-finite numbers fail, which a JSON text can't contain.
+        // Only non-finite numbers fail: a number in a JSON text may overflow to infinity.
         scalar => out.push_str(&scalar.stringify().unwrap_or_else(|_| "null".to_string())),
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -132,7 +132,7 @@
         let value = to_json(first);
         let fields = json::as_object(&value, "settings")?;
         let bind = Bind(section(fields, "bind")?);
-        // The keys that are most often invalid are checked first.
+        // Errors in these keys are reported before those in others.
         let (ip, ports, seeds) = (read_ip(fields)?, read_ports(fields)?, read_seeds(fields)?);
         Ok(Settings {
             node: required_text(fields, "node-name")?,
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -2,7 +2,7 @@
 //!
 //! It is stored, patched, distributed and returned in this form. [`crate::configuration`] holds the parsed
 //! form that the system acts on. A row is kept as the text of its values and shared between versions, so
-//! the cost of a change depends on the changed rows only.
+//! that a new version stores only the texts of changed rows.
 
 use std::collections::HashSet;
 use std::sync::Arc;
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -46,7 +46,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("local.yaml");
     let write = |text: &str| {
-        // Replaced atomically, as operators' tools do.
+        // The file is replaced atomically.
         let new = folder.path().join("new");
         std::fs::write(&new, text).expect("written");
         std::fs::rename(&new, &path).expect("renamed");
--- a/crates/dispatch/src/answers.rs
+++ b/crates/dispatch/src/answers.rs
@@ -63,7 +63,7 @@
     Nothing,
 }
 
-/// An attempt in flight that the caller must abort.
+/// An attempt that the caller must abort if it is in flight.
 #[derive(Debug, PartialEq)]
 pub struct Cancellation<T> {
     /// Caller's context of the request.
@@ -90,9 +90,10 @@
 pub struct DueWork<T> {
     /// Attempts to send.
     pub attempts: Vec<Assignment<T>>,
-    /// Attempts whose deadline has passed.
+    /// Attempts whose deadline has passed. One may have ended already if another attempt of its request is in
+    /// flight.
     pub timed_out: Vec<Cancellation<T>>,
-    /// Attempts whose result is no longer needed.
+    /// Attempts that the decision module has cancelled.
     pub cancelled: Vec<Cancellation<T>>,
     /// Replies to clients.
     pub replies: Vec<(T, RequestId, FinalReply)>,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -18,7 +18,7 @@
     gatekeeper: Gatekeeper,
     outbox: Outbox<T>,
     /// Events closer together than this are reported with the same time. After a stall, the decision module
-    /// recognizes the waiting requests by it.
+    /// recognizes the waiting requests by their common time.
     time_resolution: Span,
     last_request: u32,
 }
@@ -198,7 +198,7 @@
 pub(crate) fn catch_panic(call: impl FnOnce()) -> bool {
     let has_completed = catch_unwind(AssertUnwindSafe(call)).is_ok();
     if !has_completed {
-        log_limited!("decision module panicked; the current request fails with an error");
+        log_limited!("decision module panicked; a request being decided on fails with an error");
     }
     has_completed
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -2,7 +2,7 @@
 //! requests, reports the outcomes of attempts, and executes the actions that are due.
 //!
 //! Calls return at once: a lock is held briefly, never during I/O or a yield. A panic of the decision module
-//! ends the current request with an error and affects no other request.
+//! is caught; a request that it was deciding on ends with an error.
 //!
 //! - `dispatcher`: the entry points.
 //! - `outbox`: collects the actions of the decision module, and keeps its timers.
--- a/crates/dispatch/src/tests.rs
+++ b/crates/dispatch/src/tests.rs
@@ -30,7 +30,7 @@
         ..Settings::default()
     };
     let dispatcher = Dispatcher::new(at(0), 1, &settings);
-    let line = |n| WorkerInfo {
+    let worker_info = |n| WorkerInfo {
         worker: WorkerId(n),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -39,7 +39,7 @@
         weight: 1.0,
         started_at: None,
     };
-    dispatcher.update_workers(at(0), ListUpdate::Cached, &(0..workers).map(line).collect::<Vec<_>>());
+    dispatcher.update_workers(at(0), ListUpdate::Cached, &(0..workers).map(worker_info).collect::<Vec<_>>());
     dispatcher
 }
 
@@ -170,7 +170,7 @@
 /// The first reply aborts the other attempt; the end of the request aborts all.
 #[test]
 fn obsolete_attempts_are_cancelled() {
-    for leaves in [false, true] {
+    for client_leaves in [false, true] {
         let dispatcher = dispatcher(4);
         let assignment = forwarded(&dispatcher, 1, GET, 7);
         let hedge = loop {
@@ -181,7 +181,7 @@
             }
         };
         let of = |attempt| Cancellation { context: 7, request_id: assignment.request_id, attempt };
-        if leaves {
+        if client_leaves {
             assert_eq!(
                 dispatcher.end_request(at(500), assignment.request_id),
                 [of(assignment.attempt), of(hedge.attempt)]
@@ -201,7 +201,7 @@
 #[test]
 fn requests_within_the_time_resolution_share_a_stall() {
     // Time between the two requests read, and whether the second is recognized as having waited too long.
-    for (gap_us, known) in [(0, true), (900, true), (3_900, true), (4_100, false)] {
+    for (gap_us, is_recognized) in [(0, true), (900, true), (3_900, true), (4_100, false)] {
         let dispatcher = dispatcher(4);
         let mut ms = 0;
         while ms < 6000 {
@@ -214,7 +214,7 @@
                 dispatcher.report(at(ms), &assignment, Outcome::Succeeded, Span::from_millis(5), None);
             }
         }
-        // Nothing runs for two seconds, which the clients have spent waiting.
+        // The process stalls for two seconds while the clients wait.
         let is_rejected = |now: Time| {
             let request = Request {
                 id: RequestId(0),
@@ -231,7 +231,7 @@
         is_rejected(resumed_at);
         // The tick runs between the two requests.
         dispatcher.tick(resumed_at);
-        assert_eq!(is_rejected(resumed_at + Span::from_nanos(gap_us * 1000)), known, "{gap_us} us");
+        assert_eq!(is_rejected(resumed_at + Span::from_nanos(gap_us * 1000)), is_recognized, "{gap_us} us");
     }
 }
 
--- a/crates/routing/src/controller_contact.rs
+++ b/crates/routing/src/controller_contact.rs
@@ -2,7 +2,8 @@
 //!
 //! Without a controller that has quorum contact, the proxy may miss that a worker is warming up. After such
 //! an interruption the states are up to date again only once a snapshot was received.
-//! `Instance::is_unconfirmed` in the snapshot marks workers that could not report to any controller.
+//! `Instance::is_unconfirmed` in the snapshot marks workers that may be warming up again but have not
+//! reported since.
 
 use lynxstair::types::{Span, Time};
 
--- a/crates/routing/src/execution.rs
+++ b/crates/routing/src/execution.rs
@@ -8,7 +8,7 @@
     /// The request has not run and will not run: it was not sent completely, or the worker reported that it
     /// did not run.
     NeverRan,
-    /// It is unknown whether the request has run: no valid reply was received.
+    /// It is unknown whether the request has run: no conclusive reply was received.
     MayHaveRun,
     /// The worker ran the request and replied with a server error.
     Failed,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Returns `true` if the response may have a status that means "not run" (408, 421, 429 or 503). The
-    /// same holds for idempotent requests.
+    /// Returns `true` if the response may have a status that means "not run" (408, 421, 429 or 503). The rule
+    /// is the same for idempotent requests.
     pub fn may_claim_not_run(self) -> bool {
         self == Execution::NeverRan
     }
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -22,9 +22,10 @@
 use crate::slow_start::{SlowStart, WarmUpKnowledge, WarmUpQuery, WarmUpState, WarmUpUsage};
 
 /// Events closer together than this are simultaneous to the dispatcher.
-const DISPATCHER_STEP: Span = Span::from_millis(1);
-/// Divisor of the number of proxies that is passed to the dispatcher. The minimum concurrency that it
-/// allows at a worker, over all proxies, is below what a worker can serve within the latency targets.
+const DISPATCHER_TIME_RESOLUTION: Span = Span::from_millis(1);
+/// Divisor of the number of proxies that is passed to the dispatcher. The minimum concurrency that the
+/// dispatcher allows at a worker, over all proxies, is below what a worker can serve within the latency
+/// targets.
 const PROXY_COUNT_DIVISOR: u32 = 2;
 /// `Retry-After` if all localities are full, as a fraction of the route's latency target.
 const RETRY_AFTER_FRACTION: f64 = 0.25;
@@ -32,11 +33,11 @@
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
 /// Maximum number of operations of a service; the dispatcher numbers them with 8 bits.
 const MAX_OPERATIONS: usize = 200;
-/// Time-out of an attempt in the dispatcher, as a multiple of the latency target.
-const TIMEOUT_FACTOR: f64 = 4.0;
+/// Initial estimate of the time that clients wait for a response, as a multiple of the latency target.
+const CLIENT_TIMEOUT_FACTOR: f64 = 4.0;
 /// Value of a response after the latency target, as a fraction of the value of one in time.
 const LATE_RESPONSE_VALUE: f32 = 0.3;
-/// Time-out of idle connections in the dispatcher.
+/// Time after which the dispatcher regards an idle connection as closed.
 const IDLE_CONNECTION_TIMEOUT: Span = Span::from_millis(6_000);
 
 /// A worker instance that receives requests.
@@ -122,6 +123,7 @@
     operations: HashMap<String, Vec<(RouteKind, Span)>>,
     /// Rate that a worker of each service can take while warming up, in requests a second.
     warm_up_rates: HashMap<String, f64>,
+    /// Number of each instance in the dispatchers, by instance id.
     numbers: HashMap<String, WorkerId>,
     last_number: u64,
     slow_start: SlowStart,
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Applies a configuration. The localities of a service with new operations are rebuilt.
+    /// Applies a configuration. The localities of a service with new operations are rebuilt. If a service
+    /// would have more than `MAX_OPERATIONS`, its new operations are ignored and their requests rejected.
     pub fn configure(&mut self, now: Time, configuration: &Configuration) {
         let mut operations: HashMap<String, Vec<(RouteKind, Span)>> = HashMap::new();
         for route in configuration.all_routes() {
@@ -230,7 +233,7 @@
     fn new_dispatcher(&self, now: Time, (service, zone): &LocalityKey) -> Dispatcher<()> {
         let operation = |(kind, target): &(RouteKind, Span)| Operation {
             latency_objective: *target,
-            integration_timeout: target.times(TIMEOUT_FACTOR),
+            integration_timeout: target.times(CLIENT_TIMEOUT_FACTOR),
             late_value: LATE_RESPONSE_VALUE,
             billed_value: 1.0,
             idempotency: if kind.is_idempotent() {
@@ -241,7 +244,7 @@
         };
         let settings = Settings {
             gatekeepers: self.proxies_sending_to(zone).div_ceil(PROXY_COUNT_DIVISOR),
-            time_resolution: DISPATCHER_STEP,
+            time_resolution: DISPATCHER_TIME_RESOLUTION,
             operations: self
                 .operations
                 .get(service)
@@ -414,8 +417,9 @@
             }
         }
         let endpoints = || self.localities.values().flat_map(|locality| locality.endpoints.values());
-        let is_warming =
-            |id: &str| endpoints().any(|e| e.worker.id == id && now < e.warming_until + DISPATCHER_STEP);
+        let is_warming = |id: &str| {
+            endpoints().any(|e| e.worker.id == id && now < e.warming_until + DISPATCHER_TIME_RESOLUTION)
+        };
         self.slow_start.expire(now, is_warming);
         self.localities.retain(|_, locality| !locality.endpoints.is_empty());
     }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: limits the requests that a proxy sends to a worker that is, or may be, warming up.
 //!
 //! All proxies together may send such a worker rate x overshoot + slack requests in any second. Each worker
-//! has that many **permits**. They are split in whole numbers among the proxies by the replicated [proxy
-//! membership](lynxstair_control_state::proxy_membership); proxies of the worker's own zone hold most of
-//! them. A permit allows one request in any [`PERMIT_WINDOW`]. The limit holds even if proxies have
-//! different information on the worker:
+//! has that many **permits**, rounded down. They are split in whole numbers among the proxies by the
+//! replicated [proxy membership](lynxstair_control_state::proxy_membership); proxies of the worker's own zone
+//! hold most of them. A permit allows one request in any [`PERMIT_WINDOW`]. The limit holds even if proxies
+//! have different information on the worker:
 //!
 //! - the shares of all members never add up to more than the total, also during a membership change;
 //! - a process doesn't use its permits in its first second, because the previous process on the machine may
@@ -110,7 +110,7 @@
     /// Times at which the permits in use were taken.
     taken: Vec<Time>,
     tokens: TokenBucket,
-    /// Requests since the last report, by state of the worker.
+    /// Requests since the last `take_usage`, by state of the worker.
     sent_while_warming: u32,
     sent_while_unknown: u32,
 }
--- a/crates/routing/src/snapshot_requests.rs
+++ b/crates/routing/src/snapshot_requests.rs
@@ -1,7 +1,7 @@
 //! Schedules snapshot requests of a proxy that holds unconfirmed instances.
 //!
-//! The proxy requests a snapshot from a leader whose own instances are all confirmed. If instances stay
-//! unconfirmed after it, the next request follows with exponential back-off.
+//! The proxy requests a snapshot from a leader that has no unconfirmed ready instance. If instances stay
+//! unconfirmed at the proxy, the next request follows with exponential back-off.
 
 use lynxstair::types::{Span, Time};
 
@@ -25,7 +25,7 @@
     }
 
     /// Returns `true` if a snapshot must be requested from the leader that has just answered.
-    /// `knows_instances`: all instances of the leader are confirmed. `has_unconfirmed`: the proxy holds
+    /// `knows_instances`: the leader has no unconfirmed ready instance. `has_unconfirmed`: the proxy holds
     /// unconfirmed instances.
     pub fn poll(&mut self, now: Time, knows_instances: bool, has_unconfirmed: bool) -> bool {
         if !has_unconfirmed {
--- a/crates/routing/tests/attempt.rs
+++ b/crates/routing/tests/attempt.rs
@@ -5,7 +5,7 @@
 };
 use lynxstair_routing::execution::Execution;
 
-/// All combinations of the reply properties that an attempt evaluates.
+/// Reply heads with all combinations of their properties, for some statuses of each kind.
 fn replies() -> Vec<ReplyHead> {
     let mut all = Vec::new();
     for owner in [ReplyOwner::Own, ReplyOwner::Other, ReplyOwner::Unidentified, ReplyOwner::Ambiguous] {
--- a/crates/routing/tests/retry_budget.rs
+++ b/crates/routing/tests/retry_budget.rs
@@ -19,8 +19,8 @@
     assert!(retries > 150, "{retries}");
 }
 
-/// Proxies that restart repeatedly, without the number of proxies and their earlier use, stay within the
-/// budget if every request is retried.
+/// Proxies that restart repeatedly, and know neither the number of proxies nor their earlier retries, stay
+/// within the budget if every request is retried.
 #[test]
 fn restarts_do_not_renew_the_slack() {
     let (ratio, slack, proxies) = (0.2, 210.0, 90);
--- a/crates/routing/tests/slow_start_simulation.rs
+++ b/crates/routing/tests/slow_start_simulation.rs
@@ -44,7 +44,7 @@
         self.picked.clear();
     }
 
-    fn take_over(&mut self, now: Time, newest: &ProxyMembership) {
+    fn adopt_membership(&mut self, now: Time, newest: &ProxyMembership) {
         if self.held.revision < newest.revision {
             (self.held, self.held_since) = (newest.clone(), now);
             self.slow_start.iter_mut().for_each(|slow_start| slow_start.set_membership(newest));
@@ -156,7 +156,7 @@
                 if self.now - proxy.held_since >= MAX_CONFIRMATION_AGE { proxy.held.revision } else { 0 };
             self.planner.on_heartbeat(self.now, &proxy.node, proxy.zone, reported);
             if self.u.ratio(3, 4)? {
-                proxy.take_over(self.now, &newest);
+                proxy.adopt_membership(self.now, &newest);
             }
             // A confirmation may be up to `MAX_CONFIRMATION_AGE` old.
             let age = MAX_CONFIRMATION_AGE.nanos() / 1_000_000;
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -1,4 +1,5 @@
-//! JSON form of the settings. Unknown keys are ignored. Times are in nanoseconds.
+//! JSON form of the settings. Unknown keys are ignored. Times are in nanoseconds. The fields have the names
+//! of the JSON keys; `lib.rs` converts them to the terms of the decision module.
 
 use serde::Deserialize;
 
