--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -148,7 +148,7 @@
         inner.outbox.now = now;
         while let Some(timer) = inner.outbox.pop_due(now) {
             match timer {
-                Timer::Module(tag) => {
+                Timer::DecisionModule(tag) => {
                     self.call(now, &mut inner, |now, gatekeeper, outbox| {
                         gatekeeper.on_timer(now, tag, outbox)
                     });
--- a/crates/dispatch/src/outbox.rs
+++ b/crates/dispatch/src/outbox.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy)]
 pub(crate) enum Timer {
     /// Set by the decision module.
-    Module(TimerTag),
+    DecisionModule(TimerTag),
     /// Deadline of an attempt.
     AttemptDeadline(RequestId, AttemptNumber),
 }
@@ -68,7 +68,7 @@
     fn is_current(&self, timer: &Timer) -> bool {
         let attempt = match timer {
             Timer::AttemptDeadline(request, attempt) => Some((*request, *attempt)),
-            Timer::Module(tag) => match TimerEvent::from_tag(*tag) {
+            Timer::DecisionModule(tag) => match TimerEvent::from_tag(*tag) {
                 Some(TimerEvent::AttemptCheck(request, attempt)) => Some((request, attempt)),
                 _ => None,
             },
@@ -143,7 +143,7 @@
     fn set_timer(&mut self, after: Span, tag: TimerTag) {
         let grid = (after.nanos() / MAX_LATENESS_DIVISOR).checked_ilog2().map_or(1, |bits| 1 << bits);
         let since_start = (self.now + after - self.started_at).nanos().div_ceil(grid) * grid;
-        self.set(self.started_at + Span::from_nanos(since_start), Timer::Module(tag));
+        self.set(self.started_at + Span::from_nanos(since_start), Timer::DecisionModule(tag));
     }
 
     /// The list of workers is received without a subscription.
--- a/crates/routing/src/locality_balancer.rs
+++ b/crates/routing/src/locality_balancer.rs
@@ -22,7 +22,7 @@
 use crate::slow_start::{SlowStart, WarmUpKnowledge, WarmUpQuery, WarmUpState, WarmUpUsage};
 
 /// Events closer together than this are simultaneous to the dispatcher.
-const DISPATCHER_TIME_RESOLUTION: Span = Span::from_millis(1);
+const TIME_RESOLUTION: Span = Span::from_millis(1);
 /// Divisor of the number of proxies that is passed to the dispatcher. The minimum concurrency that the
 /// dispatcher allows at a worker, over all proxies, is below what a worker can serve within the latency
 /// targets.
@@ -244,7 +244,7 @@
         };
         let settings = Settings {
             gatekeepers: self.proxies_sending_to(zone).div_ceil(PROXY_COUNT_DIVISOR),
-            time_resolution: DISPATCHER_TIME_RESOLUTION,
+            time_resolution: TIME_RESOLUTION,
             operations: self
                 .operations
                 .get(service)
@@ -417,9 +417,8 @@
             }
         }
         let endpoints = || self.localities.values().flat_map(|locality| locality.endpoints.values());
-        let is_warming = |id: &str| {
-            endpoints().any(|e| e.worker.id == id && now < e.warming_until + DISPATCHER_TIME_RESOLUTION)
-        };
+        let is_warming =
+            |id: &str| endpoints().any(|e| e.worker.id == id && now < e.warming_until + TIME_RESOLUTION);
         self.slow_start.expire(now, is_warming);
         self.localities.retain(|_, locality| !locality.endpoints.is_empty());
     }
