--- a/crates/leases/src/leader/voter_change.rs
+++ b/crates/leases/src/leader/voter_change.rs
@@ -42,7 +42,8 @@
 }
 
 impl Voter {
-    /// Starts the replacement of a voter by another member, which is invited until it sends a hello.
+    /// Starts the replacement of a voter by another member, which is invited repeatedly until it is a voter
+    /// or the replacement is cancelled.
     pub(super) fn replace_voter(
         &mut self,
         now: Time,
--- a/crates/leases/src/raft_node.rs
+++ b/crates/leases/src/raft_node.rs
@@ -35,7 +35,7 @@
     /// Election time-out in ticks.
     election_timeout: usize,
     elections_started: u32,
-    /// Role at the last check by the voter.
+    /// `true` if this voter was the leader at its last check of the role.
     pub was_leader: bool,
     /// `true` if the voters changed since the last snapshot. A joining voter needs a snapshot that contains
     /// it.
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -56,8 +56,9 @@
     }
 }
 
-/// A replicated command. Each carries the state that it expects and is rejected if that state has changed,
-/// since a change of leader or a repeated request can put the same command into the log twice.
+/// A replicated command. A change of leader or a repeated request can put the same command into the log
+/// twice. So it carries the epoch that it expects, or the id of an operator's command, and is rejected if the
+/// epoch has changed or a command with this id has been applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     Grant {
--- a/crates/leases/src/times.rs
+++ b/crates/leases/src/times.rs
@@ -10,7 +10,8 @@
     pub tick: Span,
     /// Interval between heartbeats of the leader, in ticks.
     pub heartbeat_ticks: usize,
-    /// Minimum election time-out, in ticks. The actual time-out is random, up to twice as long.
+    /// Minimum election time-out, in ticks. The actual time-out is random, less than twice as long, plus an
+    /// extension for a slow disk.
     pub election_ticks: usize,
     /// Duration of a lease. A renewal starts it anew.
     pub lease: Span,
--- a/crates/leases/src/voter/joining.rs
+++ b/crates/leases/src/voter/joining.rs
@@ -167,7 +167,7 @@
     }
 
     /// Bootstraps a table once all initial voters have reported that they have none. Different sets of
-    /// identities form different clusters, and no cluster contains a quorum of another one's voters.
+    /// identities form clusters with different ids.
     fn try_bootstrap(&mut self, now: Time) {
         if !self.is_initial_voter() || !self.pending_writes.is_empty() {
             return;
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The incarnation is being written to disk. The member sends nothing until then.
+    /// An incarnation is being written to disk. It isn't sent to other members before the write has ended.
     Recording,
     /// The member sends joins.
     Joining,
@@ -62,7 +62,7 @@
     Heard,
     /// The member did not answer a probe of this or another member.
     NoAnswer,
-    /// The member did not refute a suspicion of this or another member in time.
+    /// The member did not refute a suspicion, raised by this or another member, in time.
     NoObjection,
     /// The member announced that it leaves.
     SaidSo,
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
     Healthy,
-    /// Ends with a reply to a probe with at least `min_request_number`.
+    /// Ends with a reply to a probe whose number is at least `min_request_number`.
     Degraded {
         reason: DegradedReason,
         since: Time,
@@ -78,8 +78,8 @@
         awake + self.paused
     }
 
-    /// Returns the length of the pause if the process runs later than the pause threshold after
-    /// `deadline`, at which its next timer was due.
+    /// Detects a pause of the process: returns its length if `now` is later than `deadline`, when the next
+    /// timer was due, by more than the pause threshold.
     pub fn observe(&mut self, now: Time, deadline: Option<Time>, times: &Times) -> Option<Span> {
         let late = now - deadline?;
         if !self.is_enabled || late <= times.pause_threshold {
@@ -107,9 +107,9 @@
         self.is_enabled && self.time_since_received(now) > times.isolation_threshold
     }
 
-    /// Marks the health as degraded. If it already is, only replies from `min_request_number` on end it
-    /// from now, unless the old and the new reason are both isolation. All changes go through this
-    /// method, [`Self::reply_received`] and [`Self::on_no_members`].
+    /// Marks the health as degraded until a reply to a probe from `min_request_number` on. If it is
+    /// degraded already, its reason stays, and the number is raised unless both reasons are isolation. All
+    /// changes go through this method, [`Self::reply_received`] and [`Self::on_no_members`].
     pub fn degrade(
         &mut self,
         now: Time,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -31,14 +31,15 @@
 use members::MemberEntry;
 use timers::Timeout;
 
-/// Members chosen for one join, recovery probe or suspicion notification, besides seeds.
+/// Number of members chosen for a join, a recovery probe, a refutation or the first round of suspicion
+/// notifications, besides seeds.
 const REQUEST_FANOUT: usize = 3;
 /// Gossip rounds in which a leaving member announces that it leaves.
 const LEAVE_ROUNDS: u32 = 4;
 /// Factor of the join interval between the joins of a member that was refused or is shut out.
 const REFUSED_BACKOFF_FACTOR: f64 = 8.0;
-/// Exchange intervals between two writes of the present members to disk, if they changed.
-const SAVE_MEMBERS_EXCHANGES: f64 = 5.0;
+/// Interval between two writes of the present members to disk, as a multiple of the exchange interval.
+const SAVE_MEMBERS_FACTOR: f64 = 5.0;
 
 /// Start-up parameters of a member.
 #[derive(Clone, Debug)]
@@ -63,7 +64,7 @@
     pub known_members: Vec<KnownMember>,
     /// Notices on disk.
     pub notices: Vec<Notice>,
-    /// Intervals and timeouts.
+    /// Intervals and time-outs.
     pub times: Times,
     /// Safeguards that are disabled; tests only.
     pub disabled: DisabledParts,
@@ -167,7 +168,8 @@
         self.next_identity = Some(next);
     }
 
-    /// Handles the end of the write of `incarnation`: starts to use it and, at start-up, to join.
+    /// Handles the end of the write of `incarnation`: starts to use it and, in the phase `Recording`, to
+    /// join.
     pub fn on_written(&mut self, now: Time, incarnation: Incarnation) {
         let is_written = |next: &mut Identity| next.incarnation == incarnation;
         let Some(next) = self.next_identity.take_if(is_written) else { return };
@@ -330,7 +332,7 @@
         }
         self.timers_set += 1;
         let next = self.timers.first_key_value().map_or(Time::default(), |((at, _), _)| *at);
-        let at = next + self.times.exchange_interval.times(SAVE_MEMBERS_EXCHANGES);
+        let at = next + self.times.exchange_interval.times(SAVE_MEMBERS_FACTOR);
         self.timers.insert((at, self.timers_set), Timeout::SaveMembers);
     }
 
@@ -366,8 +368,7 @@
         }
         while let Some(notification) = runtime.to_notify() {
             if notification == OwnedNotification::Defunct && self.is_participating() {
-                // Declared failed, or it replaced its own identity of before a restart: takes the next
-                // incarnation.
+                // A member can't refute a declared failure; it must start a later incarnation.
                 self.start_incarnation_after(self.local.incarnation, "declared failed by other members");
             }
         }
--- a/crates/membership/src/membership/health_checks.rs
+++ b/crates/membership/src/membership/health_checks.rs
@@ -10,10 +10,10 @@
 use crate::local_health::{DegradedReason, HealthChange};
 use crate::status::State;
 
-/// Isolation thresholds from the start of an incarnation to its first health check.
-const FIRST_HEALTH_CHECK_THRESHOLDS: f64 = 0.5;
-/// Isolation thresholds between two health checks.
-const HEALTH_CHECK_THRESHOLDS: f64 = 0.25;
+/// Delay of the first health check of an incarnation, as a multiple of the isolation threshold.
+const FIRST_HEALTH_CHECK_FACTOR: f64 = 0.5;
+/// Interval between two health checks, as a multiple of the isolation threshold.
+const HEALTH_CHECK_FACTOR: f64 = 0.25;
 
 impl Membership {
     /// Detects a pause of the process from the delay of its next timer. Entry points call this first.
@@ -58,8 +58,8 @@
         self.notify_all_suspects(now);
     }
 
-    /// Notifies all suspected members, so that they can refute the suspicion. They may have missed it
-    /// while this member was isolated.
+    /// Notifies all suspected members, so that they can refute the suspicion. Earlier notifications may
+    /// not have arrived while this member was isolated.
     pub(super) fn notify_all_suspects(&mut self, now: Time) {
         let suspects = self.members.values().filter(|member| member.state() == State::Suspected);
         let names: Vec<_> = suspects.map(|member| member.identity.name.clone()).collect();
@@ -70,14 +70,14 @@
 
     /// Schedules the first health check of an incarnation.
     pub(super) fn start_health_checks(&mut self, now: Time) {
-        let first_check = self.times.isolation_threshold.times(FIRST_HEALTH_CHECK_THRESHOLDS);
+        let first_check = self.times.isolation_threshold.times(FIRST_HEALTH_CHECK_FACTOR);
         self.restart_timer(now, Timeout::CheckHealth, first_check);
     }
 
     /// Checks for isolation, drops old name conflicts, and gossips durable notices again if a member
-    /// came back.
+    /// became present.
     pub(super) fn check_health(&mut self, now: Time) {
-        let interval = self.times.isolation_threshold.times(HEALTH_CHECK_THRESHOLDS);
+        let interval = self.times.isolation_threshold.times(HEALTH_CHECK_FACTOR);
         self.restart_timer(now, Timeout::CheckHealth, interval);
         if self.phase == Phase::In {
             if self.present().next().is_none() {
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -1,8 +1,8 @@
 //! Joining a fleet, and responding to joins of other members.
 //!
-//! A name belongs to one process at a time. A join is refused while another process with the name still
-//! answers. If the name already had the joiner's incarnation or a later one, the joiner starts the next
-//! one.
+//! A name belongs to one process at a time. A join is refused while another process, at another address,
+//! holds the name and answers. If the name already had the joiner's incarnation or a later one, the joiner
+//! starts the next one.
 
 use std::net::SocketAddrV4;
 
@@ -85,7 +85,7 @@
         self.restart_timer(now, Timeout::ReportLinks, self.times.exchange_interval);
         self.restart_timer(now, Timeout::SaveMembers, self.times.exchange_interval);
         self.restart_timer(now, Timeout::ContactMissing, self.times.exchange_interval);
-        // This incarnation resolves the suspicions of the previous one.
+        // Suspicions left from the previous incarnation: notify the suspects again before they expire.
         for (suspect, swim_incarnation) in self.take_expiry_timers() {
             let timeout = Timeout::UnresolvedSuspicion(suspect, swim_incarnation);
             self.set_timer(now, timeout, self.times.suspicion_timeout);
--- a/crates/membership/src/membership/link_reports.rs
+++ b/crates/membership/src/membership/link_reports.rs
@@ -9,12 +9,12 @@
 use crate::notices::{MAX_LISTED_MEMBERS, Notice};
 use crate::packet::Packet;
 
-/// Most members that count as few. A member that receives from few others reports those.
-const MAX_FEW_MEMBERS: usize = 3;
-/// The number of present members divided by this is an upper limit of few members.
-const FEW_MEMBERS_DIVISOR: usize = 4;
-/// Isolation thresholds within which a sender is recent.
-const RECENT_THRESHOLDS: f64 = 2.0;
+/// Number of recent senders up to which a report lists them as the only reachable members.
+const MAX_LISTED_SENDERS: usize = 3;
+/// In small fleets, the limit is one sender per this number of present members.
+const PRESENT_PER_LISTED_SENDER: usize = 4;
+/// Time for which a sender counts as recent, as a multiple of the isolation threshold.
+const RECENT_FACTOR: f64 = 2.0;
 
 /// The last report that was sent.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
 
 impl Membership {
     /// Gossips a report of this member's links if it changed. A report that lists the reachable members
-    /// is also sent directly, every time, to the latest senders: few other members would receive it.
+    /// is also sent directly, every time, to the latest senders: gossip would reach few other members.
     pub(super) fn report_links(&mut self, now: Time) {
         if self.phase != Phase::In {
             return;
@@ -64,8 +64,8 @@
         let whole = self.present_with_link(LinkState::Whole);
         // A small number of recent senders is known before the probes have found each link cut.
         let senders = self.recent_direct_senders(now);
-        let max_few = (self.present().count() / FEW_MEMBERS_DIVISOR).min(MAX_FEW_MEMBERS);
-        let has_few_senders = senders.len() <= max_few;
+        let max_listed = (self.present().count() / PRESENT_PER_LISTED_SENDER).min(MAX_LISTED_SENDERS);
+        let has_few_senders = senders.len() <= max_listed;
         let is_mostly_cut = cut.len() > whole.len() && !whole.is_empty();
         let lists_reachable = !senders.is_empty() && has_few_senders || is_mostly_cut;
         let mut members = match (lists_reachable, has_few_senders) {
@@ -85,7 +85,7 @@
     }
 
     fn recent_direct_senders(&self, now: Time) -> Vec<Name> {
-        let lately = self.times.isolation_threshold.times(RECENT_THRESHOLDS);
+        let lately = self.times.isolation_threshold.times(RECENT_FACTOR);
         let last_received_at = |name: &Name| self.links.get(name).and_then(|link| link.last_received_at());
         let names = self.present().map(|member| &member.identity.name);
         names.filter(|name| last_received_at(name).is_some_and(|at| now - at <= lately)).cloned().collect()
--- a/crates/membership/src/membership/members.rs
+++ b/crates/membership/src/membership/members.rs
@@ -15,7 +15,7 @@
 /// State of a member in `foca`, and its SWIM incarnation there.
 pub(super) type SwimState = (foca::State, u16);
 
-/// What this member knows of another member.
+/// Another member as seen by this one.
 #[derive(Clone, Debug)]
 pub(super) struct MemberEntry {
     pub identity: Identity,
@@ -125,10 +125,10 @@
         }
     }
 
-    /// Warns a newly suspected member and sets a timer for the suspicion. The timer covers the case that
-    /// the gossip about the end of the suspicion does not reach this member.
+    /// Notifies a newly suspected member and sets a timer for the suspicion. The timer covers the case
+    /// that the gossip about the end of the suspicion does not reach this member.
     fn on_member_suspected(&mut self, now: Time, suspect: &Identity, swim_incarnation: u16) {
-        self.warn_suspect(now, suspect, swim_incarnation);
+        self.notify_new_suspect(now, suspect, swim_incarnation);
         let after = self.health.extended(self.times.suspicion_timeout).times(2.0);
         self.set_timer(now, Timeout::UnresolvedSuspicion(suspect.clone(), swim_incarnation), after);
     }
@@ -154,8 +154,8 @@
         let is_same_incarnation = status.incarnation() == identity.incarnation;
         let is_other_run = member.identity.run != identity.run;
         if is_other_run && is_same_incarnation && swim_state.0 != foca::State::Down {
-            // Two runs with one incarnation: the later run lost its disk, and the members that accepted
-            // it did not know the earlier run. It must start a later incarnation.
+            // Two runs with one incarnation: one lost its disk, and the members that accepted it did not
+            // know the other. The run that `foca` keeps must start a later incarnation.
             let known = identity.incarnation;
             return self.send(identity.addr, &Packet::StaleIncarnation { identity: identity.clone(), known });
         }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -153,7 +153,7 @@
         if is_handled { Ok(()) } else { Err(DropReason::Malformed) }
     }
 
-    /// Checks that a message is from another member, is for this one, and keeps the member limit.
+    /// Checks that a message is from another member, is for this one, and does not exceed the member limit.
     fn check_swim(&self, header: &Header<Identity>, members: &[Member<Identity>]) -> Result<(), DropReason> {
         if header.src.name == self.local.name {
             return Err(DropReason::NameConflict);
--- a/crates/membership/src/membership/relaying.rs
+++ b/crates/membership/src/membership/relaying.rs
@@ -50,8 +50,9 @@
         Ok(())
     }
 
-    /// Sends a message of `foca` directly, and through relays if the member did not answer the last
-    /// direct probe. An answer to a relayed message goes back through its relay only.
+    /// Sends a message of `foca` directly. Probes, their answers and `TurnUndead` also go through relays if
+    /// the member did not answer the last direct probe. An answer to a relayed message goes back through
+    /// its relay only.
     pub(super) fn send_swim(&mut self, to: &Identity, swim: &[u8]) {
         let Some(header) = decode_header(&mut &swim[..]) else { return };
         if self.disabled.no_relays && matches!(header.message, Message::PingReq { .. }) {
@@ -83,7 +84,7 @@
     }
 
     /// Chooses random relays to a member among the present members that need no relay themselves and
-    /// that neither side reports as cut off from the other; if there are none, among all present
+    /// that neither side reports as cut off from the other; if there are none, among all other present
     /// members.
     fn select_relays(&mut self, to: &Name) -> Vec<SocketAddrV4> {
         let notices = self.notices.lock();
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -19,10 +19,10 @@
 use crate::packet::{DropReason, Packet};
 use crate::status::State;
 
-/// Notifications that a member sends to a suspect within the suspicion time-out.
+/// Rounds of notifications to a suspect within the suspicion time-out.
 pub(super) const SUSPECT_NOTIFICATION_ROUNDS: u32 = 3;
-/// Average number of members that warn a suspect after they received the suspicion by gossip.
-const EXPECTED_WARNINGS: f64 = 8.0;
+/// Average number of members that notify a suspect after they received the suspicion by gossip.
+const EXPECTED_NOTIFIERS: f64 = 8.0;
 
 impl Membership {
     /// Probes some members and a seed while the local health is degraded. A reply ends the degraded state.
@@ -125,8 +125,8 @@
     }
 
     /// Notifies a member that it is suspected: directly, through the members that it reports as
-    /// reachable, through the latest senders here, and through random members, twice as many in each
-    /// round.
+    /// reachable, through the latest direct senders to this member, and through random members, twice as
+    /// many in each round.
     pub(super) fn notify_suspect(&mut self, now: Time, name: Name, rounds_left: u32) {
         let Some(member) = self.members.get(&name).filter(|member| member.state() == State::Suspected) else {
             return;
@@ -135,7 +135,7 @@
             return;
         }
         if !self.is_participating() {
-            // Other members would ignore this incarnation, which is ending.
+            // Other members may ignore notifications from this incarnation, so try again later.
             return self.set_timer(now, Timeout::NotifySuspect(name, rounds_left), self.times.probe_timeout);
         }
         let suspect = member.identity.clone();
@@ -234,10 +234,10 @@
         }
     }
 
-    /// Warns a newly suspected member if this one has received from it directly: the members that
+    /// Notifies a newly suspected member if this one has received from it directly: the members that
     /// suspect it may not reach it. In a large fleet, only a random part of the members does so, and those
     /// that received from it recently or that it lists as reachable.
-    pub(super) fn warn_suspect(&mut self, now: Time, suspect: &Identity, swim_incarnation: u16) {
+    pub(super) fn notify_new_suspect(&mut self, now: Time, suspect: &Identity, swim_incarnation: u16) {
         let name = &suspect.name;
         let last_received_at = self.links.get(name).and_then(|link| link.last_received_at());
         let may_reach = !self.links.needs_relay(name) && !self.disabled.no_relays;
@@ -247,7 +247,7 @@
         let names_this_member =
             |report: crate::notices::LinkReport| report.lists_as_reachable(&self.local.name);
         let is_named = self.notices.lock().link_report(name).is_some_and(names_this_member);
-        let chance = EXPECTED_WARNINGS / self.members.len().max(1) as f64;
+        let chance = EXPECTED_NOTIFIERS / self.members.len().max(1) as f64;
         if is_recent || is_named || chance >= 1.0 || self.rng.random_bool(chance) {
             let (from, suspect) = (self.local.clone(), suspect.clone());
             self.send(suspect.addr, &Packet::Suspected { from, suspect, swim_incarnation });
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -68,7 +68,8 @@
         self.set_timer(now, timeout, after);
     }
 
-    /// Fires all timers that are due.
+    /// Fires all timers that are due. While the local health is degraded, postpones those that may declare
+    /// a member failed.
     pub fn tick(&mut self, now: Time) {
         self.observe(now);
         let mut postponed = Vec::new();
@@ -78,7 +79,7 @@
             }
             let timeout = entry.remove();
             let may_declare_failed = timeout.may_declare_failed();
-            // If no member was received from lately, this one may be isolated.
+            // If no message was received lately, this member may be isolated.
             if may_declare_failed && self.phase == Phase::In && self.health.is_isolated(now, &self.times) {
                 self.degrade(now, DegradedReason::Isolated);
             }
--- a/crates/membership/src/notices.rs
+++ b/crates/membership/src/notices.rs
@@ -15,7 +15,7 @@
 
 /// Length limit of a reason, in bytes.
 const MAX_REASON_BYTES: usize = 96;
-/// Most members in one link report.
+/// Maximum number of members in a link report.
 pub(crate) const MAX_LISTED_MEMBERS: usize = 12;
 /// Number of topics: departure, admission and links.
 const TOPICS_PER_MEMBER: usize = 3;
@@ -236,7 +236,7 @@
     }
 }
 
-/// All valid notices, and those received since the last call of [`Notices::take_new`].
+/// All valid notices, and those that were new since the last call of [`Notices::take_new`].
 #[derive(Debug, Default)]
 pub(crate) struct Notices {
     current: HashMap<NoticeKey, Notice>,
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Last link report of the member.
+    /// Last link report of the member, or `None` if there is none.
     pub fn link_report(&self, name: &Name) -> Option<LinkReport<'_>> {
         match self.get(Topic::Links, name) {
             Some(Notice::Links { lists_reachable, members, .. }) => {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Incarnation in which the member left.
+    /// Last incarnation in which the member left, or `None` if it never did.
     pub fn left_incarnation(&self, name: &Name) -> Option<Incarnation> {
         match self.get(Topic::Left, name) {
             Some(Notice::Left { incarnation, .. }) => Some(*incarnation),
@@ -311,7 +311,7 @@
         std::mem::take(&mut self.new)
     }
 
-    /// Returns the admission notices. They are gossiped again when a member comes back.
+    /// Returns the admission notices. They are gossiped again when a member becomes present.
     pub fn durable(&self) -> Vec<Notice> {
         let is_durable = |notice: &&Notice| matches!(notice, Notice::ShutOut { .. } | Notice::LetIn { .. });
         self.current.values().filter(is_durable).cloned().collect()
--- a/crates/membership/src/notices/tests.rs
+++ b/crates/membership/src/notices/tests.rs
@@ -43,19 +43,19 @@
         (vec![shut_out(3), shut_out(1), let_in(2)], true),
     ];
     for (order, expected) in cases {
-        let board = SharedNotices::new(10);
+        let notices = SharedNotices::new(10);
         for notice in order.clone() {
-            board.lock().insert(notice);
+            notices.lock().insert(notice);
         }
-        assert_eq!(board.lock().shut_out(&name("g1")).is_some(), expected, "{order:?}");
+        assert_eq!(notices.lock().shut_out(&name("g1")).is_some(), expected, "{order:?}");
     }
 }
 
 #[test]
 fn number_of_stored_notices_is_limited() {
-    let board = SharedNotices::new(4);
+    let notices = SharedNotices::new(4);
     for n in 0..100 {
-        board.lock().insert(Notice::LetIn { name: name(&format!("g{n}")), number: 1 });
+        notices.lock().insert(Notice::LetIn { name: name(&format!("g{n}")), number: 1 });
     }
-    assert_eq!(board.lock().durable().len(), 12);
+    assert_eq!(notices.lock().durable().len(), 12);
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -162,7 +162,7 @@
         suspect: Identity,
         swim_incarnation: u16,
     },
-    /// Tells the receiver `identity` that its name already had the incarnation `known`; it must start a
+    /// Notifies the receiver `identity` that its name already had the incarnation `known`; it must start a
     /// later one.
     StaleIncarnation {
         identity: Identity,
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Known by name only: restored from disk, or let in again. In a view, also a present member while
-    /// this one is isolated.
+    /// No state is known, for example after the member was restored from disk or let in again. In a view,
+    /// also the state of a present member while this one is isolated.
     Unknown,
     /// The member sent a join, and no message or gossip about it was received yet.
     Joining,
@@ -42,7 +42,7 @@
         matches!(self, State::Alive | State::Suspected)
     }
 
-    /// Returns `true` if only a later incarnation of the member can be present again.
+    /// Returns `true` if no single transition within the incarnation leads from this state to a present one.
     pub fn is_final(self) -> bool {
         matches!(self, State::Failed | State::Left | State::ShutOut)
     }
--- a/crates/membership/src/status/tests.rs
+++ b/crates/membership/src/status/tests.rs
@@ -24,8 +24,8 @@
 }
 
 proptest! {
-    /// In any order of changes, incarnations never decrease, and a final state never becomes present
-    /// again within one incarnation.
+    /// In any order of changes, incarnations never decrease, and no change leads from a final state to a
+    /// present one within an incarnation.
     #[test]
     fn incarnations_never_decrease(changes in proptest::collection::vec((0..7usize, 0..5u64), 0..60)) {
         let mut member = MemberStatus::unknown(Incarnation(0));
