--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -36,10 +36,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TrialSwitches {
-    /// Safety mechanisms of membership that are disabled, to check that a trial detects their absence.
+    /// Safeguards of membership that are disabled, to check that a trial detects the resulting faults.
     #[serde(rename = "broken")]
     pub disabled_membership_parts: DisabledParts,
-    /// Safety mechanisms of leases and of the voters that are disabled.
+    /// Safeguards of leases and of the voters that are disabled.
     #[serde(rename = "broken_ownership")]
     pub disabled_lease_parts: lynxstair_leases::DisabledParts,
     /// While this file exists, writes of records fail as on a full disk.
@@ -58,7 +58,7 @@
     pub fleet: Name,
     /// Name of this member.
     pub name: Name,
-    /// Failure domain of this member.
+    /// Zone of this member.
     pub zone: Name,
     /// Address of the datagram socket.
     pub bind: SocketAddrV4,
@@ -74,7 +74,7 @@
     pub history: Option<PathBuf>,
     /// Format of log lines.
     pub log: LogFormat,
-    /// Seed of all random choices, for trials; `None` for a random seed.
+    /// Seed of the random choices of membership, leases and export, for trials; `None` for a random seed.
     pub seed: Option<u64>,
     /// Intervals and time-outs of membership.
     pub times: Times,
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 struct DiskState {
-    /// Error of the last write of an incarnation; `None` if it succeeded.
+    /// Error of the last write of an incarnation; `None` if it did not fail.
     error: Option<String>,
     /// Time of the next attempt and the record to write.
     retry: Option<(Time, Record)>,
@@ -172,7 +172,7 @@
         lock(&self.membership).view(now)
     }
 
-    /// Returns the error of the last incarnation write; `None` if it succeeded.
+    /// Returns the error of the last incarnation write; `None` if it did not fail.
     pub fn disk_error(&self) -> Option<String> {
         lock(&self.disk).error.clone()
     }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -39,7 +39,7 @@
 pub(crate) struct RunIdentity {
     /// Distinguishes this process from others of the same member.
     pub run: u32,
-    /// Seed of all random choices; a configured seed takes precedence.
+    /// Seed of the random choices of membership, leases and export; a configured seed takes precedence.
     pub seed: u64,
 }
 
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -23,7 +23,7 @@
     Status,
     /// Makes the member leave the fleet. It continues to serve requests.
     Leave,
-    /// Excludes a member until it is readmitted by [`Request::LetIn`].
+    /// Shuts a member out until it is let in again by [`Request::LetIn`].
     ShutOut {
         /// The member's name.
         name: Name,
@@ -31,12 +31,12 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Readmits an excluded member.
+    /// Lets a member that is shut out join again.
     LetIn {
         /// The member's name.
         name: Name,
     },
-    /// Returns the owners of all duties, confirmed by a majority of the voters. The client repeats the
+    /// Returns the owners of all duties, confirmed by a quorum of the voters. The client repeats the
     /// request with the same id while the response is [`Response::Pending`].
     Owners {
         /// Request id chosen by the client; identifies repeated requests.
@@ -45,8 +45,9 @@
     /// Returns the member's local state as voter and duty holder, without contacting the voters.
     #[serde(rename = "own")]
     LocalRoles,
-    /// Fetches the first usage batch after `stored_up_to` and deletes the batches up to it. If `stream` is
-    /// not the member's stream, deletes nothing and returns only the id of that stream.
+    /// Fetches the first usage batch after `stored_up_to`. The member then deletes the batches up to
+    /// `stored_up_to`. If `stream` is not the member's stream, nothing is deleted and the response has no
+    /// batch.
     #[serde(rename = "uses")]
     Usage {
         /// The expected stream; `None` if not known yet.
@@ -85,7 +86,7 @@
     },
 }
 
-/// Status of a duty, confirmed by a majority of the voters.
+/// Status of a duty, confirmed by a quorum of the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DutyStatus {
     /// The duty's name.
@@ -96,7 +97,7 @@
     pub epoch: Epoch,
     /// Time of the grant in Unix milliseconds, by the clock of the voter that granted it.
     pub since_unix_ms: u64,
-    /// Name of the voter that led when it was granted.
+    /// Name of the voter that was leader at the last grant.
     pub granted_by: String,
     /// Next owner in a hand-over that is not finished; `None` otherwise.
     #[serde(rename = "meant_for")]
@@ -105,12 +106,12 @@
     pub state_bytes: usize,
 }
 
-/// A voter, confirmed by a majority of the voters.
+/// A voter, confirmed by a quorum of the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterStatus {
     /// The member's name.
     pub name: String,
-    /// Id drawn by the voter when its records begin.
+    /// Random id of the voter; a voter that loses its records takes a new one.
     pub id: u64,
     /// Address that other members send to.
     pub addr: SocketAddrV4,
@@ -122,7 +123,7 @@
 pub struct UsageCounts {
     /// Requests to record.
     pub total: u64,
-    /// Requests that were dropped because the log or its memory buffer was full.
+    /// Requests whose usage was not recorded because the log or its memory buffer was full.
     pub unrecorded: u64,
 }
 
@@ -150,7 +151,7 @@
         version: String,
         /// The member's view of the fleet.
         view: Box<View>,
-        /// Error of the last incarnation write; `None` if it succeeded.
+        /// Error of the last incarnation write; `None` if it did not fail.
         #[serde(rename = "disk")]
         disk_error: Option<String>,
         /// Datagrams dropped by the rate limit.
@@ -206,7 +207,7 @@
     /// The voters have not replied yet; the client repeats the request.
     #[serde(rename = "waits")]
     Pending,
-    /// The outcome is unknown, for instance because no majority of the voters was reached.
+    /// The outcome is unknown, for instance because no quorum of the voters was reached.
     Unknown {
         /// Human-readable reason.
         #[serde(rename = "why")]
--- a/crates/cluster/src/usage_log.rs
+++ b/crates/cluster/src/usage_log.rs
@@ -99,9 +99,9 @@
     is_failing: AtomicBool,
     /// Set while the sealed segments exceed [`MAX_BYTES_ON_DISK`].
     is_full: AtomicBool,
-    /// Calls of [`UsageLog::record`].
+    /// Number of calls of [`UsageLog::record`].
     total: AtomicU64,
-    /// Those of which nothing was recorded.
+    /// Number of calls of [`UsageLog::record`] that recorded nothing.
     unrecorded: AtomicU64,
     /// Usage that is not at the sink yet, in thousandths of a unit.
     pending_milli_units: AtomicU64,
@@ -273,7 +273,7 @@
         self.pending_milli_units.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of requests to record and of those that were dropped.
+    /// Returns the number of requests to record and of those whose usage was not recorded.
     pub(crate) fn counts(&self) -> UsageCounts {
         UsageCounts {
             total: self.total.load(Ordering::Relaxed),
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -9,11 +9,11 @@
 use crate::message::HttpMessage;
 use crate::{bind_listener, lock, ok_response, serve};
 
-/// A running counter and what it received.
+/// A running counter, with the requests and connections that it received.
 pub struct Counter {
     /// Listening address.
     pub addr: SocketAddr,
-    /// Request lines received.
+    /// Request lines received; stays empty for [`start_adding_counter`].
     pub request_lines: Arc<Mutex<Vec<String>>>,
     /// Number of connections that ended.
     pub connections_closed: Arc<AtomicU32>,
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -224,7 +224,7 @@
                 thread::sleep((due - now).min(STOP_CHECK_INTERVAL));
                 continue;
             }
-            // Requests that are overdue are skipped, not sent later.
+            // Of several overdue requests, one more is sent at once; the others are skipped.
             due = (due + self.interval).max(now);
             self.send_request(&mut connection);
         }
@@ -249,7 +249,7 @@
             tenant_request_text(tenant, operation, "wide", &format!("{id:016x}"), CLIENT_TIMEOUT_MS);
         let sent_at = monotonic_nanos();
         if connection.get_mut().write_all(request.as_bytes()).is_err() {
-            // The request was not sent, because the connection had ended.
+            // The request could not be written because the connection had ended; it has no outcome.
             return;
         }
         let mut outcome = RequestOutcome {
--- a/crates/fakes/src/message.rs
+++ b/crates/fakes/src/message.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads a line without its line ending; `None` at the end of the connection.
+/// Reads a line without trailing white space; `None` at the end of the connection.
 fn read_line(from: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     from.read_line(&mut line).ok().filter(|bytes| *bytes > 0)?;
--- a/crates/fakes/src/sink.rs
+++ b/crates/fakes/src/sink.rs
@@ -98,11 +98,11 @@
     /// Listening address.
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
-    /// Whether the sink closes connections without handling requests.
+    /// `true` while the sink closes connections without handling requests.
     pub is_down: Arc<AtomicBool>,
     /// Number of further requests that are handled without sending the response.
     pub responses_to_lose: Arc<AtomicU32>,
-    /// For trials: whether requests with a lower epoch than the highest seen are accepted.
+    /// For trials: `true` if requests with a lower epoch than the highest seen are accepted.
     pub accepts_stale_epochs: Arc<AtomicBool>,
 }
 
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -39,7 +39,7 @@
     Hang,
 }
 
-/// What the workers of a test received.
+/// Attempts and connections that the workers of a test received.
 #[derive(Default)]
 pub struct WorkerLog {
     /// Attempts, each with the number of the worker that received it.
