--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -48,15 +48,15 @@
         if !matches!(self.phase, Phase::Joining | Phase::Refused | Phase::ShutOut) {
             return;
         }
-        let mut asked = self.seeds.clone();
+        let mut targets = self.seeds.clone();
         let known = self.members.values().map(|member| member.identity.addr);
-        let known: Vec<_> = known.filter(|addr| !asked.contains(addr)).collect();
-        asked.extend(known.sample(&mut self.rng, REQUEST_FANOUT).copied());
-        if asked.is_empty() && self.phase == Phase::Joining {
+        let known: Vec<_> = known.filter(|addr| !targets.contains(addr)).collect();
+        targets.extend(known.sample(&mut self.rng, REQUEST_FANOUT).copied());
+        if targets.is_empty() && self.phase == Phase::Joining {
             return self.enter_fleet(now, "first member of the fleet");
         }
         let number = self.next_request_number();
-        for to in asked {
+        for to in targets {
             let from = self.local.clone();
             self.send(to, &Packet::Join { from, number });
         }
@@ -105,9 +105,9 @@
         let is_unknown = |member: &&super::MemberEntry| member.state() == State::Unknown;
         let unknown = self.members.values().filter(is_unknown).map(|member| member.identity.addr);
         let unknown: Vec<_> = unknown.filter(|addr| !present.contains(addr)).collect();
-        let mut asked: Vec<_> = self.seeds.iter().filter(|seed| !present.contains(seed)).copied().collect();
-        asked.extend(unknown.choose(&mut self.rng));
-        for to in asked {
+        let mut targets: Vec<_> = self.seeds.iter().filter(|seed| !present.contains(seed)).copied().collect();
+        targets.extend(unknown.choose(&mut self.rng));
+        for to in targets {
             let (from, number) = (self.local.clone(), self.next_request_number());
             self.send(to, &Packet::Join { from, number });
         }
--- a/crates/membership/src/membership/link_reports.rs
+++ b/crates/membership/src/membership/link_reports.rs
@@ -85,9 +85,9 @@
     }
 
     fn recent_direct_senders(&self, now: Time) -> Vec<Name> {
-        let lately = self.times.isolation_threshold.times(RECENT_FACTOR);
+        let max_age = self.times.isolation_threshold.times(RECENT_FACTOR);
         let last_received_at = |name: &Name| self.links.get(name).and_then(|link| link.last_received_at());
         let names = self.present().map(|member| &member.identity.name);
-        names.filter(|name| last_received_at(name).is_some_and(|at| now - at <= lately)).cloned().collect()
+        names.filter(|name| last_received_at(name).is_some_and(|at| now - at <= max_age)).cloned().collect()
     }
 }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -163,9 +163,9 @@
         drop(notices);
         to.push(suspect.addr);
         to.extend(others.sample(&mut self.rng, fanout).copied());
-        let lately =
+        let latest =
             self.latest_direct_senders().into_iter().filter(|identity| identity.name != suspect.name);
-        to.extend(lately.map(|identity| identity.addr));
+        to.extend(latest.map(|identity| identity.addr));
         to.sort_unstable();
         to.dedup();
         to
