--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -47,14 +47,15 @@
 #[derive(Clone, Debug)]
 pub struct Consensus {
     pub(crate) me: NodeAddress,
-    /// Seed of the random numbers, and the number drawn so far. A clone continues the same sequence
-    /// independently.
+    /// Seed of the random numbers, and the count of numbers drawn so far. A clone continues the same
+    /// sequence independently.
     seed: u64,
     draws: u64,
     /// Target number of voters.
     pub(crate) target_voters: usize,
     pub(crate) tolerated_disk_losses: usize,
-    /// Time without a reply after which a voter is replaced if a learner can take its place.
+    /// Time without a reply after which a voter is replaced if a learner can take its place, or removed if
+    /// there are more voters than the target number.
     pub(crate) voter_timeout: Span,
     pub(crate) persistent: PersistentState,
     /// Newest position that is known to be synced on this node's disk.
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -41,7 +41,8 @@
         to.map(|to| Envelope { to, message: message.clone() }).collect()
     }
 
-    /// Rejects a pre-vote while there is a current leader. A granted pre-vote does not bind the voter.
+    /// Replies to a pre-vote. Rejects it while there is a current leader, or if its term or state is not new
+    /// enough. A granted pre-vote does not bind the voter.
     pub(crate) fn handle_pre_vote(&mut self, now: Time, from: NodeAddress, term: u64, last: LogId) {
         let has_current_leader = match &self.role {
             Role::Follower { leader: Some(_), last_contact_at } => now - *last_contact_at < ELECTION_TIMEOUT,
@@ -137,7 +138,8 @@
     }
 
     /// Transfers leadership if this leader shuts down or is the outgoing voter, and has no uncommitted
-    /// state. The new leader is an up-to-date voter that replied within the election time-out.
+    /// state. The new leader is an up-to-date voter that has replied within `ELECTION_TIMEOUT` and has not
+    /// requested to leave.
     pub(crate) fn transfer_leadership(&mut self, now: Time) {
         let Role::Leader(leader) = &self.role else { return };
         let is_outgoing = self.outgoing_voter() == Some(self.own_member());
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -6,7 +6,8 @@
 //! next, so that the majorities before and after have a voter in common (Ongaro's thesis, section 4.1).
 //!
 //! A voter is replaced if it sends a leave request, or if it is unresponsive while an up-to-date learner is
-//! available. It is removed if a different disk answers at its address.
+//! available. If there are more voters than the target number, it is removed without a successor. A voter is
+//! also removed if a different disk answers at its address.
 
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::consensus::{Member, Message, ReplicatedState};
@@ -35,8 +36,8 @@
 const LEAVE_MIN_DELAY: Span = Span::from_millis(250);
 
 impl Consensus {
-    /// Records a sign of a connection to another node. A leader adds an unknown node as a learner, up to
-    /// [`MAX_LEARNERS`].
+    /// Handles a sign of a connection to another node. A leader records it, and adds an unknown node as a
+    /// learner, up to [`MAX_LEARNERS`].
     pub fn on_peer_seen(&mut self, now: Time, node: NodeAddress) {
         if node == self.me {
             return;
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Records that a connection to another node was opened. The newest state is sent again unless it is
-    /// acknowledged, as messages on an earlier connection may be lost.
+    /// Handles a newly opened connection to another node. A leader sends its newest state again unless it
+    /// is acknowledged, as messages on an earlier connection may be lost.
     pub fn on_peer_connected(&mut self, node: NodeAddress) {
         if let Role::Leader(leader) = &mut self.role
             && let Some(contact) = leader.contacts.get_mut(&node)
@@ -71,8 +72,8 @@
         leader.progress.keys().filter(is_learner).copied().collect()
     }
 
-    /// Starts the next membership change that is due, if this node is the established leader, does not shut
-    /// down and has no uncommitted state.
+    /// Drops expired learners. Then starts the next membership change that is due, if this node is the
+    /// established leader, does not shut down and has no uncommitted state.
     pub(crate) fn change_voters(&mut self, now: Time) {
         self.expire_learners(now);
         if !self.is_established_leader() || self.has_uncommitted() || self.shutdown.is_some() {
@@ -138,7 +139,7 @@
         self.start_round(now);
     }
 
-    /// Returns a learner that is up to date and responsive, if there is one.
+    /// Returns a learner that is up to date, responsive and not leaving, if there is one.
     fn find_promotable_learner(&self, now: Time, leader: &LeaderState) -> Option<Member> {
         let is_promotable = |(m, p): &(&Member, &Progress)| {
             !self.voters().iter().any(|v| v.node == m.node)
--- a/crates/consensus/src/read_index.rs
+++ b/crates/consensus/src/read_index.rs
@@ -17,18 +17,18 @@
 /// Shortest interval between two rounds for reads. Reads that arrive within it share the next round.
 pub(crate) const READ_BATCH_INTERVAL: Span = Span::from_millis(4);
 /// Largest number of pending reads.
-const MAX_OPEN_READS: usize = 4096;
+const MAX_PENDING_READS: usize = 4096;
 
 impl Consensus {
     /// Starts a linearizable read. Returns the number that `Action::ReadDone` will carry, or `None` if this
-    /// node is not the established leader or has `MAX_OPEN_READS` pending reads.
+    /// node is not the established leader or has `MAX_PENDING_READS` pending reads.
     pub fn request_read(&mut self, now: Time) -> Option<u64> {
         if !self.is_established_leader() {
             return None;
         }
         let number = self.next_request();
         let Role::Leader(leader) = &mut self.role else { return None };
-        if leader.reads.len() >= MAX_OPEN_READS {
+        if leader.reads.len() >= MAX_PENDING_READS {
             return None;
         }
         leader.reads.push_back(PendingRead { number, round: leader.round + 1 });
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -175,7 +175,8 @@
         contact.seen_at = now;
         contact.clock = Some(PeerClock { value: clock, received_at: now });
         if !leader.progress.contains_key(&from) {
-            // A different disk now answers at this address: the state must be sent to it.
+            // The first reply of this disk, which may have replaced another one at the address: the state
+            // must be sent to it.
             contact.sent = None;
         }
         let progress = leader.progress.entry(from).or_insert_with(|| Progress::new(now));
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -8,10 +8,11 @@
 use crate::progress::{PeerContact, Progress};
 use crate::{Action, Consensus, NodeAddress, RequestOutcome};
 
-/// Shortest time without a message from a leader after which a follower starts a pre-vote.
+/// Shortest wait of a follower before it starts a pre-vote, from the last message of a leader or the last
+/// vote that it granted.
 pub(crate) const ELECTION_TIMEOUT: Span = Span::from_millis(450);
-/// Election time-out of a node that has not yet seen a leader. Shorter than `ELECTION_TIMEOUT`, so that a
-/// cluster whose nodes start together elects a leader sooner.
+/// Shortest election time-out of a node that has not yet seen a leader. Less than `ELECTION_TIMEOUT`, so that
+/// a cluster whose nodes start together elects a leader sooner.
 const INITIAL_ELECTION_TIMEOUT: Span = Span::from_millis(150);
 /// Upper bound of the random addition to the election time-out, which makes split votes rare.
 const ELECTION_JITTER: Span = Span::from_millis(400);
@@ -119,7 +120,7 @@
 
     pub(crate) fn set_role(&mut self, role: Role) {
         if let Role::Leader(old) = &mut self.role {
-            // A former leader can no longer determine the outcome of its open requests.
+            // A former leader can no longer determine the outcome of its pending requests.
             let outcome = RequestOutcome::Unknown;
             let proposal = old.proposal.take();
             let proposal = proposal.map(|p| Action::ProposalDone { number: p.number, outcome });
--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -38,7 +38,7 @@
     Some(digest::of([&[kind][..], body]))
 }
 
-/// An operation with its id and, once parsed, its validated content.
+/// An operation with its id and, once parsed, its content.
 #[derive(Clone, Debug)]
 pub struct Command {
     pub(crate) operation: Operation,
--- a/crates/control-state/src/config_store.rs
+++ b/crates/control-state/src/config_store.rs
@@ -34,7 +34,7 @@
     /// rejects it.
     configuration: Arc<OnceLock<Option<Arc<Configuration>>>>,
     applied: AppliedCommands,
-    /// Length in bytes of the encoded state that this was decoded from.
+    /// Length in bytes of the encoded state that this, or the state before it, was decoded from.
     encoded_len: usize,
 }
 
@@ -201,7 +201,8 @@
         self.generation == 0 || self.configuration.get().is_some()
     }
 
-    /// Length in bytes of the encoded state that this was decoded from; 0 for the initial state.
+    /// Length in bytes of the encoded state that this was decoded from; 0 for the initial state. The next
+    /// state of an accepted command keeps the length until it is encoded and decoded.
     pub fn encoded_len(&self) -> usize {
         self.encoded_len
     }
--- a/crates/control-state/src/directory.rs
+++ b/crates/control-state/src/directory.rs
@@ -11,10 +11,10 @@
 /// The status of a proxy, or the report of a controller, is ignored after this long without a message from
 /// it.
 const STATUS_TIMEOUT: Span = Span::from_millis(2_500);
-/// How long the shutdown of a proxy incarnation, the reports of a silent controller and the last serving
-/// proxies are kept.
+/// Time for which the shutdown of a proxy incarnation, the reports of a silent controller and the last
+/// serving proxies are kept.
 const RETENTION: Span = Span::from_millis(30_000);
-/// How long the list of serving proxies is reused if no change is reported.
+/// Time for which the list of serving proxies is reused if no change is reported.
 const CACHE_TTL: Span = Span::from_millis(50);
 /// Maximum number of addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
@@ -43,14 +43,14 @@
     remote: HashMap<SocketAddr, RemoteView>,
     /// Statuses of the local proxies that were last sent to the other controllers.
     published: HashMap<String, ProxyStatus>,
-    /// Incarnations that are shutting down by node name, and when that was reported.
+    /// Incarnations that are shutting down, by node name, and the time of the report.
     shutting_down: HashMap<String, (u64, Time)>,
-    /// Proxies by node name, and when any controller last reported them as able to serve.
+    /// Proxies by node name, and the time at which they were last reported as able to serve.
     last_serving: HashMap<String, (ProxyInfo, Time)>,
     /// Cached result of `serving` with the time of its computation.
     cached: Option<(Time, Vec<ProxyInfo>)>,
-    /// Number of look-ups. Rotates the answers, so that all proxies are returned equally often and in all
-    /// positions.
+    /// Number of look-ups, by which the answers are rotated, so that all proxies are returned and listed
+    /// first about equally often.
     lookups: usize,
 }
 
--- a/crates/control-state/src/failure_detector.rs
+++ b/crates/control-state/src/failure_detector.rs
@@ -11,7 +11,8 @@
 /// meanwhile may still be unread.
 const PAUSE_THRESHOLD: Span = Span::from_millis(1_500);
 
-/// Duration of isolation from which worker heartbeats may have been lost or not acknowledged.
+/// Shortest isolation after which all instances become unconfirmed, as worker heartbeats may have been lost
+/// or not acknowledged.
 const MIN_ISOLATION: Span = Span::from_millis(1_000);
 
 /// Relation of a controller to the quorum.
@@ -26,7 +27,7 @@
 }
 
 impl QuorumRole {
-    /// Returns the role of a node by its quorum contact and whether it is the established leader.
+    /// Returns the role of a node. `is_leader` is `true` on the established leader.
     pub fn new(has_quorum_contact: bool, is_leader: bool) -> QuorumRole {
         match (has_quorum_contact, is_leader) {
             (false, _) => QuorumRole::Isolated,
--- a/crates/control-state/src/instance_registry.rs
+++ b/crates/control-state/src/instance_registry.rs
@@ -7,11 +7,11 @@
 use lynxstair::types::{Span, Time};
 use lynxstair_protocol::messages::{Instance, InstanceState};
 
-/// How long an instance that is no longer ready is kept, so that a late heartbeat does not register it
+/// Time for which an instance that is no longer ready is kept, so that a late heartbeat does not register it
 /// again.
 const ENDED_RETENTION: Span = Span::from_millis(60_000);
-/// How long a silent instance that is still marked as ready is kept. Until then, a controller may mark it as
-/// unresponsive.
+/// Time for which a silent instance that is still marked as ready is kept. Until then, a controller may mark
+/// it as unresponsive.
 const READY_RETENTION: Span = Span::from_millis(600_000);
 /// Time without a heartbeat after which an instance is unresponsive, in heartbeat periods.
 const UNRESPONSIVE_AFTER_PERIODS: f64 = 4.5;
@@ -129,7 +129,8 @@
         self.get(now, id)
     }
 
-    /// Removes instances whose last heartbeat or deregistration is older than their retention time.
+    /// Removes instances whose last heartbeat or deregistration is older than their retention time plus the
+    /// heartbeat time-out.
     pub fn expire(&mut self, now: Time, heartbeat_period: Span) {
         let timeout = heartbeat_period.times(UNRESPONSIVE_AFTER_PERIODS);
         self.instances.retain(|_, instance| {
--- a/crates/control-state/src/membership_planner.rs
+++ b/crates/control-state/src/membership_planner.rs
@@ -5,8 +5,8 @@
 //! because:
 //!
 //! - A proxy uses a membership only if a controller has confirmed within [`MEMBERSHIP_VALIDITY`], by the
-//!   proxy's monotonic clock, that it is the newest. A restarted process needs a confirmation that is at
-//!   most [`MAX_CONFIRMATION_AGE`] old.
+//!   proxy's monotonic clock, that it is the newest. A confirmation counts only if it is at most
+//!   [`MAX_CONFIRMATION_AGE`] old when the proxy receives it.
 //! - A change remains in progress until no proxy uses the membership before it. That holds when every member
 //!   before the change has reported that it has held the change for [`MAX_CONFIRMATION_AGE`], since a
 //!   process that starts later can get a confirmation of the change only. It also holds when the validity
@@ -21,9 +21,9 @@
 
 use crate::proxy_membership::{Members, ProxyMembership};
 
-/// How long a proxy may use a membership after the last confirmation that it is the newest. Longer than most
-/// outages of the controllers, during which proxies rely on it. A member that has failed permanently delays
-/// a change for this time.
+/// Time for which a proxy may use a membership after the last confirmation that it is the newest. Longer than
+/// most outages of the controllers, during which proxies rely on it. A member that has failed permanently
+/// delays a change for longer than this time.
 pub const MEMBERSHIP_VALIDITY: Span = Span::from_millis(600_000);
 /// Maximum age of a confirmation.
 pub const MAX_CONFIRMATION_AGE: Span = Span::from_millis(1_000);
@@ -48,7 +48,7 @@
     connected_since: Time,
     last_heartbeat_at: Time,
     /// Newest revision of the membership that the proxy has reported.
-    membership: u64,
+    membership_revision: u64,
 }
 
 /// Plans membership changes on the leader.
@@ -56,26 +56,26 @@
 pub struct MembershipPlanner {
     proxies: HashMap<String, ObservedProxy>,
     leading_since: Option<Time>,
-    /// Revision of the committed membership, and when this leader first observed it.
+    /// Revision of the committed membership, and the time at which this leader first observed it.
     observed: Option<(u64, Time)>,
 }
 
 impl MembershipPlanner {
-    /// Records a heartbeat of a proxy. `membership` is the revision of the membership that it has held for
-    /// at least [`MAX_CONFIRMATION_AGE`], or 0.
-    pub fn on_heartbeat(&mut self, now: Time, node: &str, zone: &str, membership: u64) {
+    /// Records a heartbeat of a proxy. `membership_revision` is the revision of the membership that it has
+    /// held for at least [`MAX_CONFIRMATION_AGE`], or 0.
+    pub fn on_heartbeat(&mut self, now: Time, node: &str, zone: &str, membership_revision: u64) {
         let proxy = self.proxies.entry(node.to_string()).or_insert_with(|| ObservedProxy {
             zone: String::new(),
             connected_since: now,
             last_heartbeat_at: now,
-            membership: 0,
+            membership_revision: 0,
         });
         if now - proxy.last_heartbeat_at > HEARTBEAT_TIMEOUT {
             proxy.connected_since = now;
         }
         proxy.zone = zone.to_string();
         proxy.last_heartbeat_at = now;
-        proxy.membership = proxy.membership.max(membership);
+        proxy.membership_revision = proxy.membership_revision.max(membership_revision);
     }
 
     /// Returns the membership that this controller is to propose now, if any. Called a few times per second
@@ -134,7 +134,7 @@
     fn is_complete(&self, now: Time, committed: &ProxyMembership) -> bool {
         let Some((_, since)) = self.observed else { return false };
         let has_reported = |name: &String| {
-            self.proxies.get(name).is_some_and(|proxy| proxy.membership >= committed.revision)
+            self.proxies.get(name).is_some_and(|proxy| proxy.membership_revision >= committed.revision)
         };
         now - since >= CHANGE_TIMEOUT || committed.current().values().flatten().all(has_reported)
     }
--- a/crates/control-state/src/peer_set.rs
+++ b/crates/control-state/src/peer_set.rs
@@ -38,7 +38,7 @@
 pub struct PeerSet {
     peers: IndexMap<SocketAddr, Peer>,
     last_connection: ConnectionId,
-    /// When a connection to any peer was last open, or `poll_isolated` last returned `true`.
+    /// Time at which a connection to any peer was last open, or `poll_isolated` last returned `true`.
     connected_at: Time,
 }
 
--- a/crates/control-state/src/proxy_membership.rs
+++ b/crates/control-state/src/proxy_membership.rs
@@ -124,7 +124,8 @@
 }
 
 /// A set of members, prepared for rendezvous hashing: the worker's key ranks the members, and those ranked
-/// first get one permit more than the others. A member that joins or leaves moves only its own share.
+/// first get one permit more than the others. A member that joins or leaves does not change the order of the
+/// others.
 #[derive(Clone, Debug)]
 struct MemberKeys {
     zones: BTreeMap<String, Vec<u64>>,
--- a/crates/control-state/src/quota_allocator.rs
+++ b/crates/control-state/src/quota_allocator.rs
@@ -22,7 +22,7 @@
 const DEMAND_WEIGHT: f64 = 0.12;
 /// A report this many standard deviations above the estimated demand replaces the estimate at once.
 const DEMAND_JUMP_DEVIATIONS: f64 = 3.0;
-/// How long a silent proxy is assumed to hold its share; longer than the share is valid at the proxy.
+/// Time for which a silent proxy is assumed to hold its share; longer than the share is valid at the proxy.
 const SHARE_RETENTION: Span = Span::from_millis(3_300);
 /// A proxy that was silent for this long is removed. Between `SHARE_RETENTION` and this time it is assumed
 /// to hold an even share.
@@ -44,7 +44,7 @@
 /// Time that the first report of a proxy is taken to cover.
 const FIRST_REPORT_GAP: Span = Span::from_millis(1_000);
 
-/// How far usage may exceed a quota, from the settings.
+/// Usage that is allowed beyond a quota, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaTolerance {
     /// Sliding window in which usage is counted.
@@ -294,7 +294,7 @@
         wanted.min(1.0 - held_elsewhere).max(least)
     }
 
-    /// Removes tenants that are no longer in the configuration.
+    /// Removes the usage windows of tenants that are no longer in the configuration.
     pub fn retain_tenants(&mut self, tenants: &[Tenant]) {
         self.windows.retain(|name, _| tenants.iter().any(|tenant| tenant.name == *name));
     }
--- a/crates/control-state/tests/instance_registry.rs
+++ b/crates/control-state/tests/instance_registry.rs
@@ -23,13 +23,13 @@
     }
 }
 
-/// Outdated reports, deregistration and warm-up: whether a report changes anything for proxies, and the
-/// resulting state.
+/// Reports of all kinds, in order. Guards against a wrong state, and against a change for proxies that is not
+/// reported as one.
 #[test]
-fn outdated_reports_deregistration_and_warm_up() {
+fn outdated_reports_and_reports_after_deregistration_are_ignored() {
     use InstanceState::{Deregistered, Draining, Ready, Unresponsive};
     let mut registry = InstanceRegistry::default();
-    // Time, report, whether it is a change for proxies, and the resulting state.
+    // Time in milliseconds, report, `true` if it changes anything for proxies, and the resulting state.
     let cases = [
         (0, instance(4, Ready, 3000), true, Ready),
         (1500, instance(5, Ready, 1500), false, Ready),
--- a/crates/control-state/tests/peer_set.rs
+++ b/crates/control-state/tests/peer_set.rs
@@ -52,7 +52,7 @@
 
 /// A new peer can replace an unreachable one in a full set, but not a reachable one.
 #[test]
-fn a_full_set_makes_room_for_a_new_peer() {
+fn a_new_peer_replaces_an_unreachable_one_in_a_full_set() {
     let mut controllers = PeerSet::new(at(0));
     for n in 0..MAX_PEERS as u8 {
         controllers.add(at(0), controller(n));
--- a/crates/controller/src/committed_config.rs
+++ b/crates/controller/src/committed_config.rs
@@ -16,7 +16,8 @@
 }
 
 impl CommittedConfig {
-    /// Replaces the state by a committed one. Returns `false` if that is not newer.
+    /// Replaces the state by a newer committed one. Returns `false` and keeps the state if `store` is not
+    /// newer.
     pub fn advance(&mut self, store: ConfigStore) -> bool {
         self.is_unreadable = false;
         if store.revision <= self.store.revision {
--- a/crates/controller/src/consensus_driver.rs
+++ b/crates/controller/src/consensus_driver.rs
@@ -15,7 +15,7 @@
 use crate::state::ControllerState;
 
 /// Performs all pending actions, including those that result from them, then updates connections, timer and
-/// logged status. Must be called after each call that passes an event to the consensus.
+/// logged status. Must be called after each call of the consensus that may add actions.
 pub fn perform_actions(controller: &Arc<Controller>, now: Time, state: &mut ControllerState) {
     loop {
         let actions = state.consensus.take_actions();
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -7,7 +7,8 @@
 //! | --- | --- | --- |
 //! | start-up and shutdown | [`startup`] | all modules |
 //! | HTTP API | `http_api`, `operator_api`, `instance_api`, `status_api` | `Controller` |
-//! | HTTP API | `directory_api`, `replies` | `Controller` |
+//! | HTTP API | `directory_api` | `Controller` |
+//! | HTTP API | `replies` | no controller state |
 //! | message and timer handlers | `inbound`, `timers`, `settings_watch` | `Controller` |
 //! | actions | `consensus_driver`, `peer_links` | `Controller` |
 //! | shared state | `controller`, `state` | all parts, under one lock |
--- a/crates/controller/src/operator_api.rs
+++ b/crates/controller/src/operator_api.rs
@@ -95,8 +95,8 @@
     let mut is_confirmed = false;
     loop {
         let now = controller.alarms.now();
-        // A caller that has hung up may have retried at another controller. Applying the command late could
-        // undo commands that were committed in between.
+        // A caller that has disconnected may have retried at another controller. Applying the command late
+        // could undo commands that were committed in between.
         if now >= deadline || request.has_caller_disconnected() {
             return Err(unavailable());
         }
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -17,7 +17,7 @@
 use crate::state::ControllerState;
 
 /// Short delays, as the round-trip time between controllers is short.
-const RECONNECT: ReconnectPolicy = ReconnectPolicy {
+const RECONNECT_POLICY: ReconnectPolicy = ReconnectPolicy {
     connect_timeout: Span::from_millis(200),
     min_delay: Span::from_millis(60),
     max_delay: Span::from_millis(300),
@@ -64,7 +64,7 @@
 fn keep_connection(controller: &Controller, peer: NodeAddress, connection: ConnectionId) {
     let to = NodeAddress::new(peer.ip(), controller.settings.ports.0);
     let is_wanted = || controller.state().peers.peer_set.is_current(peer, connection);
-    transport::keep_connected(&controller.alarms, to, RECONNECT, is_wanted, |connection| {
+    transport::keep_connected(&controller.alarms, to, RECONNECT_POLICY, is_wanted, |connection| {
         on_opened(controller, peer, connection);
         // The peer sends nothing on this connection: the read returns when the connection ends.
         transport::read(connection, |_: ()| false);
--- a/crates/controller/src/storage/sqlite.rs
+++ b/crates/controller/src/storage/sqlite.rs
@@ -13,12 +13,12 @@
 
 use super::{Corruption, StorageError, Store, schema_v1};
 
-const DATABASE: &str = "book.sqlite";
-const LOG: &str = "book.sqlite-wal";
+const DATABASE_FILE: &str = "book.sqlite";
+const LOG_FILE: &str = "book.sqlite-wal";
 /// Files that are quarantined if they can't be read, each with its new name. Only the last quarantined
 /// files are kept.
 const QUARANTINE: [(&str, &str); 2] =
-    [(DATABASE, "book.sqlite.unreadable"), (LOG, "book.sqlite-wal.unreadable")];
+    [(DATABASE_FILE, "book.sqlite.unreadable"), (LOG_FILE, "book.sqlite-wal.unreadable")];
 
 /// The database has a single user, so the exclusive lock avoids the shared-memory index of the write-ahead
 /// log. `synchronous=FULL` syncs each transaction before it returns.
@@ -55,7 +55,7 @@
 impl SqliteStore {
     /// Opens the database in `folder`, and creates both if needed. Quarantines a corrupt database and
     /// starts with an empty one, which counts as emptied. On a retryable error the files are left alone, as
-    /// they may hold the only copy of the state; `should_retry` then waits and returns whether to try
+    /// they may hold the only copy of the state; `should_retry` then waits and returns `true` to try
     /// again.
     pub fn open(
         folder: &Path,
@@ -79,10 +79,10 @@
     }
 
     fn try_open(folder: &Path) -> Result<SqliteStore, StorageError> {
-        let path = folder.join(DATABASE);
+        let path = folder.join(DATABASE_FILE);
         create_folder(folder).map_err(|source| folder_error(folder, source))?;
         let length = |name: &str| fs::metadata(folder.join(name)).map_or(0, |m| m.len());
-        if length(DATABASE) == 0 && length(LOG) > 0 {
+        if length(DATABASE_FILE) == 0 && length(LOG_FILE) > 0 {
             // SQLite would treat this as a new database and delete the log.
             return Err(StorageError::Corrupt { path, reason: Corruption::LogWithoutDatabase });
         }
@@ -239,7 +239,8 @@
 fn quarantine(folder: &Path) -> io::Result<()> {
     for (name, quarantined) in QUARANTINE {
         match fs::rename(folder.join(name), folder.join(quarantined)) {
-            // Nothing to rename. A log quarantined earlier then remains next to a newer database, and is unused.
+            // Nothing to rename. A log quarantined earlier then remains next to a newer database, and is
+            // unused.
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             result => result?,
         }
--- a/crates/controller/src/timer.rs
+++ b/crates/controller/src/timer.rs
@@ -1,4 +1,4 @@
-//! Wake-up time of the timer coroutine, which can be moved forward while it sleeps.
+//! Wake-up time of the timer coroutine, which can be moved to an earlier time while it sleeps.
 
 use std::sync::Arc;
 
--- a/crates/controller/tests/cluster.rs
+++ b/crates/controller/tests/cluster.rs
@@ -250,10 +250,10 @@
     );
 }
 
-/// A command that arrives during a pause of the controller is not applied if its caller has hung up by
+/// A command that arrives during a pause of the controller is not applied if its caller has disconnected by
 /// then: the command may have been applied and undone through another controller.
 #[test]
-fn a_command_whose_caller_has_hung_up_is_not_applied() {
+fn a_command_whose_caller_has_disconnected_is_not_applied() {
     let mut cluster = Cluster::new(3);
     cluster.start(1, &[1], true);
     assert_eq!(cluster.operator_request("PUT /config", &configuration(5, 0)), 200);
@@ -322,7 +322,7 @@
 /// other. A controller with an unreadable database quarantines it and catches up, even if its settings say
 /// `bootstrap`.
 #[test]
-fn a_large_configuration_and_an_unreadable_disk() {
+fn a_large_configuration_is_applied_and_an_unreadable_database_is_quarantined() {
     let mut cluster = Cluster::new(9);
     (1..=3).for_each(|n| cluster.start(n, &[1, 2, 3], true));
     let rows: String =
@@ -415,7 +415,7 @@
 /// A new controller whose only seed is a follower finds the other controllers through it, and receives
 /// messages of the leader.
 #[test]
-fn a_new_controller_that_knows_one_finds_all() {
+fn a_new_controller_with_one_seed_finds_the_leader() {
     let mut cluster = Cluster::new(6);
     (1..=3).for_each(|n| cluster.start(n, &[1, 2, 3], true));
     let leader = wait_until("a leader", || cluster.leader());
--- a/crates/controller/tests/storage.rs
+++ b/crates/controller/tests/storage.rs
@@ -1,5 +1,5 @@
 //! Contract of all stores, and recovery of the store on disk after a power failure: it opens with an older
-//! complete state or as emptied, never with a mixture of states or as if it were the first start.
+//! complete state or with none, never with a mixture of states. Unreadable data counts as an emptied disk.
 
 use std::fs;
 use std::path::Path;
@@ -90,10 +90,10 @@
     assert_eq!(store.load().expect("loads"), Some(state_of_term(4)));
 }
 
-/// The log exists in the folder after opening, so that the folder is synced before the first write.
-/// Otherwise the log and the writes synced to it could be lost on power failure.
+/// The log exists once the store is open, so that the sync of the folder on opening covers it. Otherwise the
+/// log and the writes synced to it could be lost on power failure.
 #[test]
-fn the_write_ahead_log_is_synced_into_its_folder() {
+fn opening_a_store_creates_its_write_ahead_log() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path());
     store.save(&state_of_term(1)).expect("saved");
@@ -140,7 +140,7 @@
 
 /// Covers a log and a database that are truncated or have an overwritten block, and missing files.
 #[test]
-fn power_loss_leaves_an_older_state_or_an_emptied_disk() {
+fn a_power_failure_leaves_an_older_state_or_none() {
     let last = 14;
     let whole = files(last);
     let [(main, database), (name, log)] = &whole[..] else { panic!("two files") };
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -127,8 +127,8 @@
     /// together have used up the quota; 0 if it is not blocked.
     #[serde(rename = "closed_ms")]
     pub blocked_ms: u32,
-    /// Time for which the token bucket accumulates no burst, in milliseconds; 0 if the tenant is not
-    /// throttled.
+    /// Time for which the minimum depth of the proxy's token bucket is lowered, in milliseconds; 0 if the
+    /// tenant is not throttled.
     #[serde(rename = "tight_ms")]
     pub throttled_ms: u32,
 }
@@ -235,8 +235,8 @@
     /// Message of the consensus protocol.
     #[serde(rename = "Agreement")]
     Consensus(Message),
-    /// Instances whose heartbeats the sender received or which it detected as unresponsive. At the start of
-    /// a connection, all instances known to the sender.
+    /// Instances whose heartbeat or deregistration the sender received, or which it detected as
+    /// unresponsive. At the start of a connection, all instances known to the sender.
     #[serde(rename = "Heard")]
     InstanceUpdates(Vec<Instance>),
 }
@@ -247,7 +247,7 @@
     /// Committed configuration.
     #[serde(rename = "Book")]
     Config {
-        /// Revision, incremented by each accepted command.
+        /// Revision, incremented by each accepted command and each change of the proxy membership.
         #[serde(rename = "index")]
         revision: u64,
         /// Encoded snapshot or delta (`lynxstair_control_state::config_update`).
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -48,8 +48,9 @@
 /// Factor by which each failed attempt increases the delay.
 const BACKOFF_FACTOR: f64 = 1.25;
 
-/// Keeps a connection open while `is_wanted` returns `true`. Runs `serve` on each connection and closes it
-/// when `serve` returns. Blocks, so it runs in a coroutine of its own.
+/// Keeps a connection open, and reconnects until `is_wanted` returns `false`, which is checked before each
+/// attempt. Runs `serve` on each connection and closes it when `serve` returns. Blocks, so it runs in a
+/// coroutine of its own.
 pub fn keep_connected(
     alarms: &Alarms,
     to: SocketAddr,
