--- a/crates/controller/src/instance_api.rs
+++ b/crates/controller/src/instance_api.rs
@@ -45,7 +45,7 @@
     if is_acknowledged {
         Response::json(200, "{}")
     } else {
-        error(503, "out of touch with the other controllers")
+        error(503, "not acknowledged; call another controller")
     }
 }
 
--- a/crates/controller/src/replies.rs
+++ b/crates/controller/src/replies.rs
@@ -15,7 +15,7 @@
 /// Returns status 503 with `Retry-After`, for requests that this controller cannot answer without a quorum
 /// or in its current state.
 pub fn unavailable() -> Response {
-    let mut reply = error(503, "no majority answers for the configuration");
+    let mut reply = error(503, "not available at this controller now; retry");
     reply.headers.push_str(&format!("Retry-After: {RETRY_AFTER_S}\r\n"));
     reply
 }
