--- a/crates/export/src/batch.rs
+++ b/crates/export/src/batch.rs
@@ -8,7 +8,7 @@
 
 use crate::usage::{USAGE_RECORD_BYTES, UsageRecord};
 
-/// Maximum number of sums in one batch.
+/// Number of sums that a batch should not exceed. [`Batch::from_segment`] does not enforce it.
 pub const MAX_SUMS_PER_BATCH: usize = 4_096;
 
 /// Identifies the usage records of one gatekeeper in one usage directory. An emptied directory gets a new
@@ -52,8 +52,7 @@
 }
 
 impl Batch {
-    /// Creates the batch of a segment from its bytes. A partial record at the end is ignored, since its
-    /// request was never answered.
+    /// Creates the batch of a segment from its bytes. A partial record at the end is ignored.
     pub fn from_segment(stream: StreamId, number: u64, segment: &[u8]) -> Batch {
         let mut totals: BTreeMap<(u64, u8, u32), u64> = BTreeMap::new();
         let mut unreadable_records = 0;
--- a/crates/export/src/lib.rs
+++ b/crates/export/src/lib.rs
@@ -1,7 +1,7 @@
 //! Exactly-once export of usage from the gatekeepers to a sink. Performs no I/O: `crates/cluster` has the
 //! files and sockets, `crates/fakes` a sink.
 //!
-//! Each gatekeeper appends a [`UsageRecord`] to disk before it returns a successful response to its client,
+//! Each gatekeeper appends a [`UsageRecord`] to a file before it returns a successful response to its client,
 //! seals its records into numbered [`Batch`]es, and deletes a batch only after the sink has stored it. The
 //! owner of the duty `export` sends the batches to the sink. The [`StreamId`] and the batch number are an
 //! idempotency key: the sink stores each batch once and in order. It refuses an epoch lower than the
--- a/crates/gatekeeper/src/client_connection.rs
+++ b/crates/gatekeeper/src/client_connection.rs
@@ -24,7 +24,7 @@
 const REPLY_TIMEOUT: Span = Span::from_millis(5_000);
 /// Limits on the time and on the bytes for which further input is discarded after the last reply.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
-const MAX_DISCARDED: usize = MAX_MESSAGE_BYTES;
+const MAX_DISCARDED_BYTES: usize = MAX_MESSAGE_BYTES;
 /// Number of consecutive invalid messages after which the connection is closed. A client that sends them at
 /// full speed would take the CPU from the others.
 const MAX_BAD_MESSAGES: u32 = 16;
@@ -86,7 +86,7 @@
 
 /// Result of looking for a message in the buffer.
 pub enum NextMessage {
-    /// No message can be handled until more bytes are read.
+    /// No message can be handled now: none is complete, a request is open, or the last reply was written.
     None,
     /// A message was answered without forwarding it; another one may follow.
     Handled,
@@ -156,7 +156,8 @@
 
     // ---- messages ----
 
-    /// Takes the next message from the buffer, and answers it unless it must be forwarded.
+    /// Looks for the next message in the buffer, and answers it unless it must be forwarded. A message to be
+    /// forwarded stays in the buffer.
     ///
     /// `received_at` returns the earliest time at which a message that is read at a given time may have been
     /// received.
@@ -231,7 +232,7 @@
         let n = inbound.len();
         inbound.consume(n);
         state.discarded += n;
-        if state.discarded > MAX_DISCARDED {
+        if state.discarded > MAX_DISCARDED_BYTES {
             self.connection.close();
         }
     }
@@ -347,8 +348,8 @@
         self.connection.close();
     }
 
-    /// Closes the connection if it has made no progress for too long. `idle_timeout` applies between
-    /// messages.
+    /// Closes the connection if it has made no progress for too long, or rejects its incomplete message with
+    /// status 408. `idle_timeout` applies between messages.
     pub fn expire(&self, now: Time, idle_timeout: Span) {
         let mut state = self.state();
         if !is_expired(&state, self.connection.unsent() > 0, self.opened_at, idle_timeout, now) {
--- a/crates/gatekeeper/src/client_listener.rs
+++ b/crates/gatekeeper/src/client_listener.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Pauses until a connection ends or the listener has an event.
+    /// Pauses until `resume` is called or the listener has an event.
     fn wait_for_capacity(&self) {
         self.is_paused.store(true, Ordering::Relaxed);
         self.listener.wait_io();
--- a/crates/gatekeeper/src/client_registry.rs
+++ b/crates/gatekeeper/src/client_registry.rs
@@ -17,13 +17,13 @@
 pub struct ClientRegistry {
     open: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     max_open: usize,
-    last_number: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl ClientRegistry {
     /// Creates an empty registry for at most `max_open` connections.
     pub fn new(max_open: usize) -> Self {
-        ClientRegistry { open: Mutex::default(), max_open, last_number: AtomicU64::new(0) }
+        ClientRegistry { open: Mutex::default(), max_open, next_number: AtomicU64::new(0) }
     }
 
     fn open(&self) -> MutexGuard<'_, HashMap<u64, Arc<ClientConnection>>> {
@@ -32,7 +32,7 @@
 
     /// Returns a number for a new connection.
     pub fn next_number(&self) -> u64 {
-        self.last_number.fetch_add(1, Ordering::Relaxed)
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Adds a connection.
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -19,7 +19,7 @@
 /// Multiple of the counter's time-out after which a missing reply closes the connection. Late totals are
 /// still reported.
 const REPLY_TIMEOUT_FACTOR: f64 = 20.0;
-/// Idle time-out of a connection. Shorter than that of the counter, which is at most ten seconds.
+/// Idle time-out of a connection. Must be shorter than that of the counter.
 const IDLE_TIMEOUT: Span = Span::from_millis(4_000);
 /// Maximum length of the body of a reply, which is a number, in bytes.
 const MAX_REPLY_BODY_BYTES: usize = 64;
--- a/crates/gatekeeper/src/discovery.rs
+++ b/crates/gatekeeper/src/discovery.rs
@@ -26,7 +26,7 @@
 const DATA_TIMEOUT: Span = Span::from_millis(3_500);
 /// Time limit for the first data of a new watch, which discovery sends at once.
 const OPEN_TIMEOUT: Span = Span::from_millis(1_000);
-/// Minimum time between opening a watch, or its last data, and opening the next one.
+/// Minimum time between opening a watch, or its last data, and opening the next one at the same address.
 const REOPEN_DELAY: Span = Span::from_millis(500);
 /// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
@@ -173,8 +173,8 @@
 
     fn on_watch_ended(&self, watch: &Arc<Connection>, end: &WatchEnd) {
         let mut state = self.state();
-        // A watch that timed out has been replaced already.
         state.previous.retain(|previous| !Arc::ptr_eq(previous, watch));
+        // A watch that timed out has been replaced already.
         if state.is_current(watch) {
             log_limited!("watch of the worker list ended: {end}");
             state.watch = None;
--- a/crates/gatekeeper/src/forwarder.rs
+++ b/crates/gatekeeper/src/forwarder.rs
@@ -261,7 +261,7 @@
             return;
         }
         worker.set_connected();
-        // If the job was aborted meanwhile, the connection can take the next one.
+        // A connection without a job can take the next one.
         if !worker.has_job() {
             self.pool.release(self.clock.now(), worker);
         } else if !self.pool.accepts_jobs(worker.worker) || worker.send(self.clock.now()).is_err() {
--- a/crates/gatekeeper/src/request_parser.rs
+++ b/crates/gatekeeper/src/request_parser.rs
@@ -6,9 +6,9 @@
 use lynxstair_settings::{Names, OperationBounds, RequestBounds};
 
 /// Tenant numbers are below this value.
-const MAX_TENANT: u64 = 1 << 33;
+const TENANT_LIMIT: u64 = 1 << 33;
 /// Maximum length of a request id, in bytes.
-const MAX_ID_LEN: usize = 128;
+const MAX_ID_BYTES: usize = 128;
 /// Path of the readiness check.
 const READINESS_PATH: &str = "/up";
 
@@ -52,7 +52,7 @@
         check_method(head.method, is_idempotent)?;
         let header = |name| head.headers.single(name);
         let id = header("request-id")?.ok_or(HttpError::new(400, "no id"))?;
-        if id.is_empty() || id.len() > MAX_ID_LEN {
+        if id.is_empty() || id.len() > MAX_ID_BYTES {
             return Err(HttpError::new(400, "bad id"));
         }
         let plan = header("x-tariff")?.ok_or(HttpError::new(400, "no plan"))?;
@@ -91,7 +91,7 @@
     let key = cookies.split(';').find_map(|cookie| cookie.trim().strip_prefix("key="));
     let key = key.ok_or(HttpError::new(400, "no key"))?;
     let number = u64::from_str_radix(key, 16).ok();
-    let tenant = number.filter(|number| *number < MAX_TENANT && !key.starts_with('+'));
+    let tenant = number.filter(|number| *number < TENANT_LIMIT && !key.starts_with('+'));
     tenant.map(TenantId).ok_or(HttpError::new(400, "bad key"))
 }
 
--- a/crates/gatekeeper/src/startup.rs
+++ b/crates/gatekeeper/src/startup.rs
@@ -1,4 +1,4 @@
-//! Builds the gatekeeper from its configuration and runs it until the process is told to end.
+//! Builds the gatekeeper from its configuration and runs it until SIGTERM or SIGINT.
 
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/gatekeeper/src/worker_connection.rs
+++ b/crates/gatekeeper/src/worker_connection.rs
@@ -37,7 +37,7 @@
 struct State {
     is_connected: bool,
     job: Option<Job>,
-    /// `true` once the message of the job has been written to the buffer.
+    /// `true` once `send` was called for the job.
     is_written: bool,
     idle_since: Time,
 }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Returns `true` if the kernel has taken the whole message of the job. Otherwise the worker cannot have
-    /// received it.
+    /// Returns `true` if `send` was called and the kernel has taken all bytes written. Otherwise the worker
+    /// cannot have received the whole message of the job.
     pub fn is_sent(&self) -> bool {
         self.state().is_written && self.connection.unsent() == 0
     }
--- a/crates/gatekeeper/src/worker_pool.rs
+++ b/crates/gatekeeper/src/worker_pool.rs
@@ -164,7 +164,8 @@
         self.connections().pending_timeouts.front().map_or(Time::from_nanos(u64::MAX), |(until, _)| *until)
     }
 
-    /// Removes ended time-outs until one has really expired, and returns its connection.
+    /// Removes due time-outs until one belongs to an unfinished connect or health check, and returns its
+    /// connection.
     pub fn pop_timed_out(&self, now: Time) -> Option<Arc<WorkerConnection>> {
         let mut connections = self.connections();
         while let Some((_, connection)) =
--- a/crates/net/src/alarms.rs
+++ b/crates/net/src/alarms.rs
@@ -14,7 +14,7 @@
 use crate::connection::Connection;
 use crate::wake_timer::WakeTimer;
 
-/// Messages read within this time count as received simultaneously.
+/// Messages read within this time after a stall of the process count as received during it.
 const TIME_RESOLUTION: Span = Span::from_millis(1);
 
 enum Waiter {
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Reads the available bytes without waiting; `None` if there are none.
+    /// Reads the available bytes without waiting; `None` if there are none or the buffer is full.
     pub fn try_read(&self) -> Option<ReadOutcome> {
         match self.read_available() {
             Ok(0) => None,
@@ -221,8 +221,8 @@
 
     /// Waits until the kernel has taken all written bytes.
     ///
-    /// Returns `false` if the connection failed or `is_over` returned `true`; the caller must have the
-    /// connection woken then. Only the reading coroutine may call this, after its last read.
+    /// Returns `false` if the connection failed or was closed, or if `is_over` returned `true`; the caller
+    /// must have the connection woken then. Only the reading coroutine may call this, after its last read.
     pub fn wait_flushed(&self, is_over: impl Fn() -> bool) -> bool {
         while !self.is_closed() && !is_over() && self.flush().is_ok() {
             if self.unsent() == 0 {
--- a/crates/net/src/coroutine.rs
+++ b/crates/net/src/coroutine.rs
@@ -1,4 +1,4 @@
-//! Starts coroutines and contains their panics. This is the only module that needs `unsafe`.
+//! Starts coroutines and contains their panics. This is the only module of the package with `unsafe` code.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
--- a/crates/net/src/http/chunked.rs
+++ b/crates/net/src/http/chunked.rs
@@ -5,7 +5,7 @@
 use super::{HttpError, MAX_HEAD_BYTES};
 
 /// Limit on the length of a chunk, in bytes.
-const MAX_CHUNK: usize = 1 << 30;
+const MAX_CHUNK_BYTES: usize = 1 << 30;
 /// Line end after the data of a chunk.
 const LINE_END: &[u8] = b"\r\n";
 
@@ -64,7 +64,7 @@
 pub fn chunk_at(bytes: &[u8], at: usize) -> Result<Option<(usize, usize)>, HttpError> {
     match httparse::parse_chunk_size(bytes.get(at..).unwrap_or(&[])) {
         Ok(Status::Complete((n, size))) => match usize::try_from(size) {
-            Ok(size) if size <= MAX_CHUNK => Ok(Some((at + n, size))),
+            Ok(size) if size <= MAX_CHUNK_BYTES => Ok(Some((at + n, size))),
             _ => Err(HttpError::new(413, "body too large")),
         },
         Ok(Status::Partial) => Ok(None),
--- a/crates/net/src/wake_timer.rs
+++ b/crates/net/src/wake_timer.rs
@@ -39,13 +39,13 @@
     ran_at: AtomicU64,
     /// End of the last stall.
     resumed_at: AtomicU64,
-    /// Messages read within this time count as received simultaneously.
+    /// Messages read within this time after a stall count as received during it.
     time_resolution: Span,
 }
 
 impl WakeTimer {
-    /// Creates a timer that is not armed. Messages read within `time_resolution` count as received
-    /// simultaneously.
+    /// Creates a timer that is not armed. Messages read within `time_resolution` after a stall of the process
+    /// count as received during it.
     pub fn new(clock: Clock, time_resolution: Span) -> io::Result<Self> {
         let flags = TimerFlags::TFD_NONBLOCK | TimerFlags::TFD_CLOEXEC;
         let timer = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags)?;
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -79,8 +79,9 @@
         Span::from_nanos(self.advertised_idle_ns.load(Ordering::Relaxed))
     }
 
-    /// Returns the `Connection: close` or `Keep-Alive` header line of the next response.
-    /// `idle_timeout`: `None` if the connection closes after the response.
+    /// Returns the `Connection: close` or `Keep-Alive` header line of the next response; empty if the
+    /// time-out is too short to be advertised. `idle_timeout`: `None` if the connection closes after the
+    /// response.
     pub fn connection_headers(&self, idle_timeout: Option<Span>) -> String {
         let Some(idle_timeout) = idle_timeout else {
             return "Connection: close\r\n".to_string();
--- a/crates/proxy/src/client_reader.rs
+++ b/crates/proxy/src/client_reader.rs
@@ -67,7 +67,7 @@
 struct ClientReader {
     proxy: Arc<Proxy>,
     client: Arc<ClientConnection>,
-    /// Time since which no request was in flight.
+    /// Last time at which a request was in flight or a response unsent; at first the start of the connection.
     idle_since: Time,
     /// Time since which an incomplete request is in the buffer; `None` if there is none.
     partial_since: Option<Time>,
@@ -126,7 +126,7 @@
             requests.pipeline.unanswered() as usize
         };
         if self.proxy.has_ended() {
-            // A request read now would get no response. Left unread, the client may safely retry it.
+            // A request read now would get no response. If it is left unread, its client may safely retry.
             self.client.disconnect();
             return ReadStep::Done;
         }
--- a/crates/proxy/src/client_registry.rs
+++ b/crates/proxy/src/client_registry.rs
@@ -13,7 +13,7 @@
     max_open: usize,
     open: AtomicUsize,
     connections: Mutex<HashMap<usize, Arc<ClientConnection>>>,
-    last_number: AtomicUsize,
+    next_number: AtomicUsize,
 }
 
 /// Requests in flight on all connections.
@@ -32,7 +32,7 @@
             max_open,
             open: AtomicUsize::new(0),
             connections: Mutex::default(),
-            last_number: AtomicUsize::new(0),
+            next_number: AtomicUsize::new(0),
         }
     }
 
@@ -52,7 +52,7 @@
 
     /// Adds a connection and returns its number.
     pub fn add(&self, client: &Arc<ClientConnection>) -> usize {
-        let number = self.last_number.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         self.open.fetch_add(1, Ordering::Relaxed);
         self.connections().insert(number, client.clone());
         number
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -18,7 +18,8 @@
 
 /// Interval of heartbeats to controllers.
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
-/// A connection on which no message arrives for this long is closed; controllers acknowledge every heartbeat.
+/// Time without a message after which a connection is closed, checked this long after each acknowledgement.
+/// Controllers acknowledge every heartbeat.
 const ACKNOWLEDGEMENT_TIMEOUT: Span = Span::from_millis(2_600);
 /// The connect time-out allows for a controller in another region.
 const RECONNECT_POLICY: ReconnectPolicy = ReconnectPolicy {
@@ -27,7 +28,8 @@
     max_delay: Span::from_millis(200),
 };
 
-/// Keeps a subscription to each of these controllers from now on. Returns `true` if at least one was unknown.
+/// Keeps a subscription to each of these controllers from now on, except those for which the peer set has no
+/// room. Returns `true` if at least one was added.
 pub fn add_controllers(proxy: &Arc<Proxy>, controllers: &[SocketAddr]) -> bool {
     let now = proxy.alarms.now();
     let mut connections = proxy.control();
@@ -84,7 +86,7 @@
     HeartbeatContents {
         revision: routing.delta_base(),
         readiness: routing.readiness(now),
-        membership: routing.reported_membership(now),
+        membership_revision: routing.reported_membership(now),
         usage: Vec::new(),
         held_shares: connections.needs_held_shares().then(|| routing.buckets().held_shares(now)),
     }
@@ -115,7 +117,7 @@
     transport::write(connection, &transport::encode(&message), MAX_UNSENT_BYTES);
 }
 
-/// Handles messages on a connection until it ends or `ACKNOWLEDGEMENT_TIMEOUT` passes without one.
+/// Handles messages on a connection until it ends or is found without one for `ACKNOWLEDGEMENT_TIMEOUT`.
 fn serve(proxy: &Arc<Proxy>, connection: &Arc<Connection>) {
     let mut last_received_at = proxy.alarms.now();
     proxy.alarms.wake_connection(last_received_at + ACKNOWLEDGEMENT_TIMEOUT, connection);
--- a/crates/proxy/src/control_connections.rs
+++ b/crates/proxy/src/control_connections.rs
@@ -17,11 +17,11 @@
 struct ControlConnection {
     controller: SocketAddr,
     connection: Arc<Connection>,
-    /// Whether its last acknowledgement came from the leader.
+    /// `true` if its controller sent the last acknowledgement as the leader.
     is_leader: bool,
-    /// Highest number of the quota shares received on this connection.
+    /// Highest number of the `QuotaShares` messages received on this connection.
     last_shares_number: u64,
-    /// Whether the held quota shares were sent to it since it became the leader.
+    /// `true` if the held quota shares were sent to the controller since it became the leader.
     has_sent_held_shares: bool,
 }
 
@@ -29,11 +29,11 @@
 pub struct HeartbeatContents {
     /// Configuration revision that deltas may build on; 0 if a snapshot is needed.
     pub revision: u64,
-    /// Whether clients may be directed to this proxy.
+    /// Readiness for client connections.
     pub readiness: Readiness,
     /// Revision of the proxy membership; see `RoutingState::reported_membership`.
-    pub membership: u64,
-    /// Quota usage since the last heartbeat to all controllers.
+    pub membership_revision: u64,
+    /// Quota usage since the last heartbeat to all controllers; empty for a heartbeat on one connection.
     pub usage: Vec<TenantUsage>,
     /// Held quota shares by tenant; `None` if no leader needs them.
     pub held_shares: Option<Vec<(String, f32)>>,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Records the number of received quota shares.
+    /// Records the number of a received `QuotaShares` message.
     pub fn on_shares_received(&mut self, connection: &Arc<Connection>, number: u64) {
         if let Some(connection) = self.find(connection) {
             connection.last_shares_number = connection.last_shares_number.max(number);
@@ -130,8 +130,8 @@
         }
         self.peer_set.on_connected(now);
         self.open.iter().for_each(|connection| self.peer_set.record_contact(now, connection.controller));
-        let named = &self.leader_controllers;
-        self.peer_set.remove_expired(now, |controller| named.contains(&controller));
+        let listed = &self.leader_controllers;
+        self.peer_set.remove_expired(now, |controller| listed.contains(&controller));
     }
 
     /// Returns `true` if the held quota shares must still be sent to a leader.
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Sends a heartbeat to every controller. Usage is sent only to the leader and kept while there is none.
+    /// Sends a heartbeat to every controller. Usage is sent only to the leader; while there is none, it is
+    /// kept for up to `window`.
     pub fn send_heartbeats(&mut self, now: Time, contents: &mut HeartbeatContents, window: Span) {
         self.unreported.add(now, std::mem::take(&mut contents.usage), window);
         let has_leader = self.open.iter().any(|connection| connection.is_leader);
@@ -169,7 +170,7 @@
             clock: now.nanos(),
             revision: contents.revision,
             readiness: contents.readiness,
-            membership_revision: contents.membership,
+            membership_revision: contents.membership_revision,
             received_shares_number: self.last_shares_number,
             usage,
             held_shares: if sends_held_shares { contents.held_shares.clone() } else { None },
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -18,7 +18,7 @@
 
 /// Result of an attempt.
 pub struct AttemptResult {
-    /// Whether the request has run, or may have.
+    /// Execution state of the request.
     pub execution: Execution,
     /// Outcome to report to the load balancer.
     pub outcome: Outcome,
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -66,7 +66,7 @@
         self.received - self.answered
     }
 
-    /// Returns whether the response with this number may be written now.
+    /// Returns the turn of the response with this number.
     pub fn turn(&self, number: u64) -> Turn {
         match self.answered + 1 {
             _ if self.has_ended => Turn::Never,
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -23,7 +23,7 @@
 const MAX_UNSENT_BYTES: usize = 256 << 10;
 /// Interval of checks whether a slow client has read more.
 const CLIENT_CHECK_INTERVAL: Span = Span::from_millis(5);
-/// Time after the request's deadline by which a long response must be relayed.
+/// Time after the request's deadline by which the worker must have sent the rest of a long response.
 const RELAY_GRACE: Span = Span::from_millis(500);
 
 /// A complete request read from a client.
@@ -114,7 +114,7 @@
     }
 }
 
-/// Extracts from a request head what routing needs.
+/// Extracts the parts of a request head that routing needs.
 fn read_head<'a>(head: &http::RequestHead<'a>, attempt_id: &str) -> Result<RequestInfo<'a>, LocalResponse> {
     let headers = &head.headers;
     let single =
--- a/crates/proxy/src/routing_state.rs
+++ b/crates/proxy/src/routing_state.rs
@@ -34,8 +34,8 @@
 const RETRY_AFTER_FRACTION: f64 = 0.25;
 /// Maximum age of the last configuration confirmation of a ready proxy.
 const MAX_READY_CONFIRMATION_AGE: Span = Span::from_millis(3_000);
-/// Heartbeat period assumed by the instance registry. It is long enough that missing heartbeats never mark an
-/// instance unresponsive on a proxy; the controllers decide that.
+/// Heartbeat period assumed by the instance registry. Far longer than the real one, because the controllers
+/// detect unresponsive instances and a proxy does not.
 const REGISTRY_HEARTBEAT_PERIOD: Span = Span::from_millis(3_600_000);
 
 /// The parts of a request head that routing needs.
@@ -60,9 +60,9 @@
     /// Age, when the heartbeat arrived, of the last confirmation that no newer revision was committed; `None`
     /// if the controller has no confirmation.
     pub confirmed_ago: Option<Span>,
-    /// Whether the controller is the leader.
+    /// `true` if the controller is the leader and has quorum contact.
     pub is_leader: bool,
-    /// Whether the controller is the leader and every instance that it counts as ready is confirmed.
+    /// `true` if the controller is the leader and has no unconfirmed ready instance.
     pub knows_instances: bool,
 }
 
@@ -72,10 +72,10 @@
     service: String,
     /// Name of the tenant that owns the API key; `None` if the route needs no key.
     pub tenant: Option<String>,
-    /// Kind of the route, which says whether the request is idempotent.
+    /// Kind of the route, which determines if the request is idempotent.
     pub kind: RouteKind,
     latency_target: Span,
-    /// Time by which the client must have its response.
+    /// Time by which the client must have its response. The request handler subtracts the time to send it.
     pub deadline: Time,
     max_attempts: usize,
     /// Home regions of the route and of the tenant; a worker's region must be in every list.
@@ -190,7 +190,8 @@
         self.replica.delta_base()
     }
 
-    /// Applies a configuration update. Returns `false` if it is not newer than the current configuration.
+    /// Applies a configuration update. Returns `false` if the held revision does not increase: the update is
+    /// outdated, malformed or based on another revision.
     pub fn apply_config(&mut self, now: Time, revision: u64, update: &[u8]) -> bool {
         if !self.replica.apply_update(now, revision, update) {
             return false;
@@ -219,7 +220,7 @@
     }
 
     /// Returns the membership revision to report to controllers, or 0 if it was applied less than
-    /// `CONFIRMATION_AGE` ago. After that time, a restarted proxy can no longer confirm an older membership.
+    /// `MAX_CONFIRMATION_AGE` ago. After that time, a restarted process gets no confirmation of an older one.
     pub fn reported_membership(&self, now: Time) -> u64 {
         let (revision, since) = self.membership;
         if now - since >= MAX_CONFIRMATION_AGE { revision } else { 0 }
@@ -350,7 +351,7 @@
         })
     }
 
-    /// Returns the tenant of a request; `None` if its route needs no API key.
+    /// Returns the tenant of a request; `None` if its route is public or no tenants are configured.
     fn authenticate<'a>(
         &self,
         now: Time,
@@ -458,7 +459,8 @@
         request.execution = request.execution.combine(execution);
     }
 
-    /// Returns the final response to a request that gets no further attempt.
+    /// Returns the final response to a request that gets no further attempt. Refunds the quota if the request
+    /// has not run.
     fn give_up(&mut self, now: Time, request: &AdmittedRequest, wait: Span) -> LocalResponse {
         if request.execution.may_claim_not_run() {
             if let Some(tenant) = &request.tenant {
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -38,10 +38,10 @@
 /// Start of `Answering`, as a fraction of the grace period: requests without a reply get the proxy's own
 /// response.
 const ANSWERING_START_FRACTION: f64 = 0.9;
-/// Exit of the process, as a fraction of the grace period, before the platform kills it.
+/// Latest exit of the process, as a fraction of the grace period, before the platform kills it.
 const EXIT_FRACTION: f64 = 0.95;
-/// Interval of checks during shutdown whether clients have disconnected.
-const CLOSING_INTERVAL: Span = Span::from_millis(20);
+/// Interval of checks of the client connections during shutdown.
+const SHUTDOWN_CHECK_INTERVAL: Span = Span::from_millis(20);
 /// Shortest delay of the first heartbeat.
 const MIN_HEARTBEAT_OFFSET_MS: u64 = 200;
 /// Range of the jitter added to it, so that proxies started together do not send at the same time.
@@ -166,7 +166,7 @@
         if now >= deadline {
             return false;
         }
-        proxy.alarms.sleep_until(now + CLOSING_INTERVAL);
+        proxy.alarms.sleep_until(now + SHUTDOWN_CHECK_INTERVAL);
     }
     true
 }
--- a/crates/proxy/src/worker_pool.rs
+++ b/crates/proxy/src/worker_pool.rs
@@ -40,7 +40,7 @@
 /// A connection reserved for one request.
 pub(crate) struct WorkerConnection {
     pub connection: Arc<Connection>,
-    /// Whether it has carried no request yet.
+    /// `true` if it has carried no request yet.
     pub is_new: bool,
 }
 
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -184,9 +184,10 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Columns: case; connection (new, reused, or both in turn); replies of the worker (`+` joins replies without
-/// a pause, `;` with one, `/n` cuts after n bytes, with `rest` sent after a pause); event after that;
-/// expected result of the attempt; whether the connection is reused.
+/// Columns: case; connection (`new`, `kept` for a reused one, or `both` in turn); replies of the worker (`+`
+/// joins replies without a pause, `;` with one, `/n` cuts after n bytes, with `rest` sent after a pause);
+/// event after that (`leaves`: the client disconnects); expected result of the attempt; `kept` if the
+/// connection is reused afterwards.
 const CASES: &str = "
 complete reply                     | both | 200 me seal :yes                         |         | Ran Succeeded 200 yes | kept
 reply split in its head            | both | 200 me seal :yes /30 rest                |         | Ran Succeeded 200 yes | kept
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -44,7 +44,7 @@
     // Closing: requests that were read are answered in order, and each connection closes after its last
     // response.
     send(&partial, &partial_text[40..]);
-    fixture.held.lock().expect("held").drain(..).for_each(|release| release.send(()).expect("told"));
+    fixture.held.lock().expect("held").drain(..).for_each(|release| release.send(()).expect("released"));
     for (stream, expected_ids) in [(&busy, &["held-1"][..]), (&pipelined, &["held-2", "behind"])] {
         let mut reader = BufReader::new(stream);
         for (n, id) in expected_ids.iter().enumerate() {
--- a/crates/proxy/tests/pipeline.rs
+++ b/crates/proxy/tests/pipeline.rs
@@ -24,7 +24,7 @@
         let mut pipeline = ResponsePipeline::default();
         let mut requests: Vec<ModelState> = Vec::new();
         let mut written: Vec<u64> = Vec::new();
-        let (mut over, mut is_closing, mut last) = (false, false, None);
+        let (mut has_ended, mut is_closing, mut last) = (false, false, None);
         for _ in 0..60 {
             let draw = rng.next_u32() as usize;
             match draw % 12 {
@@ -44,10 +44,10 @@
                             // The request ends without a response, for example by a panic.
                             requests[at] = ModelState::Ended;
                             assert_eq!(pipeline.on_request_done(number), AfterRequest::Abort, "seed {seed}");
-                            over = true;
+                            has_ended = true;
                         }
                         ModelState::InFlight if pipeline.turn(number) == Turn::Now => {
-                            assert!(!over, "seed {seed}: turn after the end");
+                            assert!(!has_ended, "seed {seed}: turn after the end");
                             let ends = pipeline.closes_after(number, is_closing);
                             assert!(!ends || number == requests.len() as u64 || last == Some(number));
                             pipeline.on_answered(number);
@@ -69,7 +69,7 @@
                                     );
                                     finished += 1;
                                 }
-                                AfterRequest::Abort => assert!(over, "seed {seed}"),
+                                AfterRequest::Abort => assert!(has_ended, "seed {seed}"),
                             }
                         }
                         _ => {}
@@ -80,7 +80,7 @@
                     if (draw / 72).is_multiple_of(2) {
                         // The reader runs before the next response is written.
                         pipeline.stop_reading();
-                        if !over && written.len() < requests.len() {
+                        if !has_ended && written.len() < requests.len() {
                             last = last.or(Some(requests.len() as u64));
                             assert!(!pipeline.accepts_requests(), "seed {seed}: reads after the last");
                         }
@@ -88,15 +88,15 @@
                 }
                 11 if (draw / 12).is_multiple_of(30) => {
                     pipeline.on_disconnected();
-                    over = true;
+                    has_ended = true;
                 }
                 _ => {}
             }
-            broken += usize::from(over);
+            broken += usize::from(has_ended);
             let in_order: Vec<u64> = (1..=written.len() as u64).collect();
             assert_eq!(written, in_order, "seed {seed}");
             assert!(last.is_none_or(|l| written.len() as u64 <= l), "seed {seed}: response after the last");
-            if !over {
+            if !has_ended {
                 assert_eq!(pipeline.unanswered(), (requests.len() - written.len()) as u64);
             }
         }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -119,7 +119,7 @@
     /// Sends SIGTERM to a process.
     pub fn terminate(&self, name: &str) {
         let process = self.children.get(name).expect("runs").id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &process]).status().expect("told").success());
+        assert!(Command::new("kill").args(["-TERM", &process]).status().expect("ran").success());
     }
 
     /// Makes an operator call to any controller, follows a redirect to the leader, and repeats it until the
--- a/crates/proxy/tests/warm_up_knowledge.rs
+++ b/crates/proxy/tests/warm_up_knowledge.rs
@@ -52,7 +52,7 @@
     store.with_membership(ProxyMembership::new(0, [("z1".to_string(), members)].into()))
 }
 
-/// The only worker, reported as ready and warm.
+/// The only worker, reported as ready and not warming up.
 fn worker(call_seq: u64, is_unconfirmed: bool) -> Instance {
     Instance {
         id: "i-1".to_string(),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Acknowledges a heartbeat as a leader that knows of unconfirmed instances.
+/// Acknowledges a heartbeat as a leader that has unconfirmed instances.
 fn acknowledge_heartbeat(proxy: &mut RoutingState, now: Time) {
     let ack = HeartbeatAck {
         sent_at: now,
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! All functions of [`RecordLog`] block on the disk; [`Writer`] calls them on its own thread.
 //!
-//! File names and their layout are stored on disk and must not change; `tests/golden.rs` checks them.
+//! The names and the layout of the files must not change; `tests/golden.rs` checks them.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -117,7 +117,7 @@
         self.number == 0
     }
 
-    /// Returns the hash of all records.
+    /// Returns the hash of all records, including those replaced by rewrites.
     pub fn chain_hash(&self) -> ChainHash {
         self.hash
     }
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -73,7 +73,7 @@
     while let Ok(Task::Append { context, content }) = queue.recv() {
         let result = log.append(&content).map(drop);
         if result.is_ok() && log.len() > REWRITE_THRESHOLD_BYTES {
-            // The record is already on disk; if the rewrite fails, the long file stays in use.
+            // The record is already on disk; if the rewrite fails, appends go on to the long file.
             let _ = log.rewrite(&retained());
         }
         on_written(context, result);
