--- a/crates/gatekeeper/src/discovery.rs
+++ b/crates/gatekeeper/src/discovery.rs
@@ -41,7 +41,7 @@
     Io(io::Error),
     /// Discovery answered with an error status.
     Status(u16),
-    /// The answer is not valid HTTP.
+    /// The response is not valid HTTP.
     Http(HttpError),
     /// The connection was closed.
     Closed,
@@ -226,7 +226,7 @@
     }
 }
 
-/// Removes the head of the answer; returns `false` if it is incomplete.
+/// Removes the head of the response; returns `false` if it is incomplete.
 fn take_head(watch: &Connection) -> Result<bool, WatchEnd> {
     let mut inbound = watch.inbound();
     let length = match http::parse_response_head(inbound.bytes()) {
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -121,7 +121,7 @@
             Ok(Some((ResponseHead { is_http_1_0, status, headers }, length)))
         }
         Ok(Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => Ok(None),
-        _ => Err(HttpError::new(502, "malformed answer")),
+        _ => Err(HttpError::new(502, "malformed response")),
     }
 }
 
@@ -159,7 +159,7 @@
     match framing {
         Framing::UntilEnd if stream != StreamState::Ended => {
             let is_too_large = bytes.len() - head > max_body_bytes;
-            if is_too_large { Err(HttpError::new(502, "answer too large")) } else { Ok(None) }
+            if is_too_large { Err(HttpError::new(502, "response too large")) } else { Ok(None) }
         }
         Framing::UntilEnd => extent(bytes, head, Framing::Length(bytes.len() - head), false, max_body_bytes),
         framing => extent(bytes, head, framing, keep_alive, max_body_bytes),
