--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -1,8 +1,8 @@
 //! Joining a fleet, and responding to joins of other members.
 //!
-//! A name belongs to one process at a time. A join is refused while another process with the name still
-//! answers. If the name already had the joiner's incarnation or a later one, the joiner starts the next
-//! one.
+//! A name belongs to one process at a time. A join is refused while another process, at another address,
+//! holds the name and answers. If the name already had the joiner's incarnation or a later one, the joiner
+//! starts the next one.
 
 use std::net::SocketAddrV4;
 
@@ -48,15 +48,15 @@
         if !matches!(self.phase, Phase::Joining | Phase::Refused | Phase::ShutOut) {
             return;
         }
-        let mut asked = self.seeds.clone();
+        let mut targets = self.seeds.clone();
         let known = self.members.values().map(|member| member.identity.addr);
-        let known: Vec<_> = known.filter(|addr| !asked.contains(addr)).collect();
-        asked.extend(known.sample(&mut self.rng, REQUEST_FANOUT).copied());
-        if asked.is_empty() && self.phase == Phase::Joining {
+        let known: Vec<_> = known.filter(|addr| !targets.contains(addr)).collect();
+        targets.extend(known.sample(&mut self.rng, REQUEST_FANOUT).copied());
+        if targets.is_empty() && self.phase == Phase::Joining {
             return self.enter_fleet(now, "first member of the fleet");
         }
         let number = self.next_request_number();
-        for to in asked {
+        for to in targets {
             let from = self.local.clone();
             self.send(to, &Packet::Join { from, number });
         }
@@ -85,7 +85,7 @@
         self.restart_timer(now, Timeout::ReportLinks, self.times.exchange_interval);
         self.restart_timer(now, Timeout::SaveMembers, self.times.exchange_interval);
         self.restart_timer(now, Timeout::ContactMissing, self.times.exchange_interval);
-        // This incarnation resolves the suspicions of the previous one.
+        // Suspicions left from the previous incarnation: notify the suspects again before they expire.
         for (suspect, swim_incarnation) in self.take_expiry_timers() {
             let timeout = Timeout::UnresolvedSuspicion(suspect, swim_incarnation);
             self.set_timer(now, timeout, self.times.suspicion_timeout);
@@ -105,9 +105,9 @@
         let is_unknown = |member: &&super::MemberEntry| member.state() == State::Unknown;
         let unknown = self.members.values().filter(is_unknown).map(|member| member.identity.addr);
         let unknown: Vec<_> = unknown.filter(|addr| !present.contains(addr)).collect();
-        let mut asked: Vec<_> = self.seeds.iter().filter(|seed| !present.contains(seed)).copied().collect();
-        asked.extend(unknown.choose(&mut self.rng));
-        for to in asked {
+        let mut targets: Vec<_> = self.seeds.iter().filter(|seed| !present.contains(seed)).copied().collect();
+        targets.extend(unknown.choose(&mut self.rng));
+        for to in targets {
             let (from, number) = (self.local.clone(), self.next_request_number());
             self.send(to, &Packet::Join { from, number });
         }
