--- a/crates/config/src/bounds.rs
+++ b/crates/config/src/bounds.rs
@@ -1,52 +1,53 @@
-//! The figures of the operators' rules, from the settings' `bounds`.
+//! Limits and time spans of the operators' rules, read from `bounds` in the settings file.
 
 use lynxstair::types::Span;
 
 use crate::json::{self, Object, Value, ValueError, get, invalid};
 
-/// What the operators' rules ask for; a figure that is not named has the default of the operators' example.
+/// Limits and time spans of the operators' rules. Values that the settings omit have defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long after the last fault machines are in touch again.
+    /// Longest time after the last fault until machines are in contact again.
     pub contact: Span,
-    /// How long a worker serves on after its drain was acknowledged.
+    /// Time for which a worker continues to serve after its drain was acknowledged.
     pub drain: Span,
-    /// How long a process may go on after SIGTERM.
+    /// Longest time between SIGTERM and the exit of a process.
     pub grace: Span,
-    /// How long an acknowledged configuration may take to be in force everywhere.
+    /// Longest time until an acknowledged configuration is in force on every machine.
     pub converge: Span,
-    /// A revoked key must stop working on every machine, cut off or not.
+    /// A revoked key must stop working on every machine, including partitioned ones.
     pub revoke_final: bool,
-    /// How long a revoked key may still work.
+    /// Longest time for which a revoked key still works.
     pub revoke: Span,
-    /// Retries that are granted for each request.
+    /// Retries granted for each request.
     pub retry_ratio: f64,
-    /// The window that retries are counted in.
+    /// Window for counting retries.
     pub retry_window: Span,
-    /// Retries that are granted on top of the ratio in each window.
+    /// Retries granted in addition to the ratio in each window.
     pub retry_slack: f64,
-    /// The window that quotas are counted in.
+    /// Window for counting requests against a quota.
     pub quota_window: Span,
-    /// The fraction by which a quota may be exceeded in a window.
+    /// Fraction by which a quota may be exceeded in a window.
     pub quota_overshoot: f64,
-    /// Requests by which it may be exceeded on top of that.
+    /// Requests by which a quota may be exceeded in addition.
     pub quota_slack: f64,
-    /// The factor by which the rate of a worker that is warming up may be exceeded.
+    /// Allowed multiple of the rate of a worker that is warming up.
     pub warm_up_overshoot: f64,
-    /// Requests a second by which it may be exceeded on top of that.
+    /// Requests a second allowed in addition to that multiple.
     pub warm_up_slack: f64,
-    /// How long an acknowledged evacuation may take to be in force.
+    /// Longest time until an acknowledged evacuation is in force.
     pub evacuate: Span,
-    /// The longest time that a directory answer may be used for.
+    /// Longest time to live of a directory response.
     pub ttl_max: Span,
-    /// How long a machine still counts as lost after it is back, or after its start where it is new.
+    /// Time after its return, or after the start of a new machine, during which a machine still counts as
+    /// failed.
     pub catch_up: Span,
-    /// How long a valid command of the operator may go without an acknowledgement.
+    /// Longest time until a valid operator command is acknowledged.
     pub ack: Span,
 }
 
 impl Bounds {
-    /// Reads `name=value` texts, in a list or on one line between commas.
+    /// Reads `name=value` strings, from a list or from one comma-separated string.
     pub(crate) fn from_settings(settings: &Object) -> Result<Bounds, ValueError> {
         let pairs = Pairs::from_settings(settings)?;
         Ok(Bounds {
@@ -72,6 +73,7 @@
     }
 }
 
+/// The `name=value` strings of the `bounds` setting.
 struct Pairs(Vec<String>);
 
 impl Pairs {
@@ -92,7 +94,7 @@
         match self.find(name).map(str::parse::<f64>) {
             None => Ok(default),
             Some(Ok(n)) if n.is_finite() && n >= 0.0 => Ok(n),
-            Some(_) => invalid(format!("bounds.{name}"), "a number is wanted"),
+            Some(_) => invalid(format!("bounds.{name}"), "expected a non-negative number"),
         }
     }
 
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What the system acts on of a configuration: routes, services, tenants, limits, and how a request finds its own.
+//! A validated configuration: routes, services, tenants and limits, with lookup by request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,129 +6,130 @@
 use indexmap::IndexMap;
 use lynxstair::types::Span;
 
-/// What the requests of a route do.
+/// Retry semantics of the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RouteKind {
-    /// Reads; may run again.
+    /// Has no effects; may run again.
     Safe,
-    /// Has effects; may run once only.
+    /// Has effects; must not run more than once.
     Unsafe,
-    /// Streams a long response; may run again.
+    /// Has a long response; may run again.
     Download,
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may run again.
+    /// Returns `true` if a request that may have run may be sent again.
     pub fn is_idempotent(self) -> bool {
         self != RouteKind::Unsafe
     }
 }
 
-/// A route.
+/// Requests of one host and path prefix, and the services that handle them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Unique among all routes.
     pub name: String,
-    /// The host of its requests, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// The beginning of their paths, with a slash at both ends.
+    /// Prefix of the request paths; begins and ends with a slash.
     pub prefix: String,
-    /// What its requests do.
+    /// Retry semantics of the requests.
     pub kind: RouteKind,
-    /// The longest time until a request is answered.
+    /// Longest time until a request is answered.
     pub timeout: Span,
-    /// The latency target.
+    /// Latency target.
     pub target: Span,
-    /// 0 is highest.
+    /// Priority of the requests; 0 is highest.
     pub priority: u32,
-    /// Services, each with its weight.
+    /// Services with their weights.
     pub services: Vec<(String, f64)>,
-    /// How many attempts a request may make, the first included.
+    /// Maximum number of attempts for a request, including the first.
     pub max_attempts: u32,
-    /// Needs no key.
+    /// Requests need no API key.
     pub public: bool,
     /// Regions that it may be served in; empty means all.
     pub home_regions: Vec<String>,
 }
 
-/// A service.
+/// A group of workers that handle the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The path of its health check.
+    /// Path of the health check.
     pub health_path: String,
-    /// How many connections a worker takes.
+    /// Maximum number of connections to a worker.
     pub max_conns: u32,
-    /// How long a worker warms up.
+    /// Warm-up time of a worker.
     pub warm_up: Span,
-    /// What a worker takes while it warms up, in requests a second.
+    /// Rate that a worker can take while warming up, in requests a second.
     pub warm_up_rate: f64,
 }
 
-/// A tenant.
+/// A set of API keys with a common quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Unique among all tenants.
     pub name: String,
-    /// 0 is highest; None leaves it to the route.
+    /// Priority of the requests; 0 is highest. `None` uses the priority of the route.
     pub priority: Option<u32>,
-    /// The quota, in requests a second; 0 means no limit.
+    /// Quota in requests a second; 0 means no limit.
     pub rate: f64,
-    /// Requests that may come on top of the rate at once.
+    /// Burst above the rate, in requests.
     pub burst: f64,
     /// Regions that it may be served in; empty means all.
     pub home_regions: Vec<String>,
 }
 
-/// Bounds on what a client may send.
+/// Limits on client connections and requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// The longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// The longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a client may take for a head.
+    /// Longest time for receiving a request head.
     pub header_timeout: Span,
-    /// How long a connection may rest between requests.
+    /// Longest time that a connection may be idle between requests.
     pub idle_timeout: Span,
 }
 
-/// The API keys of one tenant.
+/// API keys of one tenant.
 pub(crate) type Keys = Arc<[Arc<str>]>;
 
-/// A valid configuration. What is the same in two versions is shared by them.
+/// A valid configuration. Generations share the parts that are equal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// The operator's version.
+    /// Generation assigned by the operator.
     pub generation: u64,
-    /// By host, the longest prefix first.
+    /// Routes by host, longest prefix first.
     pub routes: Arc<HashMap<String, Vec<Arc<Route>>>>,
-    /// By name.
+    /// Services by name.
     pub services: Arc<IndexMap<String, Service>>,
-    /// In the operator's order.
+    /// Tenants in the operator's order.
     pub tenants: Arc<Vec<Tenant>>,
-    /// The keys of each tenant, in the same order.
+    /// API keys of each tenant, in the order of `tenants`.
     pub(crate) tenant_keys: Arc<Vec<Keys>>,
-    /// The index of the tenant that holds a key.
+    /// Index into `tenants` by API key.
     pub(crate) tenant_by_key: Arc<HashMap<Arc<str>, usize>>,
-    /// Bounds on what a client may send.
+    /// Limits on client connections and requests.
     pub limits: ClientLimits,
 }
 
 impl Configuration {
-    /// The route of a request: among those of its host, the one with the longest prefix that begins the path.
+    /// Returns the route of a request: the one with the longest matching path prefix among the routes of
+    /// the host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').filter(|(_, p)| p.parse::<u16>().is_ok()).map_or(host, |(h, _)| h);
         let routes = self.routes.get(host).or_else(|| self.routes.get(&host.to_ascii_lowercase()))?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The tenant that holds a key, with its index.
+    /// Returns the tenant with an API key, and its index in `tenants`.
     pub fn tenant(&self, key: &str) -> Option<(usize, &Tenant)> {
         let index = *self.tenant_by_key.get(key)?;
         Some((index, &self.tenants[index]))
     }
 
-    /// All routes, in no order.
+    /// Returns all routes, in no particular order.
     pub fn all_routes(&self) -> impl Iterator<Item = &Route> {
         self.routes.values().flatten().map(|route| &**route)
     }
--- a/crates/config/src/json.rs
+++ b/crates/config/src/json.rs
@@ -1,4 +1,4 @@
-//! Reading `tinyjson` values by hand: each error names the key at fault and what is wrong with it.
+//! Typed access to `tinyjson` values. Each error names the path of the invalid key and the reason.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -8,18 +8,20 @@
 /// A JSON object.
 pub type Object = HashMap<String, Value>;
 
-/// Text nested deeper than this is rejected before it is parsed: the parser recurses once for each level.
+/// Maximum nesting depth of a JSON text. Deeper texts are rejected before parsing, because the parser
+/// recurses at each level.
 const MAX_DEPTH: usize = 32;
 
-/// A version may not exceed this where it is given as a number: a JSON number holds no larger integer exactly.
+/// Upper bound (exclusive) of a version given as a number; below it a JSON number represents integers
+/// exactly.
 const MAX_NUMERIC_VERSION: f64 = 1e15;
 
-/// What is wrong with a value, and where. Sending the same value again fails again.
+/// An invalid value. Permanent: the same value is rejected again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValueError {
-    /// The key, with the path to it.
+    /// Path of the invalid key, with its parts separated by dots.
     pub path: String,
-    /// What is wrong.
+    /// Reason for the rejection.
     pub reason: String,
 }
 
@@ -31,7 +33,7 @@
 
 impl std::error::Error for ValueError {}
 
-/// A `ValueError` as the result of reading anything.
+/// Returns a [`ValueError`] as a result of any type.
 pub fn invalid<T>(path: impl Into<String>, reason: impl Into<String>) -> Result<T, ValueError> {
     Err(ValueError { path: path.into(), reason: reason.into() })
 }
@@ -40,7 +42,7 @@
 pub fn parse(text: &[u8]) -> Result<Value, ValueError> {
     let Ok(text) = std::str::from_utf8(text) else { return invalid("body", "not UTF-8") };
     if exceeds_depth(text) {
-        return invalid("body", format!("nested deeper than {MAX_DEPTH}"));
+        return invalid("body", format!("nested deeper than {MAX_DEPTH} levels"));
     }
     text.parse::<Value>().or_else(|e| invalid("body", format!("not JSON: {e}")))
 }
@@ -63,53 +65,53 @@
     false
 }
 
-/// The value as an object.
+/// Returns the value as an object.
 pub fn as_object<'a>(value: &'a Value, path: &str) -> Result<&'a Object, ValueError> {
-    value.get::<Object>().map_or_else(|| invalid(path, "an object is wanted"), Ok)
+    value.get::<Object>().map_or_else(|| invalid(path, "expected an object"), Ok)
 }
 
-/// The value as a list.
+/// Returns the value as an array.
 pub fn as_array<'a>(value: &'a Value, path: &str) -> Result<&'a Vec<Value>, ValueError> {
-    value.get::<Vec<Value>>().map_or_else(|| invalid(path, "a list is wanted"), Ok)
+    value.get::<Vec<Value>>().map_or_else(|| invalid(path, "expected an array"), Ok)
 }
 
-/// The value as a text.
+/// Returns the value as a string.
 pub fn as_str<'a>(value: &'a Value, path: &str) -> Result<&'a str, ValueError> {
-    value.get::<String>().map_or_else(|| invalid(path, "a text is wanted"), |s| Ok(s.as_str()))
+    value.get::<String>().map_or_else(|| invalid(path, "expected a string"), |s| Ok(s.as_str()))
 }
 
-/// The value as a finite number.
+/// Returns the value as a finite number.
 pub fn as_number(value: &Value, path: &str) -> Result<f64, ValueError> {
     match value.get::<f64>() {
         Some(n) if n.is_finite() => Ok(*n),
-        _ => invalid(path, "a number is wanted"),
+        _ => invalid(path, "expected a number"),
     }
 }
 
-/// The value as true or false.
+/// Returns the value as a Boolean.
 pub fn as_bool(value: &Value, path: &str) -> Result<bool, ValueError> {
-    value.get::<bool>().map_or_else(|| invalid(path, "true or false is wanted"), |b| Ok(*b))
+    value.get::<bool>().map_or_else(|| invalid(path, "expected true or false"), |b| Ok(*b))
 }
 
-/// The value as a list of texts.
+/// Returns the value as an array of strings.
 pub fn as_strings(value: &Value, path: &str) -> Result<Vec<String>, ValueError> {
     as_array(value, path)?.iter().map(|v| as_str(v, path).map(str::to_string)).collect()
 }
 
-/// The value as a configuration's version: eight hexadecimal digits, or a whole number.
+/// Returns the value as the version of a configuration: a string of hexadecimal digits or a whole number.
 pub fn as_version(value: &Value, path: &str) -> Result<u64, ValueError> {
     match value {
         Value::Number(n) if *n >= 0.0 && n.fract() == 0.0 && *n < MAX_NUMERIC_VERSION => Ok(*n as u64),
         Value::String(digits) => {
-            u64::from_str_radix(digits, 16).or_else(|_| invalid(path, "eight hexadecimal digits are wanted"))
+            u64::from_str_radix(digits, 16).or_else(|_| invalid(path, "expected eight hexadecimal digits"))
         }
-        _ => invalid(path, "eight hexadecimal digits are wanted"),
+        _ => invalid(path, "expected eight hexadecimal digits"),
     }
 }
 
-/// Something that holds values by keys.
+/// Access to values by key.
 pub trait Fields {
-    /// The value under a key, null included.
+    /// Returns the value of a key, which may be null.
     fn field(&self, key: &str) -> Option<&Value>;
 }
 
@@ -119,12 +121,12 @@
     }
 }
 
-/// One row of a table, its values keyed by the table's columns.
+/// One row of a table, with access to its values by column name.
 #[derive(Clone, Copy, Debug)]
 pub struct RowFields<'a> {
-    /// The names of the columns.
+    /// Column names.
     pub columns: &'a [String],
-    /// As many values.
+    /// Values in the order of the columns.
     pub values: &'a [Value],
 }
 
@@ -134,29 +136,29 @@
     }
 }
 
-/// The value under a key; null counts as absent.
+/// Returns the value of a key. Null counts as absent.
 pub fn get<'a>(fields: &'a impl Fields, key: &str) -> Option<&'a Value> {
     fields.field(key).filter(|v| !v.is_null())
 }
 
-/// The value under a key that must be there; `path` names what holds it.
+/// Returns the value of a required key. `path` is the path of the containing object, for the error.
 pub fn require<'a>(fields: &'a impl Fields, key: &str, path: &str) -> Result<&'a Value, ValueError> {
     get(fields, key).map_or_else(|| invalid(join(path, key), "missing"), Ok)
 }
 
-/// The path of a key within what `path` names.
+/// Returns the path of a key in the object at `path`.
 pub fn join(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_string() } else { format!("{path}.{key}") }
 }
 
-/// A value as text: the same value gives the same text, whatever order its keys came in.
+/// Serializes a value with sorted keys, so that equal values give equal texts.
 pub fn to_text(value: &Value) -> String {
     let mut out = String::new();
     write_text(value, &mut out);
     out
 }
 
-/// The same, appended to `out`.
+/// Appends the text of a value to `out`, as [`to_text`] returns it.
 pub fn write_text(value: &Value, out: &mut String) {
     match value {
         Value::Array(values) => {
@@ -183,7 +185,7 @@
             }
             out.push('}');
         }
-        // A number that JSON has no text for can't have come from a JSON text either.
+        // Only non-finite numbers fail, which a JSON text can't contain.
         scalar => out.push_str(&scalar.stringify().unwrap_or_else(|_| "null".to_string())),
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,6 @@
-//! What a process is configured with: the boot settings file, the operator's configuration. Reading and
-//! checking only: no socket, no clock, no thread.
+//! Parsing and validation of the settings file of a process and of the operator's configuration.
+//!
+//! The crate uses no sockets, clocks or threads.
 #![forbid(unsafe_code)]
 
 pub mod bounds;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,5 +1,4 @@
-//! The settings file of one process: YAML, turned into JSON values and read by hand. Unknown fields are ignored; what is
-//! wrong is named by its key.
+//! Settings file of one process, in YAML. Unknown keys are ignored; errors name the invalid key.
 
 use std::fmt;
 use std::io;
@@ -11,32 +10,32 @@
 use crate::bounds::Bounds;
 use crate::json::{self, Object, Value, ValueError, get, invalid, require};
 
-/// The environment variable that names the settings file.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "LYNXSTAIR_BOOT";
 
-/// What holds where the file says nothing.
+/// Defaults of values that the file omits.
 const DEFAULT_MEMORY_MB: f64 = 128.0;
 const DEFAULT_MAX_FDS: f64 = 1024.0;
 const DEFAULT_HEARTBEAT_PERIOD_S: f64 = 1.5;
 const DEFAULT_FAULT_BUDGET_MACHINES: f64 = 1.0;
-/// No system has enough controllers to lose more of them at once.
+/// Upper bound of `fault-budget.machines`.
 const MAX_FAULT_BUDGET_MACHINES: f64 = 8.0;
 
-/// Why a settings file can't be used. Trying again helps once the file was changed.
+/// Error in reading a settings file. Permanent until the file is changed.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     Unreadable {
         /// The file.
         file: String,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// Something in it is wrong.
+    /// The file has an invalid value or is not valid YAML.
     Invalid {
         /// The file.
         file: String,
-        /// The key at fault.
+        /// Invalid key with the reason.
         source: ValueError,
     },
 }
@@ -59,73 +58,73 @@
     }
 }
 
-/// What the process may use of its machine.
+/// Resource limits of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Memory, in megabytes.
+    /// Memory in megabytes.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub max_fds: usize,
 }
 
-/// The settings of one process.
+/// Settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The name of the machine.
+    /// Name of the machine.
     pub node: String,
-    /// Its address.
+    /// IP address of the machine.
     pub ip: IpAddr,
-    /// The zone that it stands in.
+    /// Zone of the machine.
     pub zone: String,
-    /// The zone's region.
+    /// Region of that zone.
     pub region: String,
-    /// All zones, each with its region, in alphabetical order.
+    /// All zones with their regions, in alphabetical order.
     pub zones: Vec<(String, String)>,
-    /// Where clients connect; proxies only.
+    /// Listen address for client requests; proxies only.
     pub front: Option<SocketAddr>,
-    /// Where the platform asks whether clients may be sent here.
+    /// Listen address for readiness checks of the platform.
     pub readiness: Option<SocketAddr>,
-    /// Where workers and operators call; controllers only. Names the controller to others.
+    /// Listen address for workers and operators, which also identifies the controller; controllers only.
     pub control: Option<SocketAddr>,
-    /// Where clients ask for proxies; controllers only.
+    /// Listen address of the directory of proxies; controllers only.
     pub directory: Option<SocketAddr>,
-    /// The first and the last port that processes may use between each other.
+    /// First and last port for traffic between processes of the system.
     pub ports: (u16, u16),
     /// Control addresses of some controllers.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// The system as a whole starts for the first time.
     pub bootstrap: bool,
-    /// What the process may use.
+    /// Resource limits.
     pub limits: Limits,
-    /// Where it may store data; None on a machine without a disk.
+    /// Directory for stored data; `None` on a machine without a disk.
     pub data_dir: Option<String>,
-    /// How often a worker sends a heartbeat.
+    /// Interval between heartbeats of a worker.
     pub heartbeat_period: Span,
-    /// How many machines may be lost at once with all rules kept.
+    /// Number of machines that may fail at once without any rule being broken.
     pub fault_budget_machines: usize,
-    /// The operators' rules.
+    /// Limits and time spans of the operators' rules.
     pub bounds: Bounds,
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Reads a settings file.
     pub fn from_file(file: &str) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| SettingsError::Unreadable { file: file.to_string(), source })?;
         Settings::from_yaml(&text).map_err(|source| SettingsError::Invalid { file: file.to_string(), source })
     }
 
-    /// Where this process listens for the others of the system.
+    /// Returns the listen address for other processes of the system.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports.0)
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone, or `None` if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.zones.iter().find(|(z, _)| z == zone).map(|(_, r)| r.as_str())
     }
 
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     pub fn from_yaml(text: &str) -> Result<Settings, ValueError> {
         let documents =
             YamlLoader::load_from_str(text).or_else(|e| invalid("settings", format!("not YAML: {e}")))?;
@@ -133,7 +132,7 @@
         let value = to_json(first);
         let fields = json::as_object(&value, "settings")?;
         let bind = Bind(section(fields, "bind")?);
-        // The keys that are most often wrong are named first.
+        // The keys that are most often invalid are checked first.
         let (ip, ports, seeds) = (read_ip(fields)?, read_ports(fields)?, read_seeds(fields)?);
         Ok(Settings {
             node: required_text(fields, "node-name")?,
@@ -164,7 +163,7 @@
     }
 }
 
-/// The addresses to listen on.
+/// The `bind` section: listen addresses.
 struct Bind<'a>(Option<&'a Object>);
 
 impl Bind<'_> {
@@ -187,19 +186,19 @@
 }
 
 fn read_ip(fields: &Object) -> Result<IpAddr, ValueError> {
-    required_text(fields, "ip")?.parse().or_else(|_| invalid("ip", "an address is wanted"))
+    required_text(fields, "ip")?.parse().or_else(|_| invalid("ip", "expected an IP address"))
 }
 
 fn read_address(value: &Value, path: &str) -> Result<SocketAddr, ValueError> {
     let text = json::as_str(value, path)?;
-    text.parse().or_else(|_| invalid(path, format!("{text} is no address with a port")))
+    text.parse().or_else(|_| invalid(path, format!("{text} is not an address with a port")))
 }
 
 fn read_ports(fields: &Object) -> Result<(u16, u16), ValueError> {
     let ports = json::as_array(require(fields, "port-range", "")?, "port-range")?;
     let read = |port| json::as_number(port, "port-range").map(|port| port as u16);
     let ports: Vec<u16> = ports.iter().map(read).collect::<Result<_, _>>()?;
-    let [from, to] = ports[..] else { return invalid("port-range", "two ports are wanted") };
+    let [from, to] = ports[..] else { return invalid("port-range", "expected two ports") };
     Ok((from, to))
 }
 
@@ -232,12 +231,12 @@
     let budget = section(fields, "fault-budget")?.unwrap_or(&empty);
     let machines = number(budget, "machines", path, DEFAULT_FAULT_BUDGET_MACHINES)?;
     if !(0.0..=MAX_FAULT_BUDGET_MACHINES).contains(&machines) || machines.fract() != 0.0 {
-        return invalid(path, format!("a whole number from 0 to {MAX_FAULT_BUDGET_MACHINES} is wanted"));
+        return invalid(path, format!("expected a whole number from 0 to {MAX_FAULT_BUDGET_MACHINES}"));
     }
     Ok(machines as usize)
 }
 
-/// A YAML value as the JSON value that everything else here reads.
+/// Converts a YAML value to JSON. Unsupported values become null.
 fn to_json(yaml: &Yaml) -> Value {
     match yaml {
         Yaml::Real(text) => text.parse().map_or(Value::Null, Value::Number),
--- a/crates/config/src/settings_reload.rs
+++ b/crates/config/src/settings_reload.rs
@@ -1,5 +1,5 @@
-//! The settings file while a program runs. It may be replaced with a signal or without one; the one setting that is
-//! taken over is the list of seeds.
+//! Reloading of the settings file while a program runs, after a signal or a change of the file. Only the
+//! list of seeds is applied.
 
 use std::net::SocketAddr;
 use std::os::unix::fs::MetadataExt;
@@ -9,19 +9,19 @@
 
 use crate::settings::{SETTINGS_VARIABLE, Settings, SettingsError};
 
-/// Why the file is looked at.
+/// Reason for a reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadTrigger {
-    /// SIGHUP.
+    /// SIGHUP was received.
     Signal,
-    /// No controller is connected: the file may name others, even if it has not changed.
+    /// No controller is connected. The file is read even if it has not changed.
     Isolated,
-    /// It is time to look whether the file has changed.
+    /// Periodic check whether the file has changed.
     Periodic,
 }
 
 impl ReloadTrigger {
-    /// The trigger of a process that may be isolated: it looks at the file even if that has not changed.
+    /// Returns [`ReloadTrigger::Isolated`] in place of a periodic check if the process is isolated.
     pub fn or_isolated(self, is_isolated: bool) -> ReloadTrigger {
         match self {
             ReloadTrigger::Periodic if is_isolated => ReloadTrigger::Isolated,
@@ -38,30 +38,32 @@
     }
 }
 
-/// When a file was changed, its length, and its inode: a file that is put in its place differs in one of them.
+/// Modification time, length and inode of a file. A replacement differs in at least one of them.
 type FileStamp = (SystemTime, u64, u64);
 
-/// Watches one settings file.
+/// Detects changes of one settings file.
 #[derive(Debug, Default)]
 pub struct SettingsReload {
     file: String,
+    /// Stamp at the last read.
     seen: Option<FileStamp>,
 }
 
 impl SettingsReload {
-    /// The file that the environment names, as it was read at the start.
+    /// Watches the file named by the environment. Its present state counts as read.
     pub fn from_environment() -> SettingsReload {
         SettingsReload::new(std::env::var(SETTINGS_VARIABLE).unwrap_or_default())
     }
 
-    /// A file as it is now.
+    /// Watches `file`. Its present state counts as read.
     pub fn new(file: String) -> SettingsReload {
         let mut reload = SettingsReload { file, seen: None };
         reload.seen = reload.stamp();
         reload
     }
 
-    /// The seeds that the file names, where it has changed since it was last looked at; in any case where it is forced.
+    /// Returns the seeds in the file if it has changed since the last read or if `is_forced`, otherwise
+    /// `None`.
     pub fn poll(&mut self, is_forced: bool) -> Option<Result<Vec<SocketAddr>, SettingsError>> {
         let stamp = self.stamp();
         if stamp == self.seen && !is_forced {
@@ -71,14 +73,14 @@
         Some(Settings::from_file(&self.file).map(|settings| settings.seeds))
     }
 
-    /// The same for a program: a file that can't be used is logged and changes nothing. `add_seeds` takes the seeds over
-    /// and returns whether one of them is new.
+    /// Reads the file as the trigger requires and passes its seeds to `add_seeds`, which returns `true` if
+    /// any of them is new. A file that is invalid or can't be read is logged and ignored.
     pub fn reload_seeds(&mut self, trigger: ReloadTrigger, add_seeds: impl FnOnce(&[SocketAddr]) -> bool) {
         match self.poll(trigger != ReloadTrigger::Periodic) {
             None => {}
             Some(Ok(seeds)) => {
                 let has_new = add_seeds(&seeds);
-                // An isolated process looks again and again, and finds the same.
+                // An isolated process reads the file repeatedly, so unchanged seeds are not logged.
                 if has_new || trigger != ReloadTrigger::Isolated {
                     info!(trigger = trigger.as_str(), seeds = seeds.len(); "seeds reloaded");
                 }
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -1,7 +1,8 @@
-//! A configuration in the form the operator gives it: three tables of named rows, and what stands beside them. It is
-//! stored, changed, distributed and returned in this form; `configuration` reads out of it what the system acts on.
+//! A configuration as the operator supplies it: three tables of named rows, and other fields.
 //!
-//! A row is held as the text of its values and shared between versions: a change costs what it names, not what there is.
+//! It is stored, patched, distributed and returned in this form. [`crate::configuration`] holds the parsed
+//! form that the system acts on. A row is kept as the text of its values and shared between versions, so
+//! the cost of a change depends on the changed rows only.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,90 +13,90 @@
 
 use crate::json::{self, Object, Value, ValueError, get, invalid, join, require};
 
-/// The tables that a configuration is made of, by their keys.
+/// Keys of the tables of a configuration.
 pub const TABLES: [&str; 3] = ["routes", "services", "tenants"];
 
-/// The text of a row's values but its name, in the order of the table's columns, separated by commas.
+/// The values of a row without its name, as JSON texts in column order, separated by commas.
 pub type Row = Arc<str>;
 
-/// The name of a row.
+/// Name of a row, unique in its table.
 pub type Name = Arc<str>;
 
-/// Rows by their names, in the operator's order.
+/// Rows by name, in the operator's order.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// All but `name`.
+    /// Column names without `name`.
     columns: Vec<String>,
     rows: IndexMap<Name, Row>,
-    /// The sum of the rows' digests, kept up to date with each changed row.
+    /// Wrapping sum of the digests of all rows, updated with each change.
     digest: u128,
 }
 
-/// In what one table differs from an older one, by the names of rows.
+/// Difference between a table and an older version of it, by names of rows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableDiff {
-    /// Rows that only the older one has.
+    /// Rows that only the older version has.
     pub removed: Vec<Name>,
-    /// Rows that are new or have other values.
+    /// Rows that are new or have different values.
     pub changed: Vec<Name>,
 }
 
-/// A configuration as tables. Its field names lie on disks and go between processes.
+/// A configuration as tables. The serialized field names are stored on disk and sent between processes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigTable {
-    /// The operator's version.
+    /// Generation assigned by the operator.
     pub generation: u64,
-    /// As `TABLES` names them.
+    /// Tables in the order of [`TABLES`].
     #[serde(rename = "lists")]
     pub tables: [Table; 3],
-    /// `limits`, and whatever later versions of the protocol add: an object's text.
+    /// JSON text of an object with the other fields: `limits`, and fields of later protocol versions.
     #[serde(rename = "rest")]
     pub extra: String,
 }
 
-/// The version that a `PUT` or `PATCH` says it builds on, 0 where it says none.
+/// Returns the version on which a `PUT` or `PATCH` body is based, 0 if it names none.
 pub fn base_version(body: &Value) -> Result<u64, ValueError> {
     let body = json::as_object(body, "body")?;
     get(body, "base-version").map_or(Ok(0), |v| json::as_version(v, "base-version"))
 }
 
-/// The version that a `PUT` or `PATCH` brings.
+/// Returns the generation of a `PUT` or `PATCH` body.
 pub fn generation(body: &Value) -> Result<u64, ValueError> {
     let body = json::as_object(body, "body")?;
     json::as_version(require(body, "generation", "")?, "generation")
 }
 
-/// Whether what stands under this key is not kept in `extra`.
-fn has_own_field(key: &str) -> bool {
+/// Returns `true` if the value of this key is not kept in `extra`.
+fn is_separate_field(key: &str) -> bool {
     TABLES.contains(&key) || matches!(key, "generation" | "base-version")
 }
 
 impl ConfigTable {
-    /// Reads a complete configuration, the body of a `PUT`.
+    /// Parses a complete configuration, the body of a `PUT`.
     pub fn from_json(body: &Value) -> Result<ConfigTable, ValueError> {
         let fields = json::as_object(body, "body")?;
         let mut config = ConfigTable { generation: generation(body)?, ..ConfigTable::default() };
         for (table, name) in config.tables.iter_mut().zip(TABLES) {
-            // Without tenants a configuration is complete; without the others it is not.
+            // Only the tenants table is optional.
             match get(fields, name) {
                 Some(value) => table.merge(value, name)?,
                 None if name == "tenants" => {}
                 None => return invalid(name, "missing"),
             }
         }
-        let extra = fields.iter().filter(|(key, _)| !has_own_field(key));
+        let extra = fields.iter().filter(|(key, _)| !is_separate_field(key));
         let extra = extra.map(|(key, value)| (key.clone(), value.clone())).collect();
         config.extra = json::to_text(&Value::Object(extra));
         Ok(config)
     }
 
-    /// This configuration with the rows changed that the body of a `PATCH` names.
+    /// Returns this configuration with the changes of a `PATCH` body applied.
     pub fn patched(&self, body: &Value) -> Result<ConfigTable, ValueError> {
         let fields = json::as_object(body, "body")?;
         let mut config = ConfigTable { generation: generation(body)?, ..self.clone() };
         let empty = Object::new();
-        let part = |key: &str| get(fields, key).map_or(Ok(&empty), |v| json::as_object(v, key));
-        let (upsert, remove) = (part("upsert")?, part("remove")?);
+        let section = |key: &str| get(fields, key).map_or(Ok(&empty), |v| json::as_object(v, key));
+        let (upsert, remove) = (section("upsert")?, section("remove")?);
         for (table, name) in config.tables.iter_mut().zip(TABLES) {
             if let Some(names) = get(remove, name) {
                 let removed = json::as_strings(names, &join("remove", name))?;
@@ -107,7 +108,7 @@
         }
         let mut extra = self.extra()?;
         let mut is_changed = false;
-        for (key, value) in upsert.iter().filter(|(k, v)| !has_own_field(k) && !v.is_null()) {
+        for (key, value) in upsert.iter().filter(|(k, v)| !is_separate_field(k) && !v.is_null()) {
             extra.insert(key.clone(), value.clone());
             is_changed = true;
         }
@@ -117,7 +118,7 @@
         Ok(config)
     }
 
-    /// What stands beside the tables.
+    /// Returns the fields outside the tables.
     pub fn extra(&self) -> Result<Object, ValueError> {
         if self.extra.is_empty() {
             return Ok(Object::new());
@@ -125,7 +126,7 @@
         json::as_object(&json::parse(self.extra.as_bytes())?, "body").cloned()
     }
 
-    /// The complete configuration in the form of a `PUT`.
+    /// Serializes the complete configuration as the body of a `PUT`.
     pub fn to_json(&self) -> String {
         let mut out = format!("{{\"generation\":\"{:08x}\"", self.generation);
         for (table, name) in self.tables.iter().zip(TABLES) {
@@ -142,7 +143,7 @@
         out
     }
 
-    /// The same digest for the same configuration, whatever order its rows came in.
+    /// Returns a digest of the configuration that doesn't depend on the order of rows.
     pub fn digest(&self) -> [u8; digest::LENGTH] {
         let generation = self.generation.to_be_bytes();
         let sums = self.tables.each_ref().map(|table| table.digest.to_be_bytes());
@@ -153,7 +154,7 @@
         digest::of([&generation[..], self.extra.as_bytes()].into_iter().chain(tables))
     }
 
-    /// Shares the memory of rows that are the same as in an older version.
+    /// Shares the memory of rows that are equal in an older version.
     pub fn share_rows_with(&mut self, older: &ConfigTable) {
         for (table, older) in self.tables.iter_mut().zip(&older.tables) {
             for (name, row) in &mut table.rows {
@@ -166,24 +167,24 @@
 }
 
 impl Table {
-    /// The names of the columns but `name`.
+    /// Returns the column names without `name`.
     pub fn columns(&self) -> &[String] {
         &self.columns
     }
 
-    /// All rows.
+    /// Returns all rows by name, in the operator's order.
     pub fn rows(&self) -> &IndexMap<Name, Row> {
         &self.rows
     }
 
-    /// Whether no row differs, nor does their order.
+    /// Returns `true` if the columns, the rows and their order are equal.
     pub fn is_same(&self, other: &Table) -> bool {
         self.columns == other.columns
             && self.rows.len() == other.rows.len()
             && self.rows.iter().zip(&other.rows).all(|((a, x), (b, y))| is_same_row(x, y) && a == b)
     }
 
-    /// The difference to `older`; None where the columns differ, and with them the meaning of all rows.
+    /// Returns the difference to `older`, or `None` if the columns differ and rows can't be compared.
     pub fn diff(&self, older: &Table) -> Option<TableDiff> {
         if self.columns != older.columns {
             return None;
@@ -197,14 +198,14 @@
         })
     }
 
-    /// Removes a row, where there is one of this name.
+    /// Removes the row of this name if it exists.
     pub fn remove(&mut self, name: &str) {
         if let Some(old) = self.rows.shift_remove(name) {
             self.digest = self.digest.wrapping_sub(row_digest(name, &old));
         }
     }
 
-    /// Puts a row in the place of the one with its name, else behind all others.
+    /// Replaces the row of this name in place, or appends a new one.
     pub fn set(&mut self, name: &str, row: Row) {
         if self.rows.get(name).is_some_and(|old| is_same_row(old, &row)) {
             return;
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Adds or replaces the rows of a JSON table of columns and rows. A null value is an absent one.
+    /// Adds or replaces the rows of a JSON object with `columns` and `rows`.
     fn merge(&mut self, value: &Value, path: &str) -> Result<(), ValueError> {
         let fields = json::as_object(value, path)?;
         let columns = json::as_strings(require(fields, "columns", path)?, &join(path, "columns"))?;
@@ -235,18 +236,18 @@
             let Some(name) = name else { return invalid(join(&path, "name"), "missing") };
             let name = json::as_str(name, &join(&path, "name"))?;
             if !seen.insert(name) {
-                return invalid(path, format!("a second item named {name}"));
+                return invalid(path, format!("duplicate name {name}"));
             }
             self.set(name, row_text(values, &sources).into());
         }
         Ok(())
     }
 
-    /// Adds the columns that are new here; no row has a value for them yet.
+    /// Adds new columns, with null as the value of existing rows.
     fn add_columns(&mut self, columns: &[String], path: &str) -> Result<(), ValueError> {
         for (n, column) in columns.iter().enumerate() {
             if columns[..n].contains(column) {
-                return invalid(join(path, "columns"), format!("a second one named {column}"));
+                return invalid(join(path, "columns"), format!("duplicate column {column}"));
             }
             if column != "name" && !self.columns.contains(column) {
                 let is_first = self.columns.is_empty();
@@ -257,6 +258,7 @@
         Ok(())
     }
 
+    /// Appends a null value to every row.
     fn widen_rows(&mut self, is_first_column: bool) {
         let names: Vec<Name> = self.rows.keys().cloned().collect();
         for name in names {
@@ -287,7 +289,8 @@
     }
 }
 
-/// The text of a row: for each own column the value at its source, else null.
+/// Returns the text of a row. `sources` holds the index into `values` of each column; a column without one
+/// is null.
 fn row_text(values: &[Value], sources: &[Option<usize>]) -> String {
     let mut text = String::new();
     for (n, source) in sources.iter().enumerate() {
@@ -299,7 +302,7 @@
     text
 }
 
-/// Whether two rows are the same; at once where they are shared.
+/// Returns `true` if two rows are equal. Compares pointers first, since rows are often shared.
 pub fn is_same_row(a: &Row, b: &Row) -> bool {
     Arc::ptr_eq(a, b) || a == b
 }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration out of its tables. Whatever makes one invalid is found here, and named by its key.
+//! Parses and validates a configuration from its tables. Errors name the invalid key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use crate::json::{self, Fields, Object, RowFields, ValueError, get, invalid, join, require};
 use crate::table::{ConfigTable, Row, Table, is_same_row};
 
-/// The longest `timeout-s` of a route, in seconds.
+/// Maximum `timeout-s` of a route, in seconds.
 const MAX_TIMEOUT_S: f64 = 600.0;
-/// A route's `target-s` lies less than this above its `timeout-s`.
-const MAX_TARGET_OVER_TIMEOUT_S: f64 = 60.0;
+/// `target-s` of a route must be less than this many seconds above its `timeout-s`.
+const MAX_TARGET_ABOVE_TIMEOUT_S: f64 = 60.0;
 
-/// What holds where a row or `limits` says nothing.
+/// Defaults of values that a row or `limits` omits.
 const DEFAULT_TIMEOUT_S: f64 = 30.0;
 const DEFAULT_TARGET_S: f64 = 1.0;
 const DEFAULT_MAX_CONNS: f64 = 100.0;
@@ -24,21 +24,22 @@
 const DEFAULT_HEADER_TIMEOUT_S: f64 = 3.0;
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
 
-/// Indices of the tables, as `table::TABLES` orders them.
+/// Indices into `table::TABLES`.
 const ROUTES: usize = 0;
 const SERVICES: usize = 1;
 const TENANTS: usize = 2;
 
-/// An older configuration with the tables that it was read from.
+/// An older configuration with the tables from which it was parsed.
 type Older<'a> = Option<(&'a ConfigTable, &'a Configuration)>;
 
 impl Configuration {
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     pub fn from_table(table: &ConfigTable) -> Result<Configuration, ValueError> {
         Configuration::from_table_reusing(table, None)
     }
 
-    /// The same, where an older version was read: only rows that differ from it are read, and everything is checked.
+    /// Parses and validates a configuration. Reuses the routes and tenants whose rows are equal in an older
+    /// version, and whole tables that are equal.
     pub fn from_table_reusing(table: &ConfigTable, older: Older) -> Result<Configuration, ValueError> {
         let unchanged = |n: usize| {
             let same = older.filter(|(old, _)| table.tables[n].is_same(&old.tables[n]));
@@ -52,7 +53,7 @@
             Some(older) => older.routes.clone(),
             None => Arc::new(read_routes(&table.tables[ROUTES], older)?),
         };
-        // Checked also where no route has changed: a service may be gone.
+        // Checked even if no route has changed, because a service may have been removed.
         check_services_exist(&routes, &services)?;
         let (tenants, tenant_keys, tenant_by_key) = match unchanged(TENANTS) {
             Some(older) => (older.tenants.clone(), older.tenant_keys.clone(), older.tenant_by_key.clone()),
@@ -80,13 +81,13 @@
 ) -> Result<(), ValueError> {
     for route in routes.values().flatten() {
         if let Some((unknown, _)) = route.services.iter().find(|(s, _)| !services.contains_key(s)) {
-            return invalid(join("routes", &route.name), format!("names an unknown service {unknown}"));
+            return invalid(join("routes", &route.name), format!("unknown service {unknown}"));
         }
     }
     Ok(())
 }
 
-/// Reads what a row says.
+/// Parses a row with `read`.
 fn read_row<T>(
     table: &Table,
     row: &str,
@@ -97,7 +98,7 @@
     read(&RowFields { columns: table.columns(), values: json::as_array(&value, path)? })
 }
 
-/// Whether a row says in an older table what it says now.
+/// Returns `true` if an older table has an equal row of this name and the same columns.
 fn is_unchanged_row(table: &Table, older: Option<&Table>, name: &str, row: &Row) -> bool {
     let Some(older) = older.filter(|older| older.columns() == table.columns()) else { return false };
     older.rows().get(name).is_some_and(|old| is_same_row(old, row))
@@ -135,7 +136,10 @@
     for routes in by_host.values_mut() {
         routes.sort_by(|a, b| (b.prefix.len(), &a.prefix).cmp(&(a.prefix.len(), &b.prefix)));
         if let Some([a, b]) = routes.array_windows().find(|[a, b]| a.prefix == b.prefix) {
-            return invalid(join("routes", &b.name), format!("stands in the same place as {}", a.name));
+            return invalid(
+                join("routes", &b.name),
+                format!("same host and path prefix as route {}", a.name),
+            );
         }
     }
     Ok(by_host)
@@ -155,7 +159,7 @@
         let (read, keys) = match unchanged.zip(older) {
             Some((n, (_, older))) => (older.tenants[*n].clone(), older.tenant_keys[*n].clone()),
             None => read_row(table, row, &path, |fields| {
-                let keys = texts(fields, "api-keys", &path)?.into_iter().map(Arc::from).collect();
+                let keys = strings(fields, "api-keys", &path)?.into_iter().map(Arc::from).collect();
                 Ok((tenant(name, fields, &path)?, keys))
             })?,
         };
@@ -165,27 +169,30 @@
     Ok((tenants, tenant_keys))
 }
 
-/// Who holds each key: one tenant.
+/// Returns the index of the tenant of each API key. A key must not belong to two tenants.
 fn index_keys(tenants: &[Tenant], keys: &[Keys]) -> Result<HashMap<Arc<str>, usize>, ValueError> {
-    let mut holders = HashMap::new();
+    let mut tenant_by_key = HashMap::new();
     for (n, keys) in keys.iter().enumerate() {
         for key in keys.iter() {
-            if holders.insert(key.clone(), n).is_some_and(|other| other != n) {
-                return invalid(join("tenants", &tenants[n].name), "shares a key with another tenant");
+            if tenant_by_key.insert(key.clone(), n).is_some_and(|other| other != n) {
+                return invalid(
+                    join("tenants", &tenants[n].name),
+                    "API key already belongs to another tenant",
+                );
             }
         }
     }
-    Ok(holders)
+    Ok(tenant_by_key)
 }
 
-fn texts(fields: &impl Fields, key: &str, path: &str) -> Result<Vec<String>, ValueError> {
+fn strings(fields: &impl Fields, key: &str, path: &str) -> Result<Vec<String>, ValueError> {
     get(fields, key).map_or(Ok(Vec::new()), |v| json::as_strings(v, &join(path, key)))
 }
 
-/// A number of 0 or more.
+/// Returns a non-negative number.
 fn number(fields: &impl Fields, key: &str, path: &str, default: f64) -> Result<f64, ValueError> {
     match get(fields, key).map(|v| json::as_number(v, &join(path, key))).transpose()? {
-        Some(n) if n < 0.0 => invalid(join(path, key), "below 0"),
+        Some(n) if n < 0.0 => invalid(join(path, key), "must not be negative"),
         n => Ok(n.unwrap_or(default)),
     }
 }
@@ -205,17 +212,17 @@
     let text = |key: &str| require(fields, key, path).and_then(|v| json::as_str(v, &join(path, key)));
     let host = text("host")?;
     if host.is_empty() {
-        return invalid(join(path, "host"), "empty");
+        return invalid(join(path, "host"), "must not be empty");
     }
     let prefix = text("path-prefix")?;
     if !prefix.starts_with('/') || !prefix.ends_with('/') {
-        return invalid(join(path, "path-prefix"), "begins and ends with a slash");
+        return invalid(join(path, "path-prefix"), "must begin and end with a slash");
     }
     let kind = route_kind(text("route-kind")?, path)?;
     let (timeout, target) = timeout_and_target(fields, path)?;
     let max_attempts = number(fields, "max-attempts", path, 1.0)?;
     if max_attempts < 1.0 {
-        return invalid(join(path, "max-attempts"), "0: at least 1 is wanted");
+        return invalid(join(path, "max-attempts"), "must be at least 1");
     }
     let mut services = split(fields, path)?;
     if services.is_empty() {
@@ -232,7 +239,7 @@
         services,
         max_attempts: max_attempts as u32,
         public: get(fields, "public").map_or(Ok(false), |v| json::as_bool(v, &join(path, "public")))?,
-        home_regions: texts(fields, "home-regions", path)?,
+        home_regions: strings(fields, "home-regions", path)?,
     })
 }
 
@@ -241,7 +248,7 @@
         "safe" => Ok(RouteKind::Safe),
         "unsafe" => Ok(RouteKind::Unsafe),
         "download" => Ok(RouteKind::Download),
-        other => invalid(join(path, "route-kind"), format!("{other}: safe, unsafe or download is wanted")),
+        other => invalid(join(path, "route-kind"), format!("{other}: expected safe, unsafe or download")),
     }
 }
 
@@ -249,18 +256,18 @@
     let timeout = number(fields, "timeout-s", path, DEFAULT_TIMEOUT_S)?;
     let target = number(fields, "target-s", path, DEFAULT_TARGET_S)?;
     if timeout == 0.0 {
-        return invalid(join(path, "timeout-s"), "0: no request could be answered");
+        return invalid(join(path, "timeout-s"), "must be greater than 0");
     }
     if timeout > MAX_TIMEOUT_S {
-        return invalid(join(path, "timeout-s"), "exceeds ten minutes");
+        return invalid(join(path, "timeout-s"), "must not exceed 600 seconds");
     }
-    if target >= timeout + MAX_TARGET_OVER_TIMEOUT_S {
-        return invalid(join(path, "target-s"), "lies a minute or more above timeout-s");
+    if target >= timeout + MAX_TARGET_ABOVE_TIMEOUT_S {
+        return invalid(join(path, "target-s"), "must be less than 60 seconds above timeout-s");
     }
     Ok((Span::from_secs(timeout), Span::from_secs(target)))
 }
 
-/// The services of a route's `split` with their weights; none where it has no split.
+/// Returns the services and weights of a route's `split`, empty if it has none.
 fn split(fields: &RowFields, path: &str) -> Result<Vec<(String, f64)>, ValueError> {
     let Some(split) = get(fields, "split") else { return Ok(Vec::new()) };
     let path = join(path, "split");
@@ -271,7 +278,7 @@
         services.push((service.to_string(), number(part, "weight", &path, 1.0)?));
     }
     if !services.is_empty() && services.iter().all(|(_, weight)| *weight == 0.0) {
-        return invalid(path, "no weight above 0");
+        return invalid(path, "at least one weight must be above 0");
     }
     Ok(services)
 }
@@ -283,7 +290,7 @@
         priority: priority.map(|p| p as u32),
         rate: number(fields, "rate-per-s", path, 0.0)?,
         burst: number(fields, "burst", path, 0.0)?,
-        home_regions: texts(fields, "home-regions", path)?,
+        home_regions: strings(fields, "home-regions", path)?,
     })
 }
 
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -91,7 +91,7 @@
     },
 }
 
-/// What the caller does after an event.
+/// Next action of the caller after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStep {
     /// Wait for the next event.
@@ -105,7 +105,7 @@
 /// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// Whether the request may have run.
+    /// Execution state of the request.
     pub execution: Execution,
     /// Outcome to report to the dispatcher.
     pub outcome: Outcome,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -24,8 +24,8 @@
 
 /// Time after its start during which a process doesn't use its permits: the window of the limit.
 const STARTUP_DELAY: Span = Span::from_millis(1_000);
-/// How long a permit stays taken: the one-second window of the limit, plus 100 ms from the decision to hand
-/// a request over to its last byte.
+/// Duration for which a permit stays taken: the one-second window of the limit, plus 100 ms from the
+/// decision to hand a request over to its last byte.
 pub const PERMIT_WINDOW: Span = Span::from_millis(1_100);
 /// Fraction of a warming worker's rate that is used.
 const USED_RATE_FRACTION: f64 = 0.9;
@@ -35,7 +35,7 @@
 const UNKNOWN_RATE_PER_PERMIT: f64 = 0.9;
 /// Burst to a worker in unknown state, in requests for each permit.
 const UNKNOWN_BURST_PER_PERMIT: f64 = 0.25;
-/// How long the state of a worker that is not warming up is kept after its last use.
+/// Retention of the state of a worker that is not warming up, after its last use.
 const RETENTION: Span = Span::from_millis(5_000);
 
 /// Information of this proxy on the warm-up of the workers of a zone.
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -11,7 +11,7 @@
 use lynxstair_control_state::quota_limits::{MIN_DEPTH, OVERSHOOT_PART, SLACK_PART};
 use lynxstair_protocol::messages::{QuotaShare, TenantUsage};
 
-/// How long a share is valid without being renewed; after that it is capped at an even share.
+/// Validity of a share without renewal; after that it is capped at an even share.
 const SHARE_VALIDITY: Span = Span::from_millis(2_500);
 /// Longest `Retry-After` while a tenant is blocked.
 const MAX_BLOCKED_WAIT: Span = Span::from_millis(1_000);
--- a/crates/service/src/command_line.rs
+++ b/crates/service/src/command_line.rs
@@ -1,29 +1,29 @@
-//! The command line that the system's programs share.
+//! Command line of the system's programs.
 
 use std::fmt;
 use std::process::ExitCode;
 
 use lynxstair_config::settings::{SETTINGS_VARIABLE, Settings};
 
-/// The command line or the settings file is bad.
+/// Exit code for an invalid command line or settings file.
 const EXIT_USAGE: u8 = 2;
 
-/// A program, as its command line describes it.
+/// Name and texts of a program, for its command line.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Its name.
+    /// Name of the program.
     pub name: &'static str,
-    /// The text of `--help`.
+    /// Output of `--help`.
     pub help: &'static str,
-    /// Its version.
+    /// Version that `--version` prints.
     pub version: &'static str,
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 pub(crate) enum Invocation {
-    /// Serve, by these settings.
+    /// Serve with these settings.
     Serve(Box<Settings>),
-    /// End with this code; everything has been printed.
+    /// Exit with this code; all output has been printed.
     Exit(ExitCode),
 }
 
@@ -32,33 +32,33 @@
     Check,
 }
 
-/// What is wrong with a command line.
+/// Error in a command line.
 enum UsageError {
-    /// The environment names no settings file.
+    /// The environment variable for the settings file is missing or not valid Unicode.
     NoSettingsFile,
-    /// `check` without a file.
+    /// `check` was called without a file.
     NoFileToCheck,
     UnknownCommand(String),
-    SurplusArgument(String),
+    UnexpectedArgument(String),
     Malformed(pico_args::Error),
 }
 
 impl fmt::Display for UsageError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            UsageError::NoSettingsFile => write!(f, "{SETTINGS_VARIABLE} names no settings file"),
-            UsageError::NoFileToCheck => f.write_str("check: a file is wanted"),
+            UsageError::NoSettingsFile => write!(f, "{SETTINGS_VARIABLE} must name the settings file"),
+            UsageError::NoFileToCheck => f.write_str("check: expected a settings file"),
             UsageError::UnknownCommand(name) => {
-                write!(f, "{name}: no such command; --help tells which there are")
+                write!(f, "{name}: unknown command; see --help")
             }
-            UsageError::SurplusArgument(argument) => write!(f, "{argument}: not understood"),
+            UsageError::UnexpectedArgument(argument) => write!(f, "{argument}: unexpected argument"),
             UsageError::Malformed(source) => source.fmt(f),
         }
     }
 }
 
 impl Program {
-    /// Reads the command line and the settings file, and prints what is asked for or wrong.
+    /// Parses the command line and reads the settings file. Prints the requested output or the error.
     pub(crate) fn parse_arguments(&self) -> Invocation {
         let mut arguments = pico_args::Arguments::from_env();
         if arguments.contains(["-h", "--help"]) {
@@ -77,7 +77,7 @@
             (_, Err(error)) => self.usage_error(&error),
             (Command::Serve, Ok(settings)) => Invocation::Serve(Box::new(settings)),
             (Command::Check, Ok(_)) => {
-                println!("{file}: good");
+                println!("{file}: valid");
                 Invocation::Exit(ExitCode::SUCCESS)
             }
         }
@@ -89,7 +89,7 @@
     }
 }
 
-/// The command, and the settings file that it is for.
+/// Returns the command and the path of its settings file.
 fn parse_command(mut arguments: pico_args::Arguments) -> Result<(Command, String), UsageError> {
     let command = match arguments.subcommand().map_err(UsageError::Malformed)? {
         None => {
@@ -103,7 +103,7 @@
         Some(name) => return Err(UsageError::UnknownCommand(name)),
     };
     match arguments.finish().first() {
-        Some(surplus) => Err(UsageError::SurplusArgument(surplus.to_string_lossy().into_owned())),
+        Some(argument) => Err(UsageError::UnexpectedArgument(argument.to_string_lossy().into_owned())),
         None => Ok(command),
     }
 }
--- a/crates/service/src/error.rs
+++ b/crates/service/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a program can't serve.
+//! Start-up error of a program.
 
 use std::error::Error;
 use std::fmt;
@@ -6,16 +6,16 @@
 
 use lynxstair_net::server::ListenError;
 
-/// Why a program can't serve. It ends with it; whoever runs the program may start it again.
+/// Fatal start-up error. The program exits; a supervisor may restart it.
 #[derive(Debug)]
 pub enum StartError {
-    /// The settings lack a key that the program needs.
+    /// The settings lack a required key.
     MissingSetting(&'static str),
-    /// What is stored can't be read.
+    /// Stored data can't be read.
     Storage(Box<dyn Error + Send + Sync>),
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     Listen(ListenError),
-    /// The system refuses signals, timers or threads.
+    /// Setting up an operating-system resource, such as signals, failed. The text names it.
     System(&'static str, io::Error),
 }
 
--- a/crates/service/src/lib.rs
+++ b/crates/service/src/lib.rs
@@ -1,5 +1,7 @@
-//! What the system's programs do alike from start to end: command line, log format, signals, exit codes. A program's `main`
-//! hands [`run_program`] what it serves with; that returns once [`Signals::run_until_shutdown`] has.
+//! Shared process life cycle of the system's programs: command line, log format, signals and exit codes.
+//!
+//! The `main` function of a program calls [`run_program`] with a function that serves until
+//! [`Signals::run_until_shutdown`] returns.
 #![forbid(unsafe_code)]
 
 mod command_line;
@@ -17,7 +19,7 @@
 
 use command_line::Invocation;
 
-/// The whole of a program: reads the command line and the settings, serves, and turns the result into an exit code.
+/// Runs a program: parses the command line, reads the settings, serves, and returns the exit code.
 pub fn run_program(program: &Program, serve: impl FnOnce(Settings) -> Result<(), StartError>) -> ExitCode {
     let settings = match program.parse_arguments() {
         Invocation::Serve(settings) => *settings,
@@ -33,11 +35,11 @@
     }
 }
 
-/// The FNV-1a hash of a text, from its usual offset or from another one; the same in every build.
+/// Returns the 64-bit FNV-1a hash of a text, starting from `offset`. The hash is the same in every build.
 pub fn fnv1a(offset: u64, text: &str) -> u64 {
     const PRIME: u64 = 0x0100_0000_01b3;
     text.bytes().fold(offset, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
-/// The usual offset of FNV-1a.
+/// Standard 64-bit offset basis of FNV-1a.
 pub const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/service/src/logging.rs
+++ b/crates/service/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines of the system's programs: one JSON object a line on standard error.
+//! Log output of the system's programs: one JSON object a line on standard error.
 
 use std::io::Write;
 
@@ -7,10 +7,10 @@
 use logforth::record::Record;
 use logforth::{Append, Diagnostic, Error, Layout};
 
-/// Libraries log warnings, the system's own packages what an operator needs as well.
+/// Warnings from all packages, informational lines from the system's own packages only.
 const FILTER: &str = "warn,lynxstair=info";
 
-/// Standard error. A line that can't be written, on a full disk perhaps, is lost and ends nothing.
+/// Appends to standard error. Write errors, for example on a full disk, are ignored and the line is lost.
 #[derive(Debug)]
 struct LossyStderr(JsonLayout);
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// From here on log lines go to standard error, those of `lynxstair-net` too. A second call in one process (tests) changes
-/// nothing.
+/// Sends log lines, including those of `lynxstair-net`, to standard error. A second call in the same
+/// process has no effect.
 pub(crate) fn init_json_logging() {
     let filter = RustLogFilterBuilder::from_spec(FILTER).build();
     let to = LossyStderr(JsonLayout::default());
--- a/crates/service/src/signals.rs
+++ b/crates/service/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that a program goes by: SIGHUP reloads the settings, SIGTERM and SIGINT end it gracefully.
+//! Signal handling: SIGHUP reloads the settings, SIGTERM and SIGINT start a graceful shutdown.
 
 use std::sync::mpsc::channel;
 
@@ -8,18 +8,18 @@
 
 use crate::StartError;
 
-/// Signals, caught from here on.
+/// Handlers for SIGHUP, SIGTERM and SIGINT.
 pub struct Signals(SignalIterator);
 
 impl Signals {
-    /// Catches the signals, before anything that one of them should not end.
+    /// Installs the handlers. To be called before any work that a signal must not interrupt.
     pub fn catch() -> Result<Signals, StartError> {
         let signals = SignalIterator::new([SIGTERM, SIGINT, SIGHUP]);
         signals.map(Signals).map_err(|e| StartError::System("signals", e))
     }
 
-    /// Waits on the main thread until the program is told to end, then until `shut_down` has returned. That runs in a
-    /// coroutine, as all that sleeps here does.
+    /// Blocks the calling thread until SIGTERM or SIGINT, then runs `shut_down` in a coroutine and waits
+    /// for it. Calls `reload` at each SIGHUP.
     pub fn run_until_shutdown(mut self, reload: impl Fn(), shut_down: impl FnOnce() + Send + 'static) {
         while self.0.forever().next() == Some(SIGHUP) {
             reload();
